--- a/Makefile
+++ b/Makefile
@@ -1,13 +1,14 @@
-# Targets: tools build demo test race search lint fuzz bench docs
+# Targets: tools gopls build demo test race search lint fuzz bench docs
 SHELL := /bin/bash
 BIN := $(CURDIR)/bin
 GOLANGCI_VERSION := v2.15.0
 BENCHSTAT_VERSION := v0.0.0-20260908200009-22c9c6c9d4da
 GOVULNCHECK_VERSION := v1.1.4
+GOPLS_VERSION := v0.23.0
 VERSION ?= $(shell git describe --tags --always --dirty 2>/dev/null || echo unknown)
 LDFLAGS := -X ringstream.example/ringstream/internal/version.Version=$(VERSION)
 
-.PHONY: all tools build demo test race search lint fuzz bench bench-baseline page docs clean
+.PHONY: all tools gopls build demo test race search lint fuzz bench bench-baseline page docs clean
 all: build
 
 $(BIN)/golangci-lint-$(GOLANGCI_VERSION):
@@ -16,6 +17,13 @@
 
 tools: $(BIN)/golangci-lint-$(GOLANGCI_VERSION) ## install the linter into bin/
 
+$(BIN)/gopls-$(GOPLS_VERSION):
+	GOBIN=$(BIN) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(BIN)/gopls $@
+
+gopls: $(BIN)/gopls-$(GOPLS_VERSION) ## install gopls into bin/, for renames that follow every use
+	ln -sf $(notdir $<) $(BIN)/gopls
+
 build: ## build both programs into bin/
 	go build -ldflags '$(LDFLAGS)' -o $(BIN)/ ./cmd/...
 
