--- a/internal/core/enginechoice/bench_test.go
+++ b/internal/core/enginechoice/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkPick chooses among the engines of a large fleet.
+// BenchmarkPick measures Pick for fleets of several sizes.
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{12, 300, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkUpsert takes the entries of a fleet again as they are, which each listing does.
+// BenchmarkUpsert measures Upsert of unchanged entries, as in each listing.
 func BenchmarkUpsert(b *testing.B) {
 	for _, engines := range []int{12, 300, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkListing takes a first listing of engines, as a node does at its start.
+// BenchmarkListing measures the first listing of engines, as at the start of a node.
 func BenchmarkListing(b *testing.B) {
 	for _, engines := range []int{1000, 10_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/internal/core/enginechoice/changes.go
+++ b/internal/core/enginechoice/changes.go
@@ -2,30 +2,31 @@
 
 import "slices"
 
-// mostChanges bounds the changes that are remembered: as many as engines of a large pool
-// change between two looks. Who looks more rarely takes the whole set anew.
-const mostChanges = 4096
+// maxRecentChanges bounds the changes that are kept. It covers the changes of a large pool
+// between two calls of ChangedSince. A caller that misses more has to read the whole set.
+const maxRecentChanges = 4096
 
-// changeLog remembers which engines changed last, so that who follows the set pays for what
-// has changed and not for all engines.
+// changeLog records which engines changed last, so that the cost of following a Set depends
+// on the number of changes and not on that of the engines.
 type changeLog struct {
-	count  uint64        // of all changes so far
-	recent []Incarnation // the last ones
+	count  uint64        // number of all changes so far
+	recent []Incarnation // the last changes, oldest first
 }
 
-func (l *changeLog) note(engine Incarnation) {
-	if len(l.recent) >= 2*mostChanges {
-		l.recent = slices.Clone(l.recent[mostChanges:])
+func (l *changeLog) record(engine Incarnation) {
+	if len(l.recent) >= 2*maxRecentChanges {
+		l.recent = slices.Clone(l.recent[maxRecentChanges:])
 	}
 	l.recent = append(l.recent, engine)
 	l.count++
 }
 
-// Changes counts the changes of entries and states so far.
+// Changes returns the number of changes of entries and states so far.
 func (s *Set) Changes() uint64 { return s.changes.count }
 
-// ChangedSince gives the engines that have changed, been added or been forgotten since
-// Changes was a count, each once. Complete is false where that is too long ago to tell.
+// ChangedSince returns the engines that were changed, added or removed since Changes
+// returned count, each once. Complete is false if the changes since then are no longer
+// kept.
 func (s *Set) ChangedSince(count uint64) (engines []Incarnation, complete bool) {
 	missed := s.changes.count - count
 	if missed > uint64(len(s.changes.recent)) {
--- a/internal/core/enginechoice/enginechoice.go
+++ b/internal/core/enginechoice/enginechoice.go
@@ -1,7 +1,7 @@
-// Package enginechoice keeps what a node believes of the engines it may send
-// to, and picks one for each request: it filters the engines that cannot take
-// the request, scores the others by the wait to expect there, and picks the
-// least. Time is an argument; it does no I/O and takes no lock.
+// Package enginechoice tracks the engines that a node may send requests to, and picks an
+// engine for each request: it filters out the engines that cannot accept the request,
+// scores the others by the expected wait, and picks the one with the lowest score. The
+// current time is an argument; the package does no I/O and takes no locks.
 package enginechoice
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is an engine as the list tells it.
+// Entry is an engine as described by the engine list.
 type Entry struct {
 	ID, Pool, Address, Zone string
 	Born                    int64 // see Incarnation
 	Slots                   int
-	MemoryTokens            int // 0: not said
-	ColdUntil               time.Time
+	MemoryTokens            int       // capacity of its memory in tokens; 0 if unknown
+	ColdUntil               time.Time // until when the engine counts as cold
 }
 
-// Counts is work under way at an engine.
+// Counts is the work in flight at an engine.
 type Counts struct {
 	Online, Batch int
-	PrefillTokens int // of requests whose first token has not come
-	MemoryTokens  int // that the running requests hold at their end
+	PrefillTokens int // prompt tokens of the requests whose first token has not arrived
+	MemoryTokens  int // memory that the requests will use at their end, in tokens
 }
 
 // Work is one request at an engine, as counted from Start to Finish.
@@ -33,11 +33,11 @@
 	Batch         bool
 	PrefillTokens int
 	MemoryTokens  int
-	started       bool // its first token has come
+	started       bool // the first token has arrived
 	ended         bool // it is no longer counted
 }
 
-// AwaitsFirstToken says whether the request's first token has not come.
+// AwaitsFirstToken reports whether the request's first token has not arrived yet.
 func (w *Work) AwaitsFirstToken() bool { return !w.started }
 
 // Result is how a request at an engine ended.
@@ -46,90 +46,92 @@
 // The results that count for an engine's health.
 const (
 	Succeeded Result = iota
-	Shed             // the engine said that it did not run it
-	Failed           // refused connection, reset, silence or an error status
-	Abandoned        // the client left; says nothing of the engine
+	Shed             // the engine rejected the request without running it
+	Failed           // refused connection, reset, timeout or an error status
+	Abandoned        // the client left; does not affect the engine's health
 )
 
-// engine is one engine's beliefs.
+// engine is what a Set knows about an engine.
 type engine struct {
 	entry Entry
-	hash  uint64 // of its incarnation
+	hash  uint64 // hash of its incarnation
 	state State
-	since time.Time // of state
-	*experience
+	since time.Time // when state was set
+	*observations
 }
 
-// experience is what a node has learned of an engine by its own requests. A node uses a few of
-// 10,000 engines; the others share one that is empty and never written to, which saves 230 bytes
-// an engine.
-type experience struct {
-	own            Counts
-	reported       int // running and waiting, from the last answer's head
-	reportedOwn    int // own work when it was read
-	reportedAt     time.Time
-	sickUntil      time.Time
-	failures       int     // in a row
-	failureRate    float64 // smoothed share of failures
-	shedUntil      time.Time
-	yieldedAt      time.Time               // when batch requests were last told to give way
-	resident       map[string]residentPart // prompt parts sent there lately
-	residentTokens int                     // of all of them
+// observations is what a Set has learned about an engine from the requests that it counts.
+// A node uses only a few of 10,000 engines; the others share noObservations, which saves
+// 230 bytes per engine.
+type observations struct {
+	own                 Counts
+	reportedInFlight    int // running and waiting requests by the header of the last response
+	ownAtReport         int // requests counted here when the header was read
+	reportedAt          time.Time
+	unhealthyUntil      time.Time
+	consecutiveFailures int
+	failureRate         float64 // smoothed, from 0 to 1
+	shedUntil           time.Time
+	preemptedAt         time.Time               // when batch requests were last preempted
+	resident            map[string]residentPart // prompt parts that were sent there last, by ID
+	residentTokens      int                     // total of resident
 }
 
-var noExperience = &experience{}
+// noObservations is the empty value shared by unused engines. It must not be modified.
+var noObservations = &observations{}
 
-// used gives the engine with an experience of its own, which can be written to.
-func (e *engine) used() *engine {
-	if e.experience == noExperience {
-		e.experience = &experience{resident: make(map[string]residentPart)}
+// writable gives the engine observations of its own, which can be modified, and returns
+// the engine.
+func (e *engine) writable() *engine {
+	if e.observations == noObservations {
+		e.observations = &observations{resident: make(map[string]residentPart)}
 	}
 	return e
 }
 
-// Set is the engines of all pools.
+// Set holds the engines of all pools. It is not safe for concurrent use.
 type Set struct {
-	node    uint64 // hash of this node's name
-	engines map[Incarnation]*engine
-	lives   map[string]lives // of each id
-	pools   map[string]map[Incarnation]*engine
-	peaks   map[string]onlinePeak // of online requests, by pool
-	changes changeLog
-	// unlisted are those that may be in the state Unlisted, so that a look for the overdue
-	// ones does not pass over all engines.
+	node         uint64 // hash of the node's name
+	engines      map[Incarnation]*engine
+	incarnations map[string]incarnationHistory // by engine ID
+	pools        map[string]map[Incarnation]*engine
+	peaks        map[string]onlinePeak // by pool
+	changes      changeLog
+	// unlisted holds the engines that may be in the state Unlisted, so that
+	// ExpireUnlisted need not scan all engines.
 	unlisted map[Incarnation]bool
-	// looked is when idle engines were last looked for that can be forgotten.
-	looked time.Time
+	// lastIdleScan is when removeIdle last scanned the engines.
+	lastIdleScan time.Time
 }
 
-// NewSet makes an empty set for a node.
+// NewSet returns an empty set for the node with the given name.
 func NewSet(node string) *Set {
 	return &Set{
-		node: xxhash.Sum64String(node), peaks: make(map[string]onlinePeak), engines: make(map[Incarnation]*engine), lives: make(map[string]lives),
+		node: xxhash.Sum64String(node), peaks: make(map[string]onlinePeak), engines: make(map[Incarnation]*engine), incarnations: make(map[string]incarnationHistory),
 		pools: make(map[string]map[Incarnation]*engine), unlisted: make(map[Incarnation]bool),
 	}
 }
 
-// Upsert takes an engine's entry. The entry of a later incarnation than the one that is
-// known ends that one, and begins with nothing known; that of an earlier one is ignored.
+// Upsert applies an engine's entry. An entry of a later incarnation than the known one ends
+// that one and starts without observations. An entry of an earlier incarnation is ignored.
 func (s *Set) Upsert(entry Entry, state State, now time.Time) News {
 	engine := entry.Incarnation()
-	news := s.order(engine, now)
+	news := s.recordIncarnation(engine, now)
 	if news == Outdated {
 		return Outdated
 	}
 	known := s.engines[engine]
 	if known == nil {
 		s.add(entry, state, now)
-		s.forgetIdle(now)
+		s.removeIdle(now)
 		return max(news, Changed)
 	}
 	if known.state == Leaving && state == Ready && known.entry.Address == entry.Address {
-		known.used().sickUntil = time.Time{}
+		known.writable().unhealthyUntil = time.Time{}
 	}
 	changed := known.state != state
 	if changed || known.entry != entry {
-		s.changes.note(engine)
+		s.changes.record(engine)
 	}
 	known.entry = entry
 	if !changed {
@@ -139,56 +141,56 @@
 	return Changed
 }
 
-// add takes an engine of which nothing is known.
+// add adds an engine that is not in the set.
 func (s *Set) add(entry Entry, state State, now time.Time) {
 	incarnation := entry.Incarnation()
-	added := &engine{entry: entry, hash: incarnation.Hash(), state: state, since: now, experience: noExperience}
+	added := &engine{entry: entry, hash: incarnation.Hash(), state: state, since: now, observations: noObservations}
 	s.engines[incarnation] = added
-	known := s.lives[incarnation.ID]
+	known := s.incarnations[incarnation.ID]
 	known.count++
-	s.lives[incarnation.ID] = known
+	s.incarnations[incarnation.ID] = known
 	pool := s.pools[entry.Pool]
 	if pool == nil {
 		pool = make(map[Incarnation]*engine)
 		s.pools[entry.Pool] = pool
 	}
 	pool[incarnation] = added
-	s.changes.note(incarnation)
+	s.changes.record(incarnation)
 }
 
-// Remove takes word that an engine's entry went. A doubtful removal leaves the
-// engine in use until ExpireUnlisted, since the list could not be trusted.
-func (s *Set) Remove(engine Incarnation, doubtful bool, now time.Time) {
+// Remove applies the removal of an engine's entry from the list. If the list cannot be
+// trusted, keepInUse leaves a usable engine in use until ExpireUnlisted.
+func (s *Set) Remove(engine Incarnation, keepInUse bool, now time.Time) {
 	known := s.engines[engine]
 	if known == nil || known.state == Ended {
 		return
 	}
-	doubtful = doubtful && known.usable() // one that was leaving does not come back by it
+	keepInUse = keepInUse && known.usable() // an engine that was leaving stays so
 	known.since = now
 	known.state = Leaving
-	s.changes.note(engine)
-	if doubtful {
+	s.changes.record(engine)
+	if keepInUse {
 		known.state = Unlisted
 		s.unlisted[engine] = true
 	}
-	s.forgetIdle(now)
+	s.removeIdle(now)
 }
 
-// Withhold takes word that an engine's entry names no engine to use. What was learned
-// of the engine stays, for the entry may hold again; one that was leaving still is. It
-// reports whether the belief changed.
+// Withhold marks an engine whose entry currently does not name a usable engine. The
+// observations are kept, since the entry may become valid again, and an engine that was
+// leaving stays so. It reports whether the state changed.
 func (s *Set) Withhold(engine Incarnation, now time.Time) bool {
 	known := s.engines[engine]
 	if known == nil || !known.usable() {
 		return false
 	}
 	known.state, known.since = Withheld, now
-	s.changes.note(engine)
+	s.changes.record(engine)
 	return true
 }
 
-// ExpireUnlisted takes engines as gone that lost their entry before a time and
-// were not listed again. It gives which.
+// ExpireUnlisted marks as leaving, and returns, the unlisted engines that lost their entry
+// before a time and have not been listed since.
 func (s *Set) ExpireUnlisted(before, now time.Time) []Incarnation {
 	var expired []Incarnation
 	for id := range s.unlisted {
@@ -199,7 +201,7 @@
 		}
 		if known.since.Before(before) {
 			known.state, known.since = Leaving, now
-			s.changes.note(id)
+			s.changes.record(id)
 			delete(s.unlisted, id)
 			expired = append(expired, id)
 		}
@@ -207,44 +209,46 @@
 	return expired
 }
 
-// AnyUnlisted says whether an engine may be in the state Unlisted.
+// AnyUnlisted reports whether an engine may be in the state Unlisted.
 func (s *Set) AnyUnlisted() bool { return len(s.unlisted) > 0 }
 
-// forgetAfter keeps an engine's counts while requests may still run there.
-const forgetAfter = time.Minute
+// engineRetention is how long an unusable engine is kept, since requests may still run
+// there.
+const engineRetention = time.Minute
 
-// forgetEvery is the pause between two looks for engines to forget. A look at each change
-// made taking a list in cost the square of its length: 10,000 engines took 1.77 s of
-// processor time in place of 31 ms (BenchmarkListing).
-const forgetEvery = forgetAfter / 4
+// idleScanInterval is the minimum time between two scans for engines to remove. With a scan
+// at each change the cost of applying a list is quadratic: 10,000 engines take 1.77 s of
+// processor time instead of 31 ms (BenchmarkListing).
+const idleScanInterval = engineRetention / 4
 
-func (s *Set) forgetIdle(now time.Time) {
-	if now.Sub(s.looked) < forgetEvery {
+// removeIdle removes the unusable engines without requests whose retention has expired.
+func (s *Set) removeIdle(now time.Time) {
+	if now.Sub(s.lastIdleScan) < idleScanInterval {
 		return
 	}
-	s.looked = now
+	s.lastIdleScan = now
 	for id, known := range s.engines {
 		idle := known.own.Online == 0 && known.own.Batch == 0
-		if known.usable() || !idle || now.Sub(known.since) <= forgetAfter {
+		if known.usable() || !idle || now.Sub(known.since) <= engineRetention {
 			continue
 		}
 		delete(s.engines, id)
 		delete(s.pools[known.entry.Pool], id)
-		s.changes.note(id)
-		s.forgetOrder(id.ID)
+		s.changes.record(id)
+		s.releaseIncarnation(id.ID)
 	}
 }
 
-// Listed is an engine's entry and its state.
+// Listed is an engine's entry and state.
 type Listed struct {
 	Entry Entry
 	State State
 }
 
-// Pools gives the names of the pools that have had engines.
+// Pools returns the names of all pools that have had engines, sorted.
 func (s *Set) Pools() []string { return slices.Sorted(maps.Keys(s.pools)) }
 
-// List gives the engines of a pool, in no order.
+// List returns the engines of a pool in no particular order.
 func (s *Set) List(pool string) []Listed {
 	list := make([]Listed, 0, len(s.pools[pool]))
 	for _, known := range s.pools[pool] {
@@ -253,7 +257,7 @@
 	return list
 }
 
-// Find gives an engine's entry and state.
+// Find returns an engine's entry and state. It returns false if the engine is unknown.
 func (s *Set) Find(engine Incarnation) (Listed, bool) {
 	known := s.engines[engine]
 	if known == nil {
@@ -262,7 +266,7 @@
 	return Listed{Entry: known.entry, State: known.state}, true
 }
 
-// Known gives the engines that have an entry, or had one lately.
+// Known returns the engines that have an entry or had one recently.
 func (s *Set) Known() []Incarnation {
 	ids := make([]Incarnation, 0, len(s.engines))
 	for id := range s.engines {
@@ -271,7 +275,7 @@
 	return ids
 }
 
-// Serving counts the engines of a pool that take new work.
+// Serving returns the number of engines of a pool that accept new work.
 func (s *Set) Serving(pool string) int {
 	count := 0
 	for _, known := range s.pools[pool] {
@@ -282,7 +286,7 @@
 	return count
 }
 
-// Doubtful counts the unlisted engines of a pool that are still in use.
+// Doubtful returns the number of unlisted engines of a pool that are still in use.
 func (s *Set) Doubtful(pool string) int {
 	count := 0
 	for _, known := range s.pools[pool] {
@@ -295,7 +299,7 @@
 
 func (e *engine) usable() bool { return e.state.Usable() }
 
-// Own gives this node's work under way at each engine that has some.
+// Own returns the work in flight that this Set has counted at each engine that has any.
 func (s *Set) Own() map[Incarnation]Counts {
 	counts := make(map[Incarnation]Counts)
 	for id, known := range s.engines {
@@ -309,35 +313,35 @@
 // Start counts a request that is sent to an engine.
 func (s *Set) Start(engine Incarnation, work *Work) {
 	if known := s.engines[engine]; known != nil {
-		known.used().own.add(work, 1)
+		known.writable().own.add(work, 1)
 	}
 }
 
-// FirstToken counts that the engine has read the request's prompt.
+// FirstToken records that the engine has computed the request's prompt.
 func (s *Set) FirstToken(engine Incarnation, work *Work) {
 	if work.started || work.ended {
 		return
 	}
 	work.started = true
 	if known := s.engines[engine]; known != nil {
-		known.used().own.PrefillTokens -= work.PrefillTokens
+		known.writable().own.PrefillTokens -= work.PrefillTokens
 	}
 }
 
-// Finish counts a request's end and what it says of the engine. A second end of
-// the same request, one that was stopped to make room, counts nothing.
+// Finish records the end of a request and its result for the engine's health. A second
+// Finish of the same request, such as one that was preempted, has no effect.
 func (s *Set) Finish(engine Incarnation, work *Work, result Result, now time.Time) {
 	known := s.engines[engine]
 	if known == nil || work.ended {
 		return
 	}
 	work.ended = true
-	known.used()
+	known.writable()
 	if work.started {
 		known.own.PrefillTokens += work.PrefillTokens
 	}
 	known.own.add(work, -1)
-	known.judge(result, now)
+	known.recordResult(result, now)
 }
 
 func (c *Counts) add(work *Work, sign int) {
@@ -350,79 +354,81 @@
 	c.MemoryTokens += sign * work.MemoryTokens
 }
 
-// Health: an engine that failed is left alone for a time that doubles with
-// each failure in a row; one that shed work is left alone for a moment.
+// An engine that has failed repeatedly counts as unhealthy for a time that doubles with
+// each consecutive failure. An engine that has shed a request is avoided for shedBackoff.
 const (
-	sickBase    = 250 * time.Millisecond
-	sickMost    = 4 * time.Second
-	shedPause   = 60 * time.Millisecond
-	failureStep = 0.15
+	unhealthyBase     = 250 * time.Millisecond
+	unhealthyMax      = 4 * time.Second
+	shedBackoff       = 60 * time.Millisecond
+	failureRateWeight = 0.15
 )
 
-func (e *engine) judge(result Result, now time.Time) {
+func (e *engine) recordResult(result Result, now time.Time) {
 	switch result {
 	case Succeeded:
-		e.failures = 0
-		e.failureRate *= 1 - failureStep
+		e.consecutiveFailures = 0
+		e.failureRate *= 1 - failureRateWeight
 	case Shed:
-		e.shedUntil = now.Add(shedPause)
+		e.shedUntil = now.Add(shedBackoff)
 	case Failed:
-		e.failures++
-		e.failureRate += failureStep * (1 - e.failureRate)
-		if e.failures > 1 {
-			e.sickUntil = now.Add(min(sickBase<<min(e.failures-2, 6), sickMost))
+		e.consecutiveFailures++
+		e.failureRate += failureRateWeight * (1 - e.failureRate)
+		if e.consecutiveFailures > 1 {
+			e.unhealthyUntil = now.Add(min(unhealthyBase<<min(e.consecutiveFailures-2, 6), unhealthyMax))
 		}
 	case Abandoned:
 	}
 }
 
-// ConnectionRefused takes the address as dead for a while: nothing listens.
+// ConnectionRefused marks an engine as unhealthy for a while, since nothing listens at its
+// address.
 func (s *Set) ConnectionRefused(engine Incarnation, now time.Time) {
 	if known := s.engines[engine]; known != nil {
-		known.used().failures = max(known.failures, 2)
-		known.sickUntil = now.Add(min(sickBase<<min(known.failures-1, 6), sickMost))
+		known.writable().consecutiveFailures = max(known.consecutiveFailures, 2)
+		known.unhealthyUntil = now.Add(min(unhealthyBase<<min(known.consecutiveFailures-1, 6), unhealthyMax))
 	}
 }
 
-// Observe takes an engine's own count from the head of an answer.
+// Observe records an engine's own count of its requests, from the header of a response.
 func (s *Set) Observe(engine Incarnation, running, waiting int, now time.Time) {
 	if known := s.engines[engine]; known != nil {
-		known.used().reported = running + waiting
-		known.reportedOwn = known.own.Online + known.own.Batch
+		known.writable().reportedInFlight = running + waiting
+		known.ownAtReport = known.own.Online + known.own.Batch
 		known.reportedAt = now
 	}
 }
 
-// Remember takes note that the engine has read the parts of a prompt.
+// Remember records that the engine has computed the parts of a prompt and may have them
+// cached.
 func (s *Set) Remember(engine Incarnation, parts []Part, now time.Time) {
 	known := s.engines[engine]
 	if known == nil {
 		return
 	}
-	known.used()
+	known.writable()
 	for _, part := range parts {
 		known.residentTokens += part.Tokens - known.resident[part.ID].tokens
-		known.resident[part.ID] = residentPart{used: now, tokens: part.Tokens}
+		known.resident[part.ID] = residentPart{lastUsed: now, tokens: part.Tokens}
 	}
 	known.evict()
 }
 
-// residentPart is a part of a prompt that an engine is held to keep.
+// residentPart is a part of a prompt that an engine is assumed to have cached.
 type residentPart struct {
-	used   time.Time
-	tokens int
+	lastUsed time.Time
+	tokens   int
 }
 
-// evict keeps the parts used last, within the engine's memory.
+// evict removes the least recently used parts that do not fit into the engine's memory.
 func (e *engine) evict() {
-	room := e.entry.MemoryTokens
-	if room == 0 {
-		room = defaultMemoryTokens
+	capacity := e.entry.MemoryTokens
+	if capacity == 0 {
+		capacity = defaultMemoryTokens
 	}
-	for e.residentTokens > room*residentShare/100 {
+	for e.residentTokens > capacity*residentPercent/100 {
 		oldest := ""
 		for id, part := range e.resident {
-			if oldest == "" || part.used.Before(e.resident[oldest].used) {
+			if oldest == "" || part.lastUsed.Before(e.resident[oldest].lastUsed) {
 				oldest = id
 			}
 		}
@@ -433,5 +439,5 @@
 
 const (
 	defaultMemoryTokens = 100_000
-	residentShare       = 60 // per cent of an engine's memory held to be cached parts
+	residentPercent     = 60 // percentage of an engine's memory that is assumed to hold cached parts
 )
--- a/internal/core/enginechoice/enginechoice_test.go
+++ b/internal/core/enginechoice/enginechoice_test.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"pgregory.net/rapid"
 
-	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
+	_ "ringstream.example/ringstream/internal/seedtest" // fixed seed for rapid
 )
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -23,8 +23,8 @@
 	return set
 }
 
-// Whatever happens, the counts of work are those of a plain list of the
-// requests under way.
+// TestCountsAgainstAPlainList compares the counts of work with a list of the requests in
+// flight, for random sequences of starts, first tokens and ends.
 func TestCountsAgainstAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := newSet(3)
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestPickSpreadsAndLeavesOut(t *testing.T) {
+func TestPickBalancesLoadAndHonorsExclude(t *testing.T) {
 	set := newSet(3)
 	counts := make(map[string]int)
 	for range 9 {
@@ -92,12 +92,12 @@
 	}
 	for id, count := range counts {
 		if count != 3 {
-			t.Errorf("%s got %d of 9", id, count)
+			t.Errorf("%s got %d of 9 requests, want 3", id, count)
 		}
 	}
 	choice, _ := set.Pick(Query{Pool: "p", Exclude: map[Incarnation]bool{named("e0"): true, named("e1"): true}}, start)
 	if choice.Entry.ID != "e2" {
-		t.Errorf("picked %s", choice.Entry.ID)
+		t.Errorf("picked %s, want e2", choice.Entry.ID)
 	}
 	if _, found := set.Pick(Query{Pool: "other"}, start); found {
 		t.Error("an engine of another pool was picked")
@@ -111,9 +111,9 @@
 	set.Remember(first.Entry.Incarnation(), shared, start)
 	second, _ := set.Pick(Query{Pool: "p", Shared: shared, OwnTokens: 7}, start)
 	if second.Entry.ID != first.Entry.ID || second.PrefillTokens != 7 {
-		t.Errorf("got %s with %d tokens to read, want %s with 7", second.Entry.ID, second.PrefillTokens, first.Entry.ID)
+		t.Errorf("picked %s with %d tokens to compute, want %s with 7", second.Entry.ID, second.PrefillTokens, first.Entry.ID)
 	}
-	for range 20 { // a queue there costs more than reading the prompt again
+	for range 20 { // a queue there costs more than computing the prompt again
 		set.Start(first.Entry.Incarnation(), &Work{PrefillTokens: 2000})
 	}
 	if third, _ := set.Pick(Query{Pool: "p", Shared: shared}, start); third.Entry.ID == first.Entry.ID {
@@ -121,16 +121,16 @@
 	}
 }
 
-func TestSickAndSheddingEnginesComeLast(t *testing.T) {
+func TestUnhealthyAndSheddingEnginesComeLast(t *testing.T) {
 	set := newSet(2)
 	for range 3 {
 		set.Finish(named("e0"), &Work{}, Failed, start)
 	}
 	if choice, _ := set.Pick(Query{Pool: "p"}, start); choice.Entry.ID != "e1" {
-		t.Errorf("picked the sick %s", choice.Entry.ID)
+		t.Errorf("picked the unhealthy engine %s", choice.Entry.ID)
 	}
 	if choice, found := set.Pick(Query{Pool: "p", Exclude: map[Incarnation]bool{named("e1"): true}}, start); !found || choice.Entry.ID != "e0" {
-		t.Error("a sick engine is no longer tried when there is no other")
+		t.Error("an unhealthy engine was not picked although there is no other")
 	}
 	later := start.Add(time.Minute)
 	for range 40 {
@@ -138,34 +138,34 @@
 	}
 	set.Finish(named("e1"), &Work{}, Shed, later)
 	if choice, _ := set.Pick(Query{Pool: "p"}, later); choice.Entry.ID != "e0" {
-		t.Errorf("picked %s, which has just turned a request away", choice.Entry.ID)
+		t.Errorf("picked %s, which has just shed a request", choice.Entry.ID)
 	}
 }
 
-func TestRemovalLeavingAndDoubt(t *testing.T) {
+func TestRemovedLeavingAndUnlistedEngines(t *testing.T) {
 	set := newSet(3)
 	set.Remove(named("e0"), false, start)
 	set.Remove(named("e1"), true, start)
 	set.Upsert(Entry{ID: "e2", Pool: "p", Zone: "z1", Slots: 4}, Leaving, start)
 	if choice, found := set.Pick(Query{Pool: "p"}, start); !found || choice.Entry.ID != "e1" || choice.State != Unlisted {
-		t.Errorf("got %+v", choice)
+		t.Errorf("picked %+v, want e1 in the state unlisted", choice)
 	}
 	if expired := set.ExpireUnlisted(start, start); len(expired) != 0 {
 		t.Errorf("expired %v too early", expired)
 	}
 	if expired := set.ExpireUnlisted(start.Add(time.Second), start.Add(2*time.Second)); len(expired) != 1 || expired[0] != named("e1") {
-		t.Errorf("expired %v", expired)
+		t.Errorf("expired %v, want e1", expired)
 	}
 	if _, found := set.Pick(Query{Pool: "p"}, start); found {
-		t.Error("a gone engine was picked")
+		t.Error("an expired engine was picked")
 	}
 	set.Upsert(Entry{ID: "e1", Pool: "p", Zone: "z1", Slots: 4}, Ready, start)
 	if set.Serving("p") != 1 {
-		t.Error("an engine that is listed again does not serve")
+		t.Error("an engine that is listed again does not accept new work")
 	}
-	set.Remove(named("e0"), false, start.Add(2*forgetAfter))
-	if set.Remove(named("e0"), false, start.Add(4*forgetAfter)); len(set.Known()) != 2 {
-		t.Errorf("known: %v", set.Known())
+	set.Remove(named("e0"), false, start.Add(2*engineRetention))
+	if set.Remove(named("e0"), false, start.Add(4*engineRetention)); len(set.Known()) != 2 {
+		t.Errorf("known engines are %v, want 2", set.Known())
 	}
 }
 
@@ -174,22 +174,22 @@
 	work := startAll(set, named("e0"), 2, 0)
 	set.Remember(named("e0"), []Part{{ID: "a", Tokens: 50}}, start)
 	if !set.Withhold(named("e0"), start) || set.Withhold(named("e0"), start) || set.Withhold(named("unknown"), start) {
-		t.Error("a change of the belief is told wrongly")
+		t.Error("Withhold does not report the change of the state correctly")
 	}
 	for range 10 {
 		if choice, found := set.Pick(Query{Pool: "p"}, start); !found || choice.Entry.ID != "e1" {
-			t.Fatalf("picked %+v", choice)
+			t.Fatalf("picked %+v, want e1", choice)
 		}
 	}
 	if listed, _ := set.Find(named("e0")); listed.State != Withheld || set.Serving("p") != 1 {
-		t.Errorf("e0 is %s, %d serve", listed.State, set.Serving("p"))
+		t.Errorf("e0 is %s and %d engines accept new work, want withheld and 1", listed.State, set.Serving("p"))
 	}
 	if counts := set.Own()[named("e0")]; counts.Online != len(work) {
-		t.Errorf("%+v are under way at the withheld engine, want %d", counts, len(work))
+		t.Errorf("%+v in flight at the withheld engine, want %d", counts, len(work))
 	}
 	set.Upsert(Entry{ID: "e0", Pool: "p", Zone: "z1", Slots: 4}, Ready, start)
 	if set.Serving("p") != 2 || set.engines[named("e0")].resident["a"].tokens != 50 {
-		t.Error("an engine whose entry holds again serves as another")
+		t.Error("an engine whose entry is valid again does not accept work or has lost its observations")
 	}
 }
 
@@ -206,11 +206,11 @@
 	set := newSet(1)
 	set.Upsert(Entry{ID: "e0", Pool: "p", Zone: "z1", Slots: 4}, Leaving, start)
 	if set.Withhold(named("e0"), start) {
-		t.Error("a leaving engine was withheld, as if its end were not expected")
+		t.Error("a leaving engine was withheld, although its end is expected")
 	}
 	set.Remove(named("e0"), true, start)
 	if listed, _ := set.Find(named("e0")); listed.State != Leaving {
-		t.Errorf("a draining engine whose entry goes while the store is sick is %s", listed.State)
+		t.Errorf("a leaving engine whose entry is removed while the list is not trusted is %s", listed.State)
 	}
 }
 
@@ -224,113 +224,112 @@
 	return all
 }
 
-func TestBatchRoom(t *testing.T) {
+func TestEngineAcceptsBatch(t *testing.T) {
 	query := Query{Pool: "p", Batch: true, BatchPercent: 50} // 2 of 4 slots
 	for _, c := range []struct {
 		name          string
 		online, batch int
 		memory        int
-		room          bool
+		accepts       bool
 	}{
-		{name: "an idle engine", room: true},
-		{name: "the last batch request", batch: 1, online: 1, room: true},
-		{name: "over the limit of batch work", batch: 2},
-		{name: "a free slot beside online requests", online: 3, room: true},
+		{name: "an idle engine", accepts: true},
+		{name: "the last batch request", batch: 1, online: 1, accepts: true},
+		{name: "over the limit of batch requests", batch: 2},
+		{name: "a free slot beside online requests", online: 3, accepts: true},
 		{name: "no free slot", online: 4},
 		{name: "over the share of the memory", memory: 9000},
 	} {
 		set := newSet(1)
 		startAll(set, named("e0"), c.online, c.batch)
 		query.MemoryTokens = c.memory
-		if _, found := set.Pick(query, start); found != c.room {
-			t.Errorf("%s: room %t", c.name, found)
+		if _, found := set.Pick(query, start); found != c.accepts {
+			t.Errorf("%s: engine accepts batch requests: %t", c.name, found)
 		}
 	}
 }
 
-func TestCrowdedEnginesAreYielded(t *testing.T) {
+func TestOvercommittedEnginesPreemptBatch(t *testing.T) {
 	set := newSet(1)
 	startAll(set, named("e0"), 2, 6)
-	crowds := set.Crowded(start) // 8 requests at 4 slots
-	if len(crowds) != 1 || crowds[0].Yield != 4 {
-		t.Errorf("got %+v", crowds)
+	overcommits := set.Overcommitted(start) // 8 requests at 4 slots
+	if len(overcommits) != 1 || overcommits[0].Preempt != 4 {
+		t.Errorf("got %+v, want 4 batch requests preempted at one engine", overcommits)
 	}
-	if crowds := set.Crowded(start.Add(yieldPause / 2)); len(crowds) != 0 {
-		t.Errorf("yields again before the engine can have told: %+v", crowds)
+	if overcommits := set.Overcommitted(start.Add(preemptionPause / 2)); len(overcommits) != 0 {
+		t.Errorf("preempted again within the pause: %+v", overcommits)
 	}
-	later := start.Add(yieldPause)
-	if crowds := set.Crowded(later); len(crowds) != 1 || crowds[0].Yield != 4 {
-		t.Errorf("after the pause: %+v", crowds)
+	later := start.Add(preemptionPause)
+	if overcommits := set.Overcommitted(later); len(overcommits) != 1 || overcommits[0].Preempt != 4 {
+		t.Errorf("got %+v after the pause, want 4 batch requests preempted", overcommits)
 	}
 	onlyBatch := newSet(1)
 	startAll(onlyBatch, named("e0"), 0, 6)
-	if crowds := onlyBatch.Crowded(later); len(crowds) != 0 {
-		t.Errorf("batch gives way to batch: %+v", crowds)
+	if overcommits := onlyBatch.Overcommitted(later); len(overcommits) != 0 {
+		t.Errorf("batch requests were preempted for batch requests: %+v", overcommits)
 	}
-	if !set.Full(named("e0"), start) {
-		t.Error("8 requests at 4 slots are not full")
+	if !set.IsFull(named("e0"), start) {
+		t.Error("an engine with 8 requests at 4 slots is not full")
 	}
 }
 
-// TestBatchLeavesRoomForOnlineWorkThatComesBack has three online requests end
-// at an engine of four slots: batch work does not fill their slots at once, and
-// does some time later.
-func TestBatchLeavesRoomForOnlineWorkThatComesBack(t *testing.T) {
+// TestBatchCapacityKeepsRecentOnlineSlotsFree has three online requests end at an engine of
+// four slots. Batch requests must not fill their slots at once, but only some time later.
+func TestBatchCapacityKeepsRecentOnlineSlotsFree(t *testing.T) {
 	set := newSet(1)
 	work := []*Work{{}, {}, {}}
 	for _, one := range work {
 		set.Start(named("e0"), one)
 	}
-	set.TrackOnline(start)
+	set.UpdateOnlinePeaks(start)
 	for _, one := range work {
 		set.Finish(named("e0"), one, Succeeded, start)
 	}
-	set.TrackOnline(start.Add(10 * time.Millisecond))
-	room := func(after time.Duration) int { return set.BatchRoom("p", 100, start.Add(after)) }
-	if got := room(0); got != 1 {
-		t.Errorf("room for %d, want that of the slot that online work did not use", got)
+	set.UpdateOnlinePeaks(start.Add(10 * time.Millisecond))
+	capacity := func(after time.Duration) int { return set.BatchCapacity("p", 100, start.Add(after)) }
+	if got := capacity(0); got != 1 {
+		t.Errorf("capacity is %d, want 1 for the slot that online requests did not use", got)
 	}
 	set.Start(named("e0"), &Work{Batch: true})
-	if got := room(0); got != 0 {
-		t.Errorf("room for %d in slots that online work has just left", got)
+	if got := capacity(0); got != 0 {
+		t.Errorf("capacity is %d in slots that online requests have just left, want 0", got)
 	}
-	set.TrackOnline(start.Add(5 * peakHalfLife))
-	if got := room(5 * peakHalfLife); got != 3 {
-		t.Errorf("room for %d, want that of the slots that online work left long ago", got)
+	set.UpdateOnlinePeaks(start.Add(5 * peakHalfLife))
+	if got := capacity(5 * peakHalfLife); got != 3 {
+		t.Errorf("capacity is %d, want 3 for the slots that online requests left long ago", got)
 	}
 }
 
-// TestBatchRoomOfAPool counts over all engines of a pool that take work.
-func TestBatchRoomOfAPool(t *testing.T) {
+// TestBatchCapacityCountsWholePool counts over all engines of a pool that accept work.
+func TestBatchCapacityCountsWholePool(t *testing.T) {
 	set := newSet(5) // 20 slots
 	startAll(set, named("e0"), 4, 0)
 	startAll(set, named("e1"), 1, 2)
 	startAll(set, named("e2"), 9, 0) // more than its slots
 	set.Remove(named("e3"), false, start)
-	if got := set.BatchRoom("p", 75, start); got != 1 { // 12 of 16, less 4, 3 and 4
-		t.Errorf("room for %d", got)
+	if got := set.BatchCapacity("p", 75, start); got != 1 { // 12 of 16, less 4, 3 and 4
+		t.Errorf("capacity is %d, want 1", got)
 	}
-	if got := set.BatchRoom("p", 50, start); got != 0 {
-		t.Errorf("room for %d where more is used", got)
+	if got := set.BatchCapacity("p", 50, start); got != 0 {
+		t.Errorf("capacity is %d with more slots in use than allowed, want 0", got)
 	}
-	if got := set.BatchRoom("other", 100, start); got != 0 {
-		t.Errorf("room for %d in a pool without engines", got)
+	if got := set.BatchCapacity("other", 100, start); got != 0 {
+		t.Errorf("capacity is %d in a pool without engines, want 0", got)
 	}
 }
 
-func TestEnginesOwnCountIsTrustedForAMoment(t *testing.T) {
+func TestEngineReportExpires(t *testing.T) {
 	set := newSet(1)
 	set.Observe(named("e0"), 4, 2, start)
-	if !set.Full(named("e0"), start.Add(reportTrust)) {
-		t.Error("the engine's own count was not taken")
+	if !set.IsFull(named("e0"), start.Add(maxReportAge)) {
+		t.Error("the engine's own count was not used")
 	}
-	if set.Full(named("e0"), start.Add(2*reportTrust)) {
-		t.Error("an old count is still trusted")
+	if set.IsFull(named("e0"), start.Add(2*maxReportAge)) {
+		t.Error("an expired count is still used")
 	}
 }
 
-// The engines taken to keep a shared part are the first of all by rank, those
-// that are left out aside.
+// TestPreferredAgainstASort compares the preferred engines of a shared part with the first
+// engines of a list of all ready engines that is sorted by affinity.
 func TestPreferredAgainstASort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := newSet(rapid.IntRange(0, 12).Draw(t, "engines"))
@@ -350,7 +349,7 @@
 		slices.SortFunc(ids, func(a, b Incarnation) int {
 			return cmp.Or(cmp.Compare(affinity(key, set.engines[b].hash), affinity(key, set.engines[a].hash)), cmp.Compare(a.ID, b.ID))
 		})
-		var want [affinityRanks]Incarnation
+		var want [affinityEngines]Incarnation
 		copy(want[:], ids)
 		if got := set.preferred(Query{Pool: "p", Shared: []Part{{ID: part}}}, start); got != want {
 			t.Fatalf("got %v, want %v", got, want)
@@ -358,33 +357,32 @@
 	})
 }
 
-// TestFullEngineWithBatchWorkMakesRoom has all slots in use, some of them by
-// batch requests.
-func TestFullEngineWithBatchWorkMakesRoom(t *testing.T) {
+// TestFullEngineWithBatchWorkPreempts has all slots in use, some of them by batch requests.
+func TestFullEngineWithBatchWorkPreempts(t *testing.T) {
 	set := newSet(2) // 4 slots each
 	startAll(set, named("e0"), 4, 0)
 	work := startAll(set, named("e1"), 3, 1)
 	choice, _ := set.Pick(Query{Pool: "p"}, start)
 	if choice.Entry.ID != "e1" || !choice.MakeRoom || !choice.HasSlot() {
-		t.Errorf("got %s, make room %t", choice.Entry.ID, choice.MakeRoom)
+		t.Errorf("picked %s with preemption %t, want e1 with preemption", choice.Entry.ID, choice.MakeRoom)
 	}
 	if choice, _ := set.Pick(Query{Pool: "p", Batch: true, BatchPercent: 200}, start); choice.MakeRoom {
-		t.Error("batch work gives way to batch work")
+		t.Error("a batch request preempts a batch request")
 	}
 	set.Finish(named("e1"), work[0], Succeeded, start)
 	if choice, _ := set.Pick(Query{Pool: "p"}, start); choice.MakeRoom {
-		t.Error("batch work gives way where a slot is free")
+		t.Error("a batch request is preempted although a slot is free")
 	}
 	startAll(set, named("e1"), 1, 0)
 	set.Finish(named("e1"), work[3], Abandoned, start)
 	startAll(set, named("e1"), 1, 0)
 	if choice, _ := set.Pick(Query{Pool: "p"}, start); choice.MakeRoom || choice.HasSlot() || choice.InFlight != 4 {
-		t.Errorf("nothing is left to give way: %+v", choice)
+		t.Errorf("got %+v, want no preemption and no slot, since no batch request is left", choice)
 	}
 }
 
-// TestStoppedWorkEndsOnce has a batch request that is counted as ended when it
-// is told to stop, and whose end and first token are told again later.
+// TestStoppedWorkEndsOnce has a batch request that counts as ended when it is preempted.
+// Its first token and its end are reported again later and must have no effect.
 func TestStoppedWorkEndsOnce(t *testing.T) {
 	set := newSet(1)
 	work := &Work{Batch: true, PrefillTokens: 10, MemoryTokens: 20}
@@ -393,16 +391,16 @@
 	set.FirstToken(named("e0"), work)
 	set.Finish(named("e0"), work, Failed, start)
 	if own := set.Own(); len(own) != 0 {
-		t.Errorf("got %v", own)
+		t.Errorf("in flight are %v, want none", own)
 	}
 }
 
-// TestFormerEngineIsPreferred has a request that ran at an engine before: its
-// own part of the prompt need not be read there again.
+// TestFormerEngineIsPreferred has a request that ran at an engine before. Its own part of
+// the prompt need not be computed there again.
 func TestFormerEngineIsPreferred(t *testing.T) {
 	set := newSet(3)
 	query := Query{Pool: "p", OwnTokens: 1200, Batch: true, BatchPercent: 100, Former: named("e2")}
 	if choice, _ := set.Pick(query, start); choice.Entry.ID != "e2" || choice.PrefillTokens != 0 {
-		t.Errorf("got %s with %d tokens to read", choice.Entry.ID, choice.PrefillTokens)
+		t.Errorf("picked %s with %d tokens to compute, want e2 with none", choice.Entry.ID, choice.PrefillTokens)
 	}
 }
--- a/internal/core/enginechoice/incarnation.go
+++ b/internal/core/enginechoice/incarnation.go
@@ -7,18 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Incarnation is one start of an engine. An engine that starts again may keep its id; it
-// then holds nothing and knows of nothing from before, so that whatever is believed of an
-// engine is kept by incarnation.
+// Incarnation identifies one run of an engine. An engine that restarts may keep its ID, but
+// it has lost its cache and its requests. Everything known about engines is therefore kept
+// by incarnation.
 type Incarnation struct {
 	ID string
-	// Born is the Unix time of the start in milliseconds; 0: not told. Of two incarnations
-	// of an id the one with the higher value is the later one, and one that does not tell
-	// its start is before all that do.
+	// Born is the Unix time of the start in milliseconds, or 0 if unknown. Of two
+	// incarnations of an ID, the one with the higher value is the later one, so one with
+	// an unknown start is the earliest.
 	Born int64
 }
 
-// String gives the id, and the start where it is told, for logs.
+// String returns the ID, and the start time if it is known, for logs.
 func (i Incarnation) String() string {
 	if i.Born == 0 {
 		return i.ID
@@ -26,51 +26,51 @@
 	return i.ID + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Hash stands for the incarnation in messages, and ranks it for keys. Where no start is
-// told it is the hash of the id.
+// Hash returns a hash that identifies the incarnation in messages and in affinity ranking.
+// If the start time is unknown, it is the hash of the ID.
 func (i Incarnation) Hash() uint64 {
 	hash := xxhash.Sum64String(i.ID)
 	if i.Born == 0 {
 		return hash
 	}
-	return affinity(hash, uint64(i.Born)) //nolint:gosec // only its bits are meant
+	return affinity(hash, uint64(i.Born)) //nolint:gosec // only the bits are used
 }
 
-// Incarnation gives which start of the engine the entry is of.
+// Incarnation returns the incarnation of the engine that the entry describes.
 func (e Entry) Incarnation() Incarnation { return Incarnation{ID: e.ID, Born: e.Born} }
 
-// News is what an entry means for the set.
+// News is the effect of an entry on a Set.
 type News uint8
 
-// What an entry can mean.
+// The effects of an entry.
 const (
-	Unchanged News = iota // the state is the one that was known
-	Changed               // the engine is new, or its state has changed
-	Restarted             // the engine has started again under its id
-	Outdated              // of an incarnation before the one that is known: ignored
+	Unchanged News = iota // the engine's state is unchanged; its entry may differ
+	Changed               // the engine is new or its state has changed
+	Restarted             // the engine has restarted under its ID
+	Outdated              // the entry is of an earlier incarnation and was ignored
 )
 
 var newsNames = [...]string{"unchanged", "changed", "restarted", "outdated"}
 
-// String gives the name for logs.
+// String returns the name for logs.
 func (n News) String() string { return newsNames[n] }
 
-// lives is what is known of the incarnations of an id.
-type lives struct {
-	newest int64 // the start of the latest
-	count  int   // of those in the set
+// incarnationHistory is what is known about the incarnations of an engine ID.
+type incarnationHistory struct {
+	newest int64 // Born of the latest incarnation
+	count  int   // number of incarnations in the set
 }
 
-// Newest gives the latest incarnation that is known of an id.
+// Newest returns the latest known incarnation of an engine ID.
 func (s *Set) Newest(id string) (Incarnation, bool) {
-	known, found := s.lives[id]
+	known, found := s.incarnations[id]
 	return Incarnation{ID: id, Born: known.newest}, found
 }
 
-// order compares an incarnation with the newest that is known of its id, and brings that up
-// to date.
-func (s *Set) order(engine Incarnation, now time.Time) News {
-	known, found := s.lives[engine.ID]
+// recordIncarnation compares an incarnation with the newest one known of its ID. If it is
+// newer, it becomes the newest, and the former one ends.
+func (s *Set) recordIncarnation(engine Incarnation, now time.Time) News {
+	known, found := s.incarnations[engine.ID]
 	former := known.newest
 	switch {
 	case found && engine.Born < former:
@@ -79,7 +79,7 @@
 		return Unchanged
 	}
 	known.newest = engine.Born
-	s.lives[engine.ID] = known
+	s.incarnations[engine.ID] = known
 	if !found {
 		return Changed
 	}
@@ -87,22 +87,22 @@
 	return Restarted
 }
 
-// end takes an incarnation as over. One that had said that it leaves has left.
+// end marks an incarnation as ended, unless it was leaving and its end was expected.
 func (s *Set) end(engine Incarnation, now time.Time) {
 	known := s.engines[engine]
 	if known == nil || known.state == Leaving || known.state == Ended {
 		return
 	}
 	known.state, known.since = Ended, now
-	s.changes.note(engine)
+	s.changes.record(engine)
 }
 
-// forgetOrder forgets which incarnation of an id is the newest, once none is known.
-func (s *Set) forgetOrder(id string) {
-	known := s.lives[id]
+// releaseIncarnation drops the history of an ID after its last incarnation was removed.
+func (s *Set) releaseIncarnation(id string) {
+	known := s.incarnations[id]
 	if known.count--; known.count <= 0 {
-		delete(s.lives, id)
+		delete(s.incarnations, id)
 		return
 	}
-	s.lives[id] = known
+	s.incarnations[id] = known
 }
--- a/internal/core/enginechoice/incarnation_test.go
+++ b/internal/core/enginechoice/incarnation_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// named gives the incarnation of an engine that does not tell its start.
+// named returns the incarnation of an engine whose start time is unknown.
 func named(id string) Incarnation { return Incarnation{ID: id} }
 
 // first and second are two incarnations of one engine.
@@ -18,18 +18,18 @@
 	return Entry{ID: engine.ID, Born: engine.Born, Pool: "p", Zone: "z1", Address: "a", Slots: 4, MemoryTokens: 10000}
 }
 
-// newSetOf gives a set that knows one incarnation.
+// newSetOf returns a set that holds one incarnation.
 func newSetOf(engine Incarnation) *Set {
 	set := NewSet("n1")
 	set.Upsert(entryOf(engine), Ready, start)
 	return set
 }
 
-// restart has the set know the second incarnation after the first.
+// restart adds the second incarnation to a set that holds the first.
 func restart(t *testing.T, set *Set) {
 	t.Helper()
 	if news := set.Upsert(entryOf(second), Ready, start); news != Restarted {
-		t.Fatalf("the entry is %v", news)
+		t.Fatalf("Upsert returned %v, want restarted", news)
 	}
 }
 
@@ -37,12 +37,12 @@
 	t.Helper()
 	listed, found := set.Find(engine)
 	if !found {
-		t.Fatalf("%v is not known", engine)
+		t.Fatalf("%v is not in the set", engine)
 	}
 	return listed.State
 }
 
-func TestNewIncarnationHoldsNothing(t *testing.T) {
+func TestNewIncarnationHasNoCachedParts(t *testing.T) {
 	shared := []Part{{ID: "a", Tokens: 700}}
 	set := newSetOf(first)
 	set.Upsert(Entry{ID: "e1", Pool: "p", Address: "b", Slots: 4, MemoryTokens: 10000}, Ready, start)
@@ -52,19 +52,19 @@
 	restart(t, set)
 	query := Query{Pool: "p", Shared: shared, OwnTokens: 50, Exclude: map[Incarnation]bool{named("e1"): true}}
 	if held := len(set.engines[second].resident); held != 0 {
-		t.Errorf("%d parts are held to be kept", held)
+		t.Errorf("new incarnation has %d cached parts, want none", held)
 	}
 	query.Former = first
 	if choice, found := set.Pick(query, start); !found || choice.Entry.Incarnation() != second || choice.PrefillTokens < 50 {
-		t.Errorf("got %+v; the prompt of a run at the former is not there", choice)
+		t.Errorf("picked %+v, want the new incarnation with the whole prompt to compute", choice)
 	}
 	query.Former = second
 	if choice, _ := set.Pick(query, start); choice.PrefillTokens != 0 {
-		t.Errorf("%d tokens to read at the engine that ran it", choice.PrefillTokens)
+		t.Errorf("%d tokens to compute at the engine that ran the request, want none", choice.PrefillTokens)
 	}
-	set.Remember(first, shared, start) // the word of its last request comes late
+	set.Remember(first, shared, start) // a late report of its last request
 	if held := len(set.engines[second].resident); held != 0 {
-		t.Errorf("%d parts are held to be kept on the word of the former", held)
+		t.Errorf("new incarnation has %d cached parts by a report of the former, want none", held)
 	}
 }
 
@@ -76,23 +76,23 @@
 	}
 	set.Observe(first, 9, 9, start)
 	restart(t, set)
-	set.Observe(first, 9, 9, start) // an answer that comes late
+	set.Observe(first, 9, 9, start) // a late response
 	if choice, found := set.Pick(Query{Pool: "p"}, start); !found || choice.Entry.Incarnation() != second || choice.InFlight != 0 || choice.MakeRoom {
-		t.Errorf("got %+v", choice)
+		t.Errorf("picked %+v, want the new incarnation with nothing in flight", choice)
 	}
 	if own := set.Own(); own[second] != (Counts{}) || own[first].Online != 1 || own[first].Batch != 1 {
-		t.Errorf("counted: %v", own)
+		t.Errorf("in flight are %v, want one online and one batch request at the former", own)
 	}
 	for _, next := range work {
 		set.FirstToken(first, next)
 		set.Finish(first, next, Failed, start)
 	}
 	if own := set.Own(); len(own) != 0 {
-		t.Errorf("counted after all has ended: %v", own)
+		t.Errorf("in flight are %v after all requests have ended, want none", own)
 	}
 }
 
-func TestNewIncarnationIsSound(t *testing.T) {
+func TestNewIncarnationStartsHealthy(t *testing.T) {
 	set := newSetOf(first)
 	fail := func() {
 		for range 4 {
@@ -107,13 +107,13 @@
 	}
 	fail()
 	restart(t, set)
-	fail() // the ends of the former's requests come late
+	fail() // the ends of the former's requests are reported late
 	next := set.engines[second]
-	if next.failures != 0 || next.failureRate != 0 || !next.sickUntil.IsZero() || !next.shedUntil.IsZero() {
-		t.Errorf("held against it: %+v", next)
+	if next.consecutiveFailures != 0 || next.failureRate != 0 || !next.unhealthyUntil.IsZero() || !next.shedUntil.IsZero() {
+		t.Errorf("new incarnation has failures of the former: %+v", next)
 	}
-	if room := set.BatchRoom("p", 100, start); room != 4 {
-		t.Errorf("room for %d batch requests at 4 free slots", room)
+	if capacity := set.BatchCapacity("p", 100, start); capacity != 4 {
+		t.Errorf("capacity for %d batch requests at 4 free slots, want 4", capacity)
 	}
 }
 
@@ -134,13 +134,13 @@
 			next := entryOf(second)
 			next.Pool, next.Address, next.Slots, next.Zone = "q", "b", 9, "z2"
 			if news := set.Upsert(next, Ready, start); news != Restarted {
-				t.Errorf("the entry is %v", news)
+				t.Errorf("Upsert returned %v, want restarted", news)
 			}
 			if listed, _ := set.Find(second); listed.Entry != next || listed.State != Ready {
-				t.Errorf("got %+v", listed)
+				t.Errorf("got %+v, want the new entry and ready", listed)
 			}
 			if set.Serving("p") != 0 || set.Serving("q") != 1 || set.Doubtful("p") != 0 {
-				t.Errorf("serving %d in the former's pool and %d in its own", set.Serving("p"), set.Serving("q"))
+				t.Errorf("%d engines serve in the former's pool and %d in the new one, want 0 and 1", set.Serving("p"), set.Serving("q"))
 			}
 		})
 	}
@@ -149,14 +149,14 @@
 func TestEntriesOutOfOrder(t *testing.T) {
 	set := newSetOf(second)
 	if news := set.Upsert(entryOf(first), Ready, start); news != Outdated || len(set.Known()) != 1 {
-		t.Errorf("an earlier start is %v", news)
+		t.Errorf("Upsert of an earlier start returned %v, want outdated", news)
 	}
 	if news := set.Upsert(entryOf(named("e0")), Leaving, start); news != Outdated {
-		t.Errorf("one that did not tell its start is %v", news)
+		t.Errorf("Upsert of an unknown start returned %v, want outdated", news)
 	}
-	set.Remove(first, false, start) // another engine answers in place of the former
+	set.Remove(first, false, start) // another engine responds at the former's address
 	if state := stateOf(t, set, second); state != Ready {
-		t.Errorf("%v on the word about the former", state)
+		t.Errorf("state is %v after the removal of the former, want ready", state)
 	}
 }
 
@@ -167,54 +167,54 @@
 	set.Remember(first, []Part{{ID: "a", Tokens: 700}}, start)
 	set.Remove(first, false, start)
 	if news := set.Upsert(entryOf(first), Ready, start); news != Changed {
-		t.Errorf("the entry is %v", news)
+		t.Errorf("Upsert returned %v, want changed", news)
 	}
 	if own := set.Own()[first]; own.Online != 1 || set.engines[first].residentTokens != 700 {
-		t.Errorf("forgotten: %+v", own)
+		t.Errorf("requests or cached parts were lost: %+v", own)
 	}
 }
 
-// TestFirstWordOfAStartIsARestart has an engine whose software did not tell its start be
-// replaced by one whose software does.
-func TestFirstWordOfAStartIsARestart(t *testing.T) {
+// TestFirstReportedStartTimeIsARestart replaces an engine whose software does not report
+// its start time by one whose software does.
+func TestFirstReportedStartTimeIsARestart(t *testing.T) {
 	set := newSetOf(named("e0"))
 	if news := set.Upsert(entryOf(first), Ready, start); news != Restarted || stateOf(t, set, named("e0")) != Ended {
-		t.Errorf("the entry is %v", news)
+		t.Errorf("Upsert returned %v, want restarted and the former ended", news)
 	}
 }
 
-// TestManyRestartsLeaveNothingBehind has an engine start again a thousand times, a minute
-// and more between.
+// TestManyRestartsLeaveNothingBehind restarts an engine a thousand times, with more than
+// engineRetention between two restarts.
 func TestManyRestartsLeaveNothingBehind(t *testing.T) {
 	set := NewSet("n1")
 	for restart := range int64(1000) {
-		set.Upsert(entryOf(Incarnation{ID: "e0", Born: restart + 1}), Ready, start.Add(time.Duration(restart)*2*forgetAfter))
+		set.Upsert(entryOf(Incarnation{ID: "e0", Born: restart + 1}), Ready, start.Add(time.Duration(restart)*2*engineRetention))
 	}
-	if known := len(set.Known()); known > 2 || len(set.lives) != 1 || len(set.pools["p"]) != known {
-		t.Errorf("%d incarnations are kept", known)
+	if known := len(set.Known()); known > 2 || len(set.incarnations) != 1 || len(set.pools["p"]) != known {
+		t.Errorf("%d incarnations are kept, want at most 2", known)
 	}
 }
 
 func TestHashOfAnIncarnation(t *testing.T) {
 	if first.Hash() == second.Hash() || first.Hash() == named("e0").Hash() {
-		t.Error("two incarnations have one hash")
+		t.Error("two incarnations have the same hash")
 	}
 	if first.String() != "e0@1000" || named("e0").String() != "e0" {
-		t.Errorf("named %v and %v", first, named("e0"))
+		t.Errorf("strings are %v and %v, want e0@1000 and e0", first, named("e0"))
 	}
 }
 
-// TestNothingWaitsAtAnEndedIncarnation has a request queue at a full engine that starts
-// again: its silence means no queue any more.
+// TestNothingWaitsAtAnEndedIncarnation has a request wait at a full engine that restarts.
+// After the restart a missing response no longer means that the request waits.
 func TestNothingWaitsAtAnEndedIncarnation(t *testing.T) {
 	set := newSetOf(first)
 	startAll(set, first, 5, 0)
 	choice, _ := set.Pick(Query{Pool: "p"}, start)
 	if choice.HasSlot() || !set.Queues(choice, start) {
-		t.Fatalf("a request at a full engine waits: %+v", choice)
+		t.Fatalf("a request at a full engine does not wait: %+v", choice)
 	}
 	restart(t, set)
 	if set.Queues(choice, start) {
-		t.Error("a request is held to wait at the former incarnation")
+		t.Error("a request still counts as waiting at the former incarnation")
 	}
 }
--- a/internal/core/enginechoice/model_test.go
+++ b/internal/core/enginechoice/model_test.go
@@ -11,22 +11,23 @@
 	"pgregory.net/rapid"
 )
 
-// naiveSet is the plain reading of which incarnations serve, and of what is known of each.
-type naiveSet struct {
+// referenceSet is a reference model of a Set: the state of each incarnation, its requests
+// and its cached parts.
+type referenceSet struct {
 	states map[Incarnation]State
 	since  map[Incarnation]time.Time
-	held   map[Incarnation]map[string]bool
+	cached map[Incarnation]map[string]bool
 	work   map[Incarnation]int
 }
 
-func newNaiveSet() *naiveSet {
-	return &naiveSet{
+func newReferenceSet() *referenceSet {
+	return &referenceSet{
 		states: make(map[Incarnation]State), since: make(map[Incarnation]time.Time),
-		held: make(map[Incarnation]map[string]bool), work: make(map[Incarnation]int),
+		cached: make(map[Incarnation]map[string]bool), work: make(map[Incarnation]int),
 	}
 }
 
-func (n *naiveSet) newest(id string) (Incarnation, bool) {
+func (n *referenceSet) newest(id string) (Incarnation, bool) {
 	newest, found := Incarnation{ID: id}, false
 	for known := range n.states {
 		if known.ID == id && (!found || known.Born > newest.Born) {
@@ -36,14 +37,14 @@
 	return newest, found
 }
 
-func (n *naiveSet) set(engine Incarnation, state State, now time.Time) {
+func (n *referenceSet) set(engine Incarnation, state State, now time.Time) {
 	if known, found := n.states[engine]; found && known == state {
 		return
 	}
 	n.states[engine], n.since[engine] = state, now
 }
 
-func (n *naiveSet) upsert(engine Incarnation, state State, now time.Time) {
+func (n *referenceSet) upsert(engine Incarnation, state State, now time.Time) {
 	newest, found := n.newest(engine.ID)
 	if found && engine.Born < newest.Born {
 		return
@@ -54,7 +55,7 @@
 	n.set(engine, state, now)
 }
 
-func (n *naiveSet) remove(engine Incarnation, doubtful bool, now time.Time) {
+func (n *referenceSet) remove(engine Incarnation, doubtful bool, now time.Time) {
 	known, found := n.states[engine]
 	if !found || known == Ended {
 		return
@@ -65,13 +66,13 @@
 	}
 }
 
-func (n *naiveSet) withhold(engine Incarnation, now time.Time) {
+func (n *referenceSet) withhold(engine Incarnation, now time.Time) {
 	if n.states[engine].Usable() {
 		n.set(engine, Withheld, now)
 	}
 }
 
-func (n *naiveSet) expire(before, now time.Time) {
+func (n *referenceSet) expire(before, now time.Time) {
 	for engine, state := range n.states {
 		if state == Unlisted && n.since[engine].Before(before) {
 			n.states[engine], n.since[engine] = Leaving, now
@@ -79,21 +80,21 @@
 	}
 }
 
-// startedWork is a request at an engine.
+// startedWork is a request in flight at an engine.
 type startedWork struct {
 	engine Incarnation
 	work   *Work
 }
 
-// modelRun is a set and the plain one, with what was done to both.
+// modelRun is a run of the same operations on a Set and on the reference model.
 type modelRun struct {
-	t       *rapid.T
-	set     *Set
-	plain   *naiveSet
-	works   []startedWork
-	second  *Set // of a dispatcher, which takes the first one's list
-	now     time.Time
-	listing map[Incarnation]bool // what the dispatcher knew last
+	t             *rapid.T
+	set           *Set
+	reference     *referenceSet
+	works         []startedWork
+	dispatcherSet *Set // Set of a dispatcher, which follows the list of set
+	now           time.Time
+	lastListing   map[Incarnation]bool // engines of the last list
 }
 
 func (r *modelRun) anyEngine() Incarnation {
@@ -103,54 +104,54 @@
 func (r *modelRun) step() {
 	r.now = r.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r.t, "ms")) * time.Millisecond)
 	engine := r.anyEngine()
-	_, known := r.plain.states[engine]
+	_, known := r.reference.states[engine]
 	switch rapid.IntRange(0, 9).Draw(r.t, "step") {
-	case 0, 1, 2: // an entry, by the feed or a peer, in any order
+	case 0, 1, 2: // an entry arrives, in any order
 		state := State(rapid.IntRange(int(Ready), int(Leaving)).Draw(r.t, "state"))
 		r.set.Upsert(entryOf(engine), state, r.now)
-		r.plain.upsert(engine, state, r.now)
-	case 3: // its row goes
-		newest, _ := r.plain.newest(engine.ID)
+		r.reference.upsert(engine, state, r.now)
+	case 3: // the newest entry is removed from the list
+		newest, _ := r.reference.newest(engine.ID)
 		doubtful := rapid.Bool().Draw(r.t, "doubtful")
 		got, _ := r.set.Newest(engine.ID)
 		r.set.Remove(got, doubtful, r.now)
-		r.plain.remove(newest, doubtful, r.now)
-	case 4: // another engine answers at its address
+		r.reference.remove(newest, doubtful, r.now)
+	case 4: // another engine responds at its address
 		r.set.Remove(engine, false, r.now)
-		r.plain.remove(engine, false, r.now)
+		r.reference.remove(engine, false, r.now)
 	case 5:
 		r.set.ExpireUnlisted(r.now.Add(-time.Second), r.now)
-		r.plain.expire(r.now.Add(-time.Second), r.now)
-	case 6: // its entry names no engine to use
-		if newest, found := r.plain.newest(engine.ID); found {
+		r.reference.expire(r.now.Add(-time.Second), r.now)
+	case 6: // its entry names no usable engine
+		if newest, found := r.reference.newest(engine.ID); found {
 			r.set.Withhold(newest, r.now)
-			r.plain.withhold(newest, r.now)
+			r.reference.withhold(newest, r.now)
 		}
 	case 7:
 		if work := (&Work{}); known {
 			r.set.Start(engine, work)
 			r.works = append(r.works, startedWork{engine: engine, work: work})
-			r.plain.work[engine]++
+			r.reference.work[engine]++
 		}
 	case 8:
 		if len(r.works) > 0 {
 			ended := r.works[0]
 			r.works = r.works[1:]
 			r.set.Finish(ended.engine, ended.work, Result(rapid.IntRange(0, 3).Draw(r.t, "result")), r.now)
-			r.plain.work[ended.engine]--
+			r.reference.work[ended.engine]--
 		}
 	default:
 		if part := rapid.StringMatching("[ab]").Draw(r.t, "part"); known {
 			r.set.Remember(engine, []Part{{ID: part, Tokens: 10}}, r.now)
-			if r.plain.held[engine] == nil {
-				r.plain.held[engine] = make(map[string]bool)
+			if r.reference.cached[engine] == nil {
+				r.reference.cached[engine] = make(map[string]bool)
 			}
-			r.plain.held[engine][part] = true
+			r.reference.cached[engine][part] = true
 		}
 	}
 }
 
-// list has the dispatcher take the set's list, in any order.
+// list applies the set's list to the dispatcher's Set, in any order.
 func (r *modelRun) list() {
 	listing := make(map[Incarnation]bool)
 	list := r.set.List("p")
@@ -159,14 +160,14 @@
 	})
 	for _, listed := range rapid.Permutation(list).Draw(r.t, "order") {
 		listing[listed.Entry.Incarnation()] = true
-		r.second.Upsert(listed.Entry, listed.State, r.now)
+		r.dispatcherSet.Upsert(listed.Entry, listed.State, r.now)
 	}
-	for engine := range r.listing {
+	for engine := range r.lastListing {
 		if !listing[engine] {
-			r.second.Remove(engine, false, r.now)
+			r.dispatcherSet.Remove(engine, false, r.now)
 		}
 	}
-	r.listing = listing
+	r.lastListing = listing
 }
 
 func (r *modelRun) check() {
@@ -174,40 +175,41 @@
 	for _, listed := range r.set.List("p") {
 		states[listed.Entry.Incarnation()] = listed.State
 	}
-	if !maps.Equal(states, r.plain.states) {
-		r.t.Fatalf("states are %v, want %v", states, r.plain.states)
+	if !maps.Equal(states, r.reference.states) {
+		r.t.Fatalf("states are %v, want %v", states, r.reference.states)
 	}
 	serving := make(map[Incarnation]bool)
-	for engine, state := range r.plain.states {
-		if newest, _ := r.plain.newest(engine.ID); newest != engine && state.Usable() {
-			r.t.Fatalf("%v serves beside %v", engine, newest)
+	for engine, state := range r.reference.states {
+		if newest, _ := r.reference.newest(engine.ID); newest != engine && state.Usable() {
+			r.t.Fatalf("%v accepts new work although %v is newer", engine, newest)
 		}
-		if counts := r.set.Own()[engine]; counts.Online != r.plain.work[engine] {
-			r.t.Fatalf("%v has %d requests, want %d", engine, counts.Online, r.plain.work[engine])
+		if counts := r.set.Own()[engine]; counts.Online != r.reference.work[engine] {
+			r.t.Fatalf("%v has %d requests in flight, want %d", engine, counts.Online, r.reference.work[engine])
 		}
-		if held := len(r.set.engines[engine].resident); held != len(r.plain.held[engine]) {
-			r.t.Fatalf("%v is held to keep %d parts, want %d", engine, held, len(r.plain.held[engine]))
+		if cached := len(r.set.engines[engine].resident); cached != len(r.reference.cached[engine]) {
+			r.t.Fatalf("%v has %d cached parts, want %d", engine, cached, len(r.reference.cached[engine]))
 		}
 		if state.Usable() {
 			serving[engine] = true
 		}
-		listed, _ := r.second.Find(engine)
-		if newest, _ := r.plain.newest(engine.ID); newest == engine && listed.State != state {
-			r.t.Fatalf("the dispatcher takes %v for %v, want %v", engine, listed.State, state)
+		listed, _ := r.dispatcherSet.Find(engine)
+		if newest, _ := r.reference.newest(engine.ID); newest == engine && listed.State != state {
+			r.t.Fatalf("dispatcher has state %v for %v, want %v", engine, listed.State, state)
 		}
 	}
 	choice, found := r.set.Pick(Query{Pool: "p"}, r.now)
 	if found != (len(serving) > 0) || (found && !serving[choice.Entry.Incarnation()]) {
-		r.t.Fatalf("picked %v of %v", choice.Entry.Incarnation(), serving)
+		r.t.Fatalf("picked %v, usable engines are %v", choice.Entry.Incarnation(), serving)
 	}
 }
 
-// TestSetAgainstANaiveOne has engines start again, their entries come in any order, go and
-// come back, with work and parts of prompts at each incarnation: who serves, what is counted
-// and what is held to be kept are those of the plain reading, here and at a dispatcher.
+// TestSetAgainstANaiveOne compares a Set, and a dispatcher's Set that follows it, with a
+// reference model. Engines restart, and their entries arrive in any order, are removed and
+// return, with requests and cached parts at each incarnation. The states, counts and cached
+// parts must be those of the reference model.
 func TestSetAgainstANaiveOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		run := &modelRun{t: t, set: NewSet("n1"), plain: newNaiveSet(), second: NewSet("n2"), now: start}
+		run := &modelRun{t: t, set: NewSet("n1"), reference: newReferenceSet(), dispatcherSet: NewSet("n2"), now: start}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			run.step()
 			run.list()
--- a/internal/core/enginechoice/pick.go
+++ b/internal/core/enginechoice/pick.go
@@ -7,31 +7,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is one part of a prompt that other requests may share.
+// Part is a part of a prompt that other requests may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Query is a request that looks for an engine.
+// Query describes a request for which an engine is picked.
 type Query struct {
 	Pool         string
-	Shared       []Part // in order, without the request's own part
-	OwnTokens    int    // of the prompt that nobody shares
-	MemoryTokens int    // prompt and expected output
+	Shared       []Part // shared parts of the prompt, in order
+	OwnTokens    int    // tokens of the prompt that no other request shares
+	MemoryTokens int    // tokens of the prompt and of the expected output
 	Batch        bool
-	// BatchPercent bounds the batch requests at an engine, in per cent of its slots.
+	// BatchPercent bounds the batch requests at an engine, as a percentage of its slots.
 	BatchPercent int
 	Exclude      map[Incarnation]bool
-	// Zone is that of the node that sends the request; empty: any.
+	// Zone is the zone of the node that sends the request; empty if any will do.
 	Zone string
-	// Former is an engine that may keep all of the prompt; the zero value: none.
+	// Former is an engine that may have the whole prompt cached; the zero value if none.
 	Former Incarnation
-	// Connected are the engines to which an idle connection is kept.
+	// Connected holds the engines to which the node keeps an idle connection.
 	Connected map[Incarnation]bool
 }
 
-// PromptTokens is the length of the whole prompt.
+// PromptTokens returns the length of the whole prompt.
 func (q Query) PromptTokens() int {
 	tokens := q.OwnTokens
 	for _, part := range q.Shared {
@@ -40,69 +40,69 @@
 	return tokens
 }
 
-// Choice is the engine picked and why.
+// Choice is the picked engine and the reasons for it.
 type Choice struct {
 	Entry         Entry
-	Score         float64 // milliseconds of wait to expect
-	PrefillTokens int     // that the engine has to read
-	InFlight      int     // believed there before this request
+	Score         float64 // expected wait in milliseconds
+	PrefillTokens int     // prompt tokens that the engine has to compute
+	InFlight      int     // estimated requests at the engine before this one
 	State         State
-	// MakeRoom: the engine is full, and a batch request there is to be stopped
-	// before this request is sent.
+	// MakeRoom reports that the engine is full and that a batch request there must be
+	// preempted before this request is sent.
 	MakeRoom bool
 }
 
-// HasSlot says whether the chosen engine is believed to start the request at
-// once.
+// HasSlot reports whether the engine is expected to start the request at once.
 func (c Choice) HasSlot() bool {
 	return c.MakeRoom || c.Entry.Slots <= 0 || c.InFlight < c.Entry.Slots
 }
 
-// The scale of scores, in milliseconds. The engines' own speeds differ little;
-// what counts is their order.
+// Terms of the score, in milliseconds. The engines differ little in speed, and only the
+// order of the scores matters.
 const (
 	prefillTokensPerMs = 50.0
-	msPerRunning       = 0.6   // each running request slows the others a little
-	msFull             = 500.0 // no slot is free: any that is, or can be made free, is better
-	msPerQueued        = 40.0  // each request beyond the slots waits for an end
-	msMakeRoom         = 150.0 // a batch request that gives way is read again later: only where no slot is free nearby
-	msPerFailure       = 300.0 // at a failure rate of one
+	msPerRunning       = 0.6   // each running request slows down the others
+	msFull             = 500.0 // no slot is free: a free slot or a preemption elsewhere is better
+	msPerQueued        = 40.0  // each request beyond the slots waits for another one to end
+	msPreemption       = 150.0 // the prompt of a preempted batch request is computed again later: only if no slot is free nearby
+	msPerFailureRate   = 300.0 // at a failure rate of 1
 	msOtherZone        = 3.0
 	msCold             = 30.0
 	msUnlisted         = 20.0
 	msShed             = 150.0
-	msSick             = 2000.0
+	msUnhealthy        = 2000.0
 	msNoMemory         = 80.0
-	// msConnect is what opening a connection costs: its handshake, and one more
-	// of the connections that engines admit. A node so keeps to few engines
-	// while these have slots, and fewer nodes share an engine.
+	// msConnect is the cost of opening a connection: the handshake, and one more of the
+	// limited connections of an engine. A node therefore keeps to few engines while they
+	// have slots, and fewer nodes share an engine.
 	msConnect = 6.0
 )
 
-// affinityRanks is how many engines are taken to keep a shared part.
-const affinityRanks = 1
+// affinityEngines is the number of engines that are assumed to have a shared part cached.
+const affinityEngines = 1
 
-// prefillWeight is what reading a prompt costs against waiting for others'.
+// prefillWeight is the cost of computing a prompt token relative to that of waiting for a
+// prompt token of another request.
 const prefillWeight = 3
 
-// Pick gives the engine with the least wait to expect, or false when none can
-// take the request.
+// Pick returns the engine with the lowest expected wait. It returns false if no engine can
+// accept the request.
 func (s *Set) Pick(query Query, now time.Time) (Choice, bool) {
 	preferred := s.preferred(query, now)
 	var best Choice
-	var bestRank uint64 // equal engines are ranked differently by each node
+	var bestRank uint64 // each node breaks ties differently
 	found := false
 	for id, known := range s.pools[query.Pool] {
 		if query.Exclude[id] || !known.usable() {
 			continue
 		}
 		inFlight := known.inFlight(now)
-		if query.Batch && !known.hasBatchRoom(query, inFlight, now) {
+		if query.Batch && !known.acceptsBatch(query, inFlight, now) {
 			continue
 		}
-		prefill := known.missing(query, preferred)
-		makeRoom := !query.Batch && known.canMakeRoom(inFlight)
-		score := known.score(query, prefill, inFlight, makeRoom, now)
+		prefill := known.uncachedTokens(query, preferred)
+		preempts := !query.Batch && known.canPreempt(inFlight)
+		score := known.score(query, prefill, inFlight, preempts, now)
 		if query.Zone != "" && known.entry.Zone != query.Zone {
 			score += msOtherZone
 		}
@@ -112,29 +112,30 @@
 		rank := affinity(s.node, known.hash)
 		if !found || score < best.Score || (score == best.Score && rank > bestRank) {
 			bestRank = rank
-			best = Choice{Entry: known.entry, Score: score, PrefillTokens: prefill, InFlight: inFlight, State: known.state, MakeRoom: makeRoom}
+			best = Choice{Entry: known.entry, Score: score, PrefillTokens: prefill, InFlight: inFlight, State: known.state, MakeRoom: preempts}
 			found = true
 		}
 	}
 	return best, found
 }
 
-// Any says whether some engine may take the request, as Pick does, at the cost of a few
-// engines in place of all.
+// Any reports whether Pick would find an engine for the request. It stops at the first
+// engine that qualifies.
 func (s *Set) Any(query Query, now time.Time) bool {
 	for id, known := range s.pools[query.Pool] {
 		if query.Exclude[id] || !known.usable() {
 			continue
 		}
-		if !query.Batch || known.hasBatchRoom(query, known.inFlight(now), now) {
+		if !query.Batch || known.acceptsBatch(query, known.inFlight(now), now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *engine) hasBatchRoom(query Query, inFlight int, now time.Time) bool {
-	if now.Before(e.sickUntil) || now.Before(e.shedUntil) {
+// acceptsBatch reports whether the engine can accept a batch request.
+func (e *engine) acceptsBatch(query Query, inFlight int, now time.Time) bool {
+	if now.Before(e.unhealthyUntil) || now.Before(e.shedUntil) {
 		return false
 	}
 	slots := max(e.entry.Slots, 1)
@@ -142,38 +143,39 @@
 		return false
 	}
 	memory := e.entry.MemoryTokens
-	return memory == 0 || e.own.MemoryTokens+query.MemoryTokens <= memory*batchMemoryShare/100
+	return memory == 0 || e.own.MemoryTokens+query.MemoryTokens <= memory*batchMemoryPercent/100
 }
 
 func (e *engine) online() int { return e.own.Online }
 
-// batchMemoryShare is the part of an engine's memory, in per cent, up to which
-// batch work is added.
-const batchMemoryShare = 70
+// batchMemoryPercent is the percentage of an engine's memory up to which batch requests are
+// added.
+const batchMemoryPercent = 70
 
-// inFlight estimates the requests at the engine: those that are counted, and
-// those beyond them in the engine's own last count.
+// inFlight estimates the requests at the engine: those that this Set counts, plus those that
+// the engine's last report had beyond them if it is recent.
 func (e *engine) inFlight(now time.Time) int {
 	own := e.own.Online + e.own.Batch
-	if now.Sub(e.reportedAt) > reportTrust {
+	if now.Sub(e.reportedAt) > maxReportAge {
 		return own
 	}
-	return own + max(e.reported-e.reportedOwn, 0)
+	return own + max(e.reportedInFlight-e.ownAtReport, 0)
 }
 
-// reportTrust is how long an engine's own count says something.
-const reportTrust = 300 * time.Millisecond
+// maxReportAge is how long an engine's own count is used.
+const maxReportAge = 300 * time.Millisecond
 
-// preferred gives the engines that the deepest shared part belongs to.
-func (s *Set) preferred(query Query, now time.Time) [affinityRanks]Incarnation {
+// preferred returns the engines that rank first for the last shared part. Entries without
+// an engine are zero.
+func (s *Set) preferred(query Query, now time.Time) [affinityEngines]Incarnation {
 	if len(query.Shared) == 0 {
-		return [affinityRanks]Incarnation{}
+		return [affinityEngines]Incarnation{}
 	}
 	key := xxhash.Sum64String(query.Shared[len(query.Shared)-1].ID)
-	var best [affinityRanks]Incarnation
-	var scores [affinityRanks]uint64
+	var best [affinityEngines]Incarnation
+	var scores [affinityEngines]uint64
 	for id, known := range s.pools[query.Pool] {
-		if known.state != Ready || now.Before(known.sickUntil) {
+		if known.state != Ready || now.Before(known.unhealthyUntil) {
 			continue
 		}
 		score := affinity(key, known.hash)
@@ -189,16 +191,16 @@
 	return best
 }
 
-// The multipliers of Steele and others' splitmix64, whose steps spread each bit
-// of a number over all others.
+// The multipliers of splitmix64 (Steele et al.), which spreads each bit of a number over
+// all others.
 const (
 	mixFirst  = 0xbf58476d1ce4e5b9
 	mixSecond = 0x94d049bb133111eb
 )
 
-// affinity ranks an engine for a key, equal on all nodes; the highest is the
-// first. It mixes two hashes in place of hashing both texts again for each of
-// thousands of engines.
+// affinity returns the rank of an engine for a key; the highest value ranks first. All
+// nodes compute the same value. It mixes two hashes, which is cheaper for thousands of
+// engines than hashing both strings again.
 func affinity(key, engine uint64) uint64 {
 	mixed := key ^ engine
 	mixed = (mixed ^ mixed>>30) * mixFirst
@@ -206,9 +208,9 @@
 	return mixed ^ mixed>>31
 }
 
-// missing estimates the tokens that the engine has to read: parts that it
-// keeps count only while all parts before them are kept as well.
-func (e *engine) missing(query Query, preferred [affinityRanks]Incarnation) int {
+// uncachedTokens estimates the prompt tokens that the engine has to compute. A cached part
+// is of use only if all parts before it are cached as well.
+func (e *engine) uncachedTokens(query Query, preferred [affinityEngines]Incarnation) int {
 	if query.Former == e.entry.Incarnation() {
 		return 0
 	}
@@ -224,18 +226,20 @@
 	return tokens
 }
 
-// canMakeRoom says whether the engine is full and runs batch work that can be
-// stopped at once.
-func (e *engine) canMakeRoom(inFlight int) bool {
+// canPreempt reports whether the engine is full and runs a batch request that can be
+// preempted.
+func (e *engine) canPreempt(inFlight int) bool {
 	return e.own.Batch > 0 && e.entry.Slots > 0 && inFlight >= e.entry.Slots
 }
 
-func (e *engine) score(query Query, prefill, inFlight int, makeRoom bool, now time.Time) float64 {
+// score returns the expected wait at the engine in milliseconds, without the terms for the
+// zone and the connection.
+func (e *engine) score(query Query, prefill, inFlight int, preempts bool, now time.Time) float64 {
 	backlog := max(e.own.PrefillTokens, 0)
 	score := float64(backlog+prefillWeight*prefill) / prefillTokensPerMs
-	if makeRoom {
+	if preempts {
 		inFlight--
-		score += msMakeRoom
+		score += msPreemption
 	}
 	score += float64(inFlight) * msPerRunning
 	if slots := e.entry.Slots; slots > 0 && inFlight >= slots {
@@ -244,9 +248,9 @@
 	if memory := e.entry.MemoryTokens; memory > 0 && e.own.MemoryTokens+query.MemoryTokens > memory {
 		score += msNoMemory
 	}
-	score += e.failureRate * msPerFailure
-	if now.Before(e.sickUntil) {
-		score += msSick
+	score += e.failureRate * msPerFailureRate
+	if now.Before(e.unhealthyUntil) {
+		score += msUnhealthy
 	}
 	if now.Before(e.shedUntil) {
 		score += msShed
@@ -260,51 +264,51 @@
 	return score
 }
 
-// Crowd is an engine with more requests than slots, online ones among them.
-type Crowd struct {
-	Engine Incarnation
-	Yield  int // how many batch requests should give way
+// Overcommit is an engine with more requests than slots, some of them online.
+type Overcommit struct {
+	Engine  Incarnation
+	Preempt int // number of batch requests to preempt
 }
 
-// tolerableWait is the excess, in per cent of the online requests, at which
-// those that wait get a slot soon enough from those that end.
-const tolerableWait = 30
+// toleratedExcessPercent is the excess of requests over slots, as a percentage of the
+// online requests, up to which waiting requests get a slot soon enough as others end.
+const toleratedExcessPercent = 30
 
-// yieldPause is how long after a yield an engine is left as it is: the next
-// requests there may be ending meanwhile.
-const yieldPause = 120 * time.Millisecond
+// preemptionPause is the minimum time between two preemptions at an engine, since other
+// requests may end there meanwhile.
+const preemptionPause = 120 * time.Millisecond
 
-// Crowded gives the engines at which batch requests keep online requests waiting,
-// by what is counted: an engine's own count still holds requests that were
-// stopped a moment ago.
-func (s *Set) Crowded(now time.Time) []Crowd {
-	var list []Crowd
+// Overcommitted returns the engines at which batch requests keep online requests waiting.
+// It uses only the counts of this Set, since an engine's own count still includes requests
+// that have just been preempted.
+func (s *Set) Overcommitted(now time.Time) []Overcommit {
+	var list []Overcommit
 	for id, known := range s.engines {
 		slots, online := known.entry.Slots, known.online()
-		if known.own.Batch == 0 || slots == 0 || online == 0 || now.Sub(known.yieldedAt) < yieldPause {
+		if known.own.Batch == 0 || slots == 0 || online == 0 || now.Sub(known.preemptedAt) < preemptionPause {
 			continue
 		}
-		if excess := online + known.own.Batch - slots; excess > online*tolerableWait/100 {
-			known.used().yieldedAt = now
-			list = append(list, Crowd{Engine: id, Yield: min(excess, known.own.Batch)})
+		if excess := online + known.own.Batch - slots; excess > online*toleratedExcessPercent/100 {
+			known.writable().preemptedAt = now
+			list = append(list, Overcommit{Engine: id, Preempt: min(excess, known.own.Batch)})
 		}
 	}
 	return list
 }
 
-// Queues says whether a request that was sent by a choice may wait for a slot in silence.
-// At an incarnation that has ended nothing waits any more.
+// Queues reports whether a request that was sent by a choice may still wait for a slot, so
+// that a missing response is no failure. No request waits at an incarnation that has ended.
 func (s *Set) Queues(choice Choice, now time.Time) bool {
 	engine := choice.Entry.Incarnation()
 	if known := s.engines[engine]; known != nil && known.state == Ended {
 		return false
 	}
-	return !choice.HasSlot() || s.Full(engine, now)
+	return !choice.HasSlot() || s.IsFull(engine, now)
 }
 
-// Full says whether an engine is believed to have no free slot, so that a
-// request there may wait in silence.
-func (s *Set) Full(engine Incarnation, now time.Time) bool {
+// IsFull reports whether an engine is estimated to have more requests than slots, so that a
+// request there may be waiting.
+func (s *Set) IsFull(engine Incarnation, now time.Time) bool {
 	known := s.engines[engine]
 	return known != nil && known.entry.Slots > 0 && known.inFlight(now) > known.entry.Slots
 }
--- a/internal/core/enginechoice/room.go
+++ b/internal/core/enginechoice/room.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// onlinePeak is how many online requests were under way at a pool's engines at most,
-// falling slowly from there.
+// onlinePeak is the decaying maximum of the online requests in flight at a pool's engines.
 type onlinePeak struct {
-	value float64
-	at    time.Time // when value was last brought up to date
+	value     float64
+	updatedAt time.Time // when value was last updated
 }
 
-// peakHalfLife is the time in which a peak of online requests counts half: a few
-// fluctuations within a burst, and less than the pause between bursts.
+// peakHalfLife is the half-life of a peak of online requests. It covers a few fluctuations
+// within a burst, and is shorter than the time between bursts.
 const peakHalfLife = 250 * time.Millisecond
 
-// TrackOnline brings the pools' peaks of online requests up to date; called some times
-// a second.
-func (s *Set) TrackOnline(now time.Time) {
+// UpdateOnlinePeaks updates the peaks of online requests of all pools. It must be called
+// several times a second.
+func (s *Set) UpdateOnlinePeaks(now time.Time) {
 	for pool := range s.pools {
 		known := s.peaks[pool]
-		fallen := known.value * math.Exp2(-now.Sub(known.at).Seconds()/peakHalfLife.Seconds())
-		s.peaks[pool] = onlinePeak{value: max(fallen, float64(s.online(pool))), at: now}
+		decayed := known.value * math.Exp2(-now.Sub(known.updatedAt).Seconds()/peakHalfLife.Seconds())
+		s.peaks[pool] = onlinePeak{value: max(decayed, float64(s.online(pool))), updatedAt: now}
 	}
 }
 
+// online returns the number of online requests in flight at a pool's engines.
 func (s *Set) online(pool string) int {
 	online := 0
 	for _, known := range s.pools[pool] {
@@ -34,22 +34,22 @@
 	return online
 }
 
-// BatchRoom gives how many batch requests the engines of a pool may be given so that
-// all requests there use no more than some per cent of the slots, and the slots stay
-// free that online requests have just left and may come back for. Both are counted over
-// the whole pool: an online request goes to whichever engine has a free slot. Room kept
-// at each engine by itself left one slot of six unused, and 0.03 of worth (mean of 6
-// pairs of days of 72 engines).
-func (s *Set) BatchRoom(pool string, percent int, now time.Time) int {
+// BatchCapacity returns how many batch requests the engines of a pool may accept. All
+// requests may use no more than the given percentage of the slots, and the slots that
+// online requests have left recently stay free for the next ones. Both are counted over the
+// whole pool, since an online request goes to whichever engine has a free slot. Reserving
+// slots at each engine separately left one slot in six unused and cost 0.03 of worth (mean
+// of 6 pairs of days with 72 engines).
+func (s *Set) BatchCapacity(pool string, percent int, now time.Time) int {
 	slots, used := 0, 0
 	for _, known := range s.pools[pool] {
-		if !known.usable() || now.Before(known.sickUntil) {
+		if !known.usable() || now.Before(known.unhealthyUntil) {
 			continue
 		}
 		own := max(known.entry.Slots, 1)
 		slots += own
 		used += min(known.inFlight(now), own)
 	}
-	comingBack := max(int(s.peaks[pool].value+0.5)-s.online(pool), 0)
-	return max(slots*percent/100-used-comingBack, 0)
+	reserved := max(int(s.peaks[pool].value+0.5)-s.online(pool), 0)
+	return max(slots*percent/100-used-reserved, 0)
 }
--- a/internal/core/grant/dispatcher.go
+++ b/internal/core/grant/dispatcher.go
@@ -345,9 +345,9 @@
 			}
 		}
 	}
-	d.engines.TrackOnline(now)
-	for _, crowd := range d.engines.Crowded(now) {
-		for range crowd.Yield {
+	d.engines.UpdateOnlinePeaks(now)
+	for _, crowd := range d.engines.Overcommitted(now) {
+		for range crowd.Preempt {
 			d.stopOne(crowd.Engine, now)
 		}
 	}
--- a/internal/core/grant/queue.go
+++ b/internal/core/grant/queue.go
@@ -212,7 +212,7 @@
 	if len(queue) == 0 {
 		return
 	}
-	room := d.engines.BatchRoom(d.lane.Pool, queue[0].ask.RoomPercent, now)
+	room := d.engines.BatchCapacity(d.lane.Pool, queue[0].ask.RoomPercent, now)
 	for _, entry := range queue[:min(room, len(queue))] {
 		if !d.grant(entry, now) && entry.ask.Suspect.Content == 0 {
 			return // what is free goes to those at the front
