--- a/internal/core/grant/dispatcher.go
+++ b/internal/core/grant/dispatcher.go
@@ -9,159 +9,167 @@
 	"ringstream.example/ringstream/internal/core/quota"
 )
 
-// DispatcherConfig bounds how long word of nodes counts.
+// DispatcherConfig holds the timeouts of a dispatcher.
 type DispatcherConfig struct {
-	// SilentAfter is how long a node's work counts without a message. Nodes send
-	// one every RefreshEvery while they have work, so four may be lost.
-	SilentAfter time.Duration
-	// AttachedFor is how long a node's part of the limits is kept here without a
-	// message: for so long it may count at two dispatchers.
-	AttachedFor time.Duration
-	// UnusedAfter is how long a grant that its node does not confirm holds a slot.
-	UnusedAfter time.Duration
-	// AgainAfter is the least time between two messages with the same grant, or
-	// the same stop: some times a round trip.
-	AgainAfter time.Duration
-	// BatchAfter is how long a new dispatcher gives batch work nothing: until
-	// then every node with work has sent a message.
-	BatchAfter time.Duration
-	// QueuedAfter is how long a new dispatcher keeps requests waiting that waited in
-	// another's queue: their engines were full, and it learns of the work there only as
-	// nodes turn to it, most of them within a tenth of a second.
-	QueuedAfter time.Duration
+	// NodeTimeout is how long a node's requests are counted without a message from it.
+	// Nodes with work send one every RefreshInterval, so four may be lost.
+	NodeTimeout time.Duration
+	// AttachmentTimeout is how long a node counts as attached without a message. For
+	// that time it may count at two dispatchers.
+	AttachmentTimeout time.Duration
+	// GrantTimeout is how long a grant holds a slot while its node does not confirm it.
+	GrantTimeout time.Duration
+	// ResendInterval is the minimum time between two messages with the same grant or
+	// the same stop. It is several round trips long.
+	ResendInterval time.Duration
+	// BatchStartDelay is how long a new dispatcher grants no batch requests. Every node
+	// with work has sent a message by the end of it.
+	BatchStartDelay time.Duration
+	// RequeuedStartDelay is how long a new dispatcher grants nothing to requests that
+	// were queued at another dispatcher. The engines were full for them, and the new
+	// dispatcher learns the work at the engines only as nodes switch to it, most of them
+	// within 100 ms.
+	RequeuedStartDelay time.Duration
 }
 
-// DefaultDispatcherConfig suits round trips of some milliseconds.
+// DefaultDispatcherConfig returns timeouts for round trips of a few milliseconds.
 func DefaultDispatcherConfig() DispatcherConfig {
 	return DispatcherConfig{
-		SilentAfter: time.Second, AttachedFor: 600 * time.Millisecond, UnusedAfter: 300 * time.Millisecond,
-		AgainAfter: 15 * time.Millisecond, BatchAfter: 2 * RefreshEvery, QueuedAfter: RefreshEvery / 2,
+		NodeTimeout: time.Second, AttachmentTimeout: 600 * time.Millisecond, GrantTimeout: 300 * time.Millisecond,
+		ResendInterval: 15 * time.Millisecond, BatchStartDelay: 2 * RefreshInterval, RequeuedStartDelay: RefreshInterval / 2,
 	}
 }
 
-// work is one request at an engine, granted or told of.
-type work struct {
-	node      string
-	id        uint64
-	engine    enginechoice.Incarnation
-	grant     Grant
-	counted   *enginechoice.Work
-	since     time.Time // granted, or first heard of
-	toldAt    time.Time // when its grant, or the word to stop it, was last sent
-	confirmed bool      // the node has told that it is under way
-	tenant    uint64    // whose limit has counted it; 0: nobody's
-	stopped   bool      // to make room; no longer counted
-	suspect   Suspect
+// inFlightRequest is a request at an engine that this dispatcher granted or a node
+// reported.
+type inFlightRequest struct {
+	node       string
+	id         uint64
+	engine     enginechoice.Incarnation
+	grant      Grant
+	work       *enginechoice.Work
+	since      time.Time // when it was granted or first reported
+	lastSentAt time.Time // when its grant, or its stop, was last sent
+	confirmed  bool      // the node has reported it in flight
+	tenant     uint64    // tenant whose limit has counted it; 0 if none
+	preempted  bool      // told to stop; no longer counted at the engine
+	suspect    Suspect
 }
 
-// waiting is an ask in the queue.
-type waiting struct {
-	node  string
-	ask   Ask
-	since time.Time
-	due   time.Time
-	// reserved: its tenant's limit has room for it, and counts it when it is granted.
+// queuedAsk is a request in the dispatcher's queue.
+type queuedAsk struct {
+	node     string
+	ask      Ask
+	since    time.Time
+	deadline time.Time
+	// reserved reports that the tenant's limit has admitted the request and counts it
+	// when it is granted.
 	reserved bool
 }
 
-// node is what the dispatcher knows of one node.
-type node struct {
+// nodeState is what the dispatcher knows about one node.
+type nodeState struct {
 	life, sequence uint64
-	heard          time.Time
+	lastStateAt    time.Time
 	zone           string
 	connected      map[enginechoice.Incarnation]bool
 	attached       bool
-	works          map[uint64]*work
-	asks           map[uint64]*waiting
+	inFlight       map[uint64]*inFlightRequest
+	queued         map[uint64]*queuedAsk
 }
 
 // Dispatcher grants the slots of one lane.
 type Dispatcher struct {
-	config  DispatcherConfig
-	lane    Lane
-	engines *enginechoice.Set
-	names   map[uint64]enginechoice.Incarnation // engines by EngineHash
-	began   time.Time
-	busy    time.Time // since when nodes have had something in the lane
-	nodes   map[string]*node
-	online  []*waiting // in no order; few
-	batch   bool       // batch asks may have become grantable
-	replies map[string]*Reply
-	ready   readiness
-	limits  *quota.Place // nil: no tenant has a limit that is kept here
-	live    int          // nodes of the fleet; 0: not known
-	// suspects are the works whose content engines have ended under.
-	suspects map[*work]bool
+	config       DispatcherConfig
+	lane         Lane
+	engines      *enginechoice.Set
+	engineByHash map[uint64]enginechoice.Incarnation // keyed by EngineHash
+	startedAt    time.Time
+	busySince    time.Time // when the lane last stopped being idle
+	nodes        map[string]*nodeState
+	online       []*queuedAsk // sorted only in grantOnline; few
+	retryBatch   bool         // queued batch requests may have become grantable
+	replies      map[string]*Reply
+	firstTokens  firstTokenEstimator
+	limits       *quota.Place // nil if no tenant has a limit that is counted here
+	liveNodes    int          // number of live nodes of the fleet; 0 if unknown
+	// suspects holds the in-flight requests whose content is suspected of crashing
+	// engines.
+	suspects map[*inFlightRequest]bool
 }
 
-// NewDispatcher makes the dispatcher of a lane for a node.
+// NewDispatcher returns a dispatcher of a lane that has no engines yet. Self is the name
+// of the node that runs it.
 func NewDispatcher(config DispatcherConfig, lane Lane, self string, now time.Time) *Dispatcher {
 	return &Dispatcher{
-		config: config, lane: lane, engines: enginechoice.NewSet(self), names: make(map[uint64]enginechoice.Incarnation),
-		began: now, nodes: make(map[string]*node), replies: make(map[string]*Reply),
-		suspects: make(map[*work]bool),
+		config: config, lane: lane, engines: enginechoice.NewSet(self), engineByHash: make(map[uint64]enginechoice.Incarnation),
+		startedAt: now, nodes: make(map[string]*nodeState), replies: make(map[string]*Reply),
+		suspects: make(map[*inFlightRequest]bool),
 	}
 }
 
-// SetEngines takes the lane's engines; those that are missing are gone.
+// SetEngines replaces the lane's engines. Engines that are not listed are removed, and
+// entries of other pools or lanes are ignored.
 func (d *Dispatcher) SetEngines(entries []enginechoice.Listed, now time.Time) {
 	listed := make(map[uint64]bool, len(entries))
 	for _, known := range entries {
-		if d.takeEngine(known, now) {
+		if d.upsertEngine(known, now) {
 			listed[EngineHash(known.Entry.Incarnation())] = true
 		}
 	}
-	for hash := range d.names {
+	for hash := range d.engineByHash {
 		if !listed[hash] {
-			d.dropEngine(hash, now)
+			d.removeEngine(hash, now)
 		}
 	}
-	d.enginesChanged(now)
+	d.afterEngineChange(now)
 }
 
-// UpdateEngines takes the engines of the pool that have changed, and those that are gone.
+// UpdateEngines applies the changes of a pool's engines. Engines of other lanes are
+// ignored.
 func (d *Dispatcher) UpdateEngines(changed []enginechoice.Listed, gone []enginechoice.Incarnation, now time.Time) {
 	touched := false
 	for _, known := range changed {
-		touched = d.takeEngine(known, now) || touched
+		touched = d.upsertEngine(known, now) || touched
 	}
 	for _, engine := range gone {
-		touched = d.dropEngine(EngineHash(engine), now) || touched
+		touched = d.removeEngine(EngineHash(engine), now) || touched
 	}
 	if touched {
-		d.enginesChanged(now)
+		d.afterEngineChange(now)
 	}
 }
 
-// takeEngine takes an engine's entry, where it is one of the lane.
-func (d *Dispatcher) takeEngine(known enginechoice.Listed, now time.Time) bool {
+// upsertEngine applies an engine's entry. It reports whether the engine belongs to the
+// lane.
+func (d *Dispatcher) upsertEngine(known enginechoice.Listed, now time.Time) bool {
 	hash := EngineHash(known.Entry.Incarnation())
 	if known.Entry.Pool != d.lane.Pool || !d.lane.Holds(hash) {
 		return false
 	}
-	d.names[hash] = known.Entry.Incarnation()
+	d.engineByHash[hash] = known.Entry.Incarnation()
 	d.engines.Upsert(known.Entry, known.State, now)
 	return true
 }
 
-// dropEngine takes an engine as gone; false: it was none of the lane.
-func (d *Dispatcher) dropEngine(hash uint64, now time.Time) bool {
-	engine, listed := d.names[hash]
+// removeEngine removes an engine. It reports whether the engine belonged to the lane.
+func (d *Dispatcher) removeEngine(hash uint64, now time.Time) bool {
+	engine, listed := d.engineByHash[hash]
 	if listed {
 		d.engines.Remove(engine, false, now)
-		delete(d.names, hash)
+		delete(d.engineByHash, hash)
 	}
 	return listed
 }
 
-// enginesChanged grants what other engines make possible.
-func (d *Dispatcher) enginesChanged(now time.Time) {
-	d.batch = true
+// afterEngineChange grants requests that the changed engines have capacity for.
+func (d *Dispatcher) afterEngineChange(now time.Time) {
+	d.retryBatch = true
 	d.grantOnline(now)
 }
 
-// SetLimits has the dispatcher count the requests of tenants that have a limit;
-// none: it counts nobody's.
+// SetLimits sets the tenants' rate limits, keyed by TenantHash. With no limits the
+// dispatcher counts no requests.
 func (d *Dispatcher) SetLimits(margin quota.Margin, limits map[uint64]quota.RateLimit, now time.Time) {
 	if len(limits) == 0 {
 		d.limits = nil
@@ -173,83 +181,85 @@
 	d.limits.SetLimits(limits)
 }
 
-// SetLive takes the number of nodes that are alive. 0 says that it is not known: until it
-// is, no part of a limit is let through here.
-func (d *Dispatcher) SetLive(nodes int) { d.live = nodes }
+// SetLive sets the number of live nodes. While it is 0 (unknown), the dispatcher's part
+// of every limit is zero.
+func (d *Dispatcher) SetLive(nodes int) { d.liveNodes = nodes }
 
-// advanceLimits brings the limits to a time.
+// advanceLimits advances the limits' clock and updates this dispatcher's part of them.
 func (d *Dispatcher) advanceLimits(now time.Time) {
 	if d.limits == nil {
 		return
 	}
 	share := 0.0
-	if d.live > 0 {
-		share = float64(d.Attached(now)) / float64(d.live)
+	if d.liveNodes > 0 {
+		share = float64(d.Attached(now)) / float64(d.liveNodes)
 	}
 	d.limits.Advance(now, share)
 }
 
-// Attached counts the nodes whose part of the limits is kept here.
+// Attached returns the number of nodes that are attached to this dispatcher.
 func (d *Dispatcher) Attached(now time.Time) int {
 	attached := 0
 	for _, known := range d.nodes {
-		if known.attached && now.Sub(known.heard) <= d.config.AttachedFor {
+		if known.attached && now.Sub(known.lastStateAt) <= d.config.AttachmentTimeout {
 			attached++
 		}
 	}
 	return attached
 }
 
-// Idle says whether no node has had anything in the lane for some time.
+// Idle reports whether no node has requests in the lane or is attached to it.
 func (d *Dispatcher) Idle() bool { return len(d.nodes) == 0 }
 
-// Counts gives the requests under way at the lane's engines, and those waiting.
-func (d *Dispatcher) Counts() (underWay, queued int) {
+// Counts returns the numbers of requests in flight at the lane's engines and of those
+// waiting.
+func (d *Dispatcher) Counts() (inFlight, queued int) {
 	for _, known := range d.nodes {
-		underWay += len(known.works)
-		queued += len(known.asks)
+		inFlight += len(known.inFlight)
+		queued += len(known.queued)
 	}
-	return underWay, queued
+	return inFlight, queued
 }
 
-// Hear takes a node's State. What is to be sent is in Replies.
+// Hear applies a node's State. A State that is not newer than the last one of the same run
+// of the node is ignored. The resulting messages are returned by Replies.
 func (d *Dispatcher) Hear(from string, state State, now time.Time) {
 	known := d.nodes[from]
 	if known != nil && known.life == state.Life && state.Sequence <= known.sequence {
-		return // overtaken by a newer one
+		return // a newer State arrived first
 	}
 	if known == nil || known.life != state.Life {
-		d.forget(from, now)
+		d.removeNode(from, now)
 		if len(d.nodes) == 0 {
-			d.busy = now
+			d.busySince = now
 		}
-		known = &node{life: state.Life, works: make(map[uint64]*work), asks: make(map[uint64]*waiting)}
+		known = &nodeState{life: state.Life, inFlight: make(map[uint64]*inFlightRequest), queued: make(map[uint64]*queuedAsk)}
 		d.nodes[from] = known
 	}
-	known.sequence, known.heard, known.zone, known.attached = state.Sequence, now, state.Zone, state.Attached
+	known.sequence, known.lastStateAt, known.zone, known.attached = state.Sequence, now, state.Zone, state.Attached
 	d.advanceLimits(now)
 	known.connected = make(map[enginechoice.Incarnation]bool, len(state.Connected))
 	for _, engine := range state.Connected {
-		known.connected[d.names[engine]] = true
+		known.connected[d.engineByHash[engine]] = true
 	}
-	d.takeWork(from, known, state, now)
+	d.updateInFlight(from, known, state, now)
 	for _, load := range state.Loads {
-		d.engines.Observe(d.names[load.Engine], load.Running, load.Waiting, now)
+		d.engines.Observe(d.engineByHash[load.Engine], load.Running, load.Waiting, now)
 	}
 	for _, first := range state.Firsts {
-		d.ready.observe(first)
+		d.firstTokens.observe(first)
 	}
-	d.takeAsks(from, known, state, now)
+	d.updateQueue(from, known, state, now)
 	d.grantOnline(now)
 	reply := d.reply(from)
 	reply.Life, reply.Sequence = state.Life, state.Sequence
-	if len(state.Held)+len(state.Waiting) == 0 && len(known.works) == 0 && !state.Attached {
+	if len(state.Held)+len(state.Waiting) == 0 && len(known.inFlight) == 0 && !state.Attached {
 		delete(d.nodes, from)
 	}
 }
 
-// takeWork brings what is counted of a node's work up to date.
-func (d *Dispatcher) takeWork(from string, known *node, state State, now time.Time) {
+// updateInFlight updates a node's in-flight requests from its State.
+func (d *Dispatcher) updateInFlight(from string, known *nodeState, state State, now time.Time) {
 	ended := make(map[uint64]Ended, len(state.Ended))
 	for _, end := range state.Ended {
 		ended[end.ID] = end
@@ -262,130 +272,132 @@
 	for _, ask := range state.Waiting {
 		asked[ask.ID] = true
 	}
-	for id, request := range known.works {
-		current, underWay := held[id]
-		end, over := ended[id]
+	for id, request := range known.inFlight {
+		reported, inFlight := held[id]
+		end, hasEnded := ended[id]
 		switch {
-		case over:
-			d.end(known, request, end, now)
-		case underWay:
-			d.confirm(request, current, now)
+		case hasEnded:
+			d.finish(known, request, end, now)
+		case inFlight:
+			d.confirm(request, reported, now)
 		case request.confirmed:
-			d.end(known, request, Ended{Result: enginechoice.Abandoned}, now)
-		case asked[id] && now.Sub(request.toldAt) >= d.config.AgainAfter:
-			d.tell(request, now)
+			d.finish(known, request, Ended{Result: enginechoice.Abandoned}, now)
+		case asked[id] && now.Sub(request.lastSentAt) >= d.config.ResendInterval:
+			d.sendGrant(request, now)
 		}
 	}
 	for _, request := range state.Held {
-		if _, over := ended[request.ID]; !over && known.works[request.ID] == nil {
-			d.add(from, known, request, now)
+		if _, hasEnded := ended[request.ID]; !hasEnded && known.inFlight[request.ID] == nil {
+			d.addReported(from, known, request, now)
 		}
 	}
 }
 
-// confirm takes note that a request is under way.
-func (d *Dispatcher) confirm(request *work, held Held, now time.Time) {
+// confirm records that a node has reported a request in flight. If the request was
+// preempted and still runs, the stop is sent again.
+func (d *Dispatcher) confirm(request *inFlightRequest, held Held, now time.Time) {
 	request.confirmed = true
-	if request.stopped {
-		if now.Sub(request.toldAt) >= d.config.AgainAfter {
-			request.toldAt = now
+	if request.preempted {
+		if now.Sub(request.lastSentAt) >= d.config.ResendInterval {
+			request.lastSentAt = now
 			d.reply(request.node).Stops = append(d.reply(request.node).Stops, request.id)
 		}
 		return
 	}
 	if held.Started {
-		d.engines.FirstToken(request.engine, request.counted)
+		d.engines.FirstToken(request.engine, request.work)
 	}
 }
 
-// add counts a request that another dispatcher granted, or the node chose an
-// engine for by itself.
-func (d *Dispatcher) add(from string, known *node, held Held, now time.Time) {
-	engine, listed := d.names[held.Engine]
+// addReported counts a request that another dispatcher granted, or for which the node
+// chose an engine by itself. Requests at unknown engines are not counted.
+func (d *Dispatcher) addReported(from string, known *nodeState, held Held, now time.Time) {
+	engine, listed := d.engineByHash[held.Engine]
 	if !listed {
 		return
 	}
-	counted := &enginechoice.Work{Batch: held.Batch, PrefillTokens: held.PrefillTokens, MemoryTokens: held.MemoryTokens}
-	d.engines.Start(engine, counted)
+	work := &enginechoice.Work{Batch: held.Batch, PrefillTokens: held.PrefillTokens, MemoryTokens: held.MemoryTokens}
+	d.engines.Start(engine, work)
 	if held.Started {
-		d.engines.FirstToken(engine, counted)
+		d.engines.FirstToken(engine, work)
 	}
-	told := &work{node: from, id: held.ID, engine: engine, counted: counted, since: now, confirmed: true, suspect: held.Suspect}
-	known.works[held.ID] = told
-	d.noteSuspect(told)
+	reported := &inFlightRequest{node: from, id: held.ID, engine: engine, work: work, since: now, confirmed: true, suspect: held.Suspect}
+	known.inFlight[held.ID] = reported
+	d.trackSuspect(reported)
 }
 
-// end takes a request as over.
-func (d *Dispatcher) end(known *node, request *work, end Ended, now time.Time) {
-	d.engines.Finish(request.engine, request.counted, end.Result, now)
+// finish removes an ended request and records its result for the engine.
+func (d *Dispatcher) finish(known *nodeState, request *inFlightRequest, end Ended, now time.Time) {
+	d.engines.Finish(request.engine, request.work, end.Result, now)
 	if end.Refused {
 		d.engines.ConnectionRefused(request.engine, now)
 	}
 	if end.Unused && d.limits != nil {
 		d.limits.Undo(request.tenant)
 	}
-	delete(known.works, request.id)
+	delete(known.inFlight, request.id)
 	delete(d.suspects, request)
-	d.batch = true
+	d.retryBatch = true
 }
 
-// Tick does what time brings: silent nodes are forgotten, grants that were not
-// used are taken back, batch work is granted, and engines with more requests
-// than slots are relieved of it.
+// Tick does the periodic work: it removes nodes that have timed out, withdraws unconfirmed
+// grants, preempts batch runs at engines with more requests than slots, and grants batch
+// requests.
 func (d *Dispatcher) Tick(now time.Time) {
 	d.advanceLimits(now)
 	for address, known := range d.nodes {
-		if now.Sub(known.heard) > d.config.SilentAfter {
-			d.forget(address, now)
+		if now.Sub(known.lastStateAt) > d.config.NodeTimeout {
+			d.removeNode(address, now)
 			continue
 		}
-		for _, request := range known.works {
-			if !request.confirmed && now.Sub(request.since) > d.config.UnusedAfter {
-				d.end(known, request, Ended{Result: enginechoice.Abandoned, Unused: true}, now)
+		for _, request := range known.inFlight {
+			if !request.confirmed && now.Sub(request.since) > d.config.GrantTimeout {
+				d.finish(known, request, Ended{Result: enginechoice.Abandoned, Unused: true}, now)
 			}
 		}
 	}
 	d.engines.UpdateOnlinePeaks(now)
-	for _, crowd := range d.engines.Overcommitted(now) {
-		for range crowd.Preempt {
-			d.stopOne(crowd.Engine, now)
+	for _, overcommit := range d.engines.Overcommitted(now) {
+		for range overcommit.Preempt {
+			d.preemptNewestBatch(overcommit.Engine, now)
 		}
 	}
 	d.grantOnline(now)
-	if d.batch && now.Sub(d.began) >= d.config.BatchAfter {
+	if d.retryBatch && now.Sub(d.startedAt) >= d.config.BatchStartDelay {
 		d.grantBatch(now)
 	}
 }
 
-// Suspended takes note that this node's machine was suspended: what it heard is older by
-// that, and nodes that turned to another dispatcher meanwhile no longer count here.
+// Suspended accounts for a suspension of this node's machine. It ages all received
+// reports by gap, so that nodes that have switched to another dispatcher meanwhile are
+// removed.
 func (d *Dispatcher) Suspended(gap time.Duration, now time.Time) {
 	for _, known := range d.nodes {
-		known.heard = known.heard.Add(-gap)
-		for _, request := range known.works {
+		known.lastStateAt = known.lastStateAt.Add(-gap)
+		for _, request := range known.inFlight {
 			request.since = request.since.Add(-gap)
 		}
 	}
 	d.Tick(now)
 }
 
-// forget takes all of a node's work as over.
-func (d *Dispatcher) forget(address string, now time.Time) {
+// removeNode removes a node and counts all of its requests as ended.
+func (d *Dispatcher) removeNode(address string, now time.Time) {
 	known := d.nodes[address]
 	if known == nil {
 		return
 	}
-	for _, request := range known.works {
-		d.end(known, request, Ended{Result: enginechoice.Abandoned}, now)
+	for _, request := range known.inFlight {
+		d.finish(known, request, Ended{Result: enginechoice.Abandoned}, now)
 	}
-	for _, entry := range known.asks {
-		d.drop(entry)
+	for _, entry := range known.queued {
+		d.releaseReservation(entry)
 	}
 	delete(d.nodes, address)
 	delete(d.replies, address)
 }
 
-// Replies gives what is to be sent to each node, and forgets it.
+// Replies returns the pending reply of each node, keyed by address, and clears them.
 func (d *Dispatcher) Replies() map[string]Reply {
 	if len(d.replies) == 0 {
 		return nil
@@ -402,7 +414,7 @@
 	return replies
 }
 
-// reply gives the answer to a node that is being made.
+// reply returns the pending reply to a node and creates it if there is none.
 func (d *Dispatcher) reply(address string) *Reply {
 	if d.replies[address] == nil {
 		d.replies[address] = &Reply{}
@@ -410,5 +422,6 @@
 	return d.replies[address]
 }
 
-// Nodes gives the addresses of the nodes that have something in the lane.
-func (d *Dispatcher) Nodes() []string { return slices.Sorted(maps.Keys(d.nodes)) }
+// Addresses returns the addresses of the nodes that have requests in the lane or are
+// attached to it.
+func (d *Dispatcher) Addresses() []string { return slices.Sorted(maps.Keys(d.nodes)) }
--- a/internal/core/grant/dispatcher_test.go
+++ b/internal/core/grant/dispatcher_test.go
@@ -8,34 +8,35 @@
 	"pgregory.net/rapid"
 
 	"ringstream.example/ringstream/internal/core/enginechoice"
-	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
+	_ "ringstream.example/ringstream/internal/seedtest" // fixed seed for rapid
 )
 
-// naive is the plain reading of what a dispatcher owes: it knows every request
-// and recounts everything each time.
-type naive struct {
+// referenceModel is a reference model of a dispatcher. It knows every request and
+// recounts all of them each time.
+type referenceModel struct {
 	engines int
-	online  map[string]bool // requests that asked and have not ended
+	online  map[string]bool // requests that have arrived and not ended
 	batch   map[string]bool
 }
 
-// underWay is how many online requests and batch items are to have a slot.
-func (n naive) underWay() (online, batch int) {
+// wantInFlight returns the numbers of online requests and batch items that should have a
+// slot.
+func (n referenceModel) wantInFlight() (online, batch int) {
 	all := n.engines * slots
 	online = min(len(n.online), all)
 	return online, min(len(n.batch), all-online)
 }
 
-// TestDispatcherAgainstTheNaiveVersion has requests and items of three nodes ask
-// and end in any order, and every message come: as many have a slot as there
-// are, online requests first, none has two, and no engine has more than its
-// slots.
+// TestDispatcherAgainstTheNaiveVersion compares a dispatcher with a reference model.
+// Requests and batch items of three nodes arrive and end in any order, and no message is
+// lost. All slots must be in use while requests wait, online requests must come first,
+// and no engine may have more requests than slots.
 func TestDispatcherAgainstTheNaiveVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 3).Draw(t, "engines")
 		n := newNetwork(3, engines, 0, rapid.Uint64().Draw(t, "seed"))
-		plain := naive{engines: engines, online: make(map[string]bool), batch: make(map[string]bool)}
-		n.run(DefaultDispatcherConfig().BatchAfter)
+		reference := referenceModel{engines: engines, online: make(map[string]bool), batch: make(map[string]bool)}
+		n.run(DefaultDispatcherConfig().BatchStartDelay)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			for range rapid.IntRange(1, 4).Draw(t, "at once") {
 				node := n.nodes[rapid.IntRange(0, 2).Draw(t, "node")]
@@ -44,32 +45,32 @@
 					batch := rapid.Bool().Draw(t, "batch")
 					key := fmt.Sprint(node.address, n.ask(node, batch))
 					if batch {
-						plain.batch[key] = true
+						reference.batch[key] = true
 					} else {
-						plain.online[key] = true
+						reference.online[key] = true
 					}
 				default:
 					for id := uint64(1); id <= node.nextID; id++ {
 						if _, held := node.held[id]; held {
 							n.end(node, id)
-							delete(plain.online, fmt.Sprint(node.address, id))
-							delete(plain.batch, fmt.Sprint(node.address, id))
+							delete(reference.online, fmt.Sprint(node.address, id))
+							delete(reference.batch, fmt.Sprint(node.address, id))
 							break
 						}
 					}
 				}
 			}
 			n.run(30 * time.Millisecond)
-			for _, node := range n.nodes { // an item that was stopped asks again
+			for _, node := range n.nodes { // a preempted item asks again
 				for id := uint64(1); id <= node.nextID; id++ {
 					_, held := node.held[id]
-					if plain.batch[fmt.Sprint(node.address, id)] && !held && !node.requester.Waits(id) {
-						delete(plain.batch, fmt.Sprint(node.address, id))
-						plain.batch[fmt.Sprint(node.address, n.ask(node, true))] = true
+					if reference.batch[fmt.Sprint(node.address, id)] && !held && !node.requester.IsWaiting(id) {
+						delete(reference.batch, fmt.Sprint(node.address, id))
+						reference.batch[fmt.Sprint(node.address, n.ask(node, true))] = true
 					}
 				}
 			}
-			n.run(2 * time.Second) // peaks of online work reserve nothing any more
+			n.run(2 * time.Second) // the online peaks have decayed and reserve nothing
 			n.checkSlots(t)
 			online, batch := 0, 0
 			for _, node := range n.nodes {
@@ -80,11 +81,11 @@
 						online++
 					}
 				}
-				if node.alone > 0 {
-					t.Fatal("a request was left alone though all messages came")
+				if node.fallbacks > 0 {
+					t.Fatal("a request fell back to its own choice although no message was lost")
 				}
 			}
-			wantOnline, wantBatch := plain.underWay()
+			wantOnline, wantBatch := reference.wantInFlight()
 			if online != wantOnline || batch != wantBatch {
 				t.Fatalf("%d online and %d batch requests have slots, want %d and %d", online, batch, wantOnline, wantBatch)
 			}
@@ -92,9 +93,8 @@
 	})
 }
 
-// TestLossesLeaveNothingBehind loses messages, kills nodes and lets all requests
-// end: no dispatcher counts anything in the end, and every request of a node
-// that lived got an engine.
+// TestLossesLeaveNothingBehind loses messages, kills nodes and lets all requests end. In
+// the end no dispatcher may count any request, and no surviving node may have one left.
 func TestLossesLeaveNothingBehind(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(4, 2, rapid.IntRange(0, 300).Draw(t, "loss"), rapid.Uint64().Draw(t, "seed"))
@@ -102,7 +102,7 @@
 			node := n.nodes[rapid.IntRange(0, 3).Draw(t, "node")]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				node.dead = node.address != "n3" // one lives on
+				node.dead = node.address != "n3" // one node survives
 			case 1, 2:
 				for id := range node.held {
 					n.end(node, id)
@@ -115,8 +115,8 @@
 			}
 			n.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "ms")) * time.Millisecond)
 		}
-		n.lossPer = 0
-		for range 40 { // whoever has an engine ends, and makes room for the next
+		n.lossPerMille = 0
+		for range 40 { // requests at engines end and free their slots for the next
 			for _, node := range n.nodes {
 				for id := range node.held {
 					n.end(node, id)
@@ -129,17 +129,17 @@
 			if node.dead {
 				continue
 			}
-			if underWay, queued := node.dispatcher.Counts(); underWay+queued > 0 {
-				t.Fatalf("%s counts %d under way and %d queued", node.address, underWay, queued)
+			if inFlight, queued := node.dispatcher.Counts(); inFlight+queued > 0 {
+				t.Fatalf("%s counts %d requests in flight and %d queued, want none", node.address, inFlight, queued)
 			}
 			if !node.requester.Idle() {
-				t.Fatalf("%s still has something in the lane", node.address)
+				t.Fatalf("requester of %s is not idle after all requests have ended", node.address)
 			}
 		}
 	})
 }
 
-// TestGrantsGoByRankAndTimeLeft has one slot come free at a time.
+// TestGrantsGoByRankAndTimeLeft frees one slot at a time and checks the order of grants.
 func TestGrantsGoByRankAndTimeLeft(t *testing.T) {
 	d := NewDispatcher(DefaultDispatcherConfig(), lane, "n0", start)
 	d.SetEngines(entries(1), start)
@@ -160,9 +160,9 @@
 		state.Sequence++
 		state.Ended = []Ended{{ID: state.Held[0].ID, Engine: EngineHash(enginechoice.Incarnation{ID: "e0"})}}
 		state.Held = state.Held[1:]
-		now := start.Add(time.Duration(state.Sequence) * 400 * time.Millisecond) // peaks of online work are forgotten
+		now := start.Add(time.Duration(state.Sequence) * 400 * time.Millisecond) // the online peaks have decayed
 		d.Hear("n1", state, now)
-		d.began = start.Add(-time.Hour)
+		d.startedAt = start.Add(-time.Hour)
 		d.Tick(now)
 		for _, granted := range d.Replies()["n1"].Grants {
 			order = append(order, granted.ID)
@@ -180,8 +180,9 @@
 	}
 }
 
-// TestAskThatWaitsNoLongerIsPlaced has full engines of online requests.
-func TestAskThatWaitsNoLongerIsPlaced(t *testing.T) {
+// TestPlacedAskIsGrantedWithoutAFreeSlot asks for placement while the engine is full of
+// online requests.
+func TestPlacedAskIsGrantedWithoutAFreeSlot(t *testing.T) {
 	d := NewDispatcher(DefaultDispatcherConfig(), lane, "n0", start)
 	d.SetEngines(entries(1), start)
 	var held []Held
@@ -190,19 +191,20 @@
 	}
 	d.Hear("n1", State{Life: 1, Sequence: 1, Held: held, Waiting: []Ask{{ID: 1}}}, start)
 	if reply := d.Replies()["n1"]; len(reply.Grants) != 0 || reply.Queued != 1 {
-		t.Fatalf("got %+v", reply)
+		t.Fatalf("got %+v, want no grant and 1 queued request", reply)
 	}
 	d.Hear("n1", State{Life: 1, Sequence: 2, Held: held, Waiting: []Ask{{ID: 1, Place: true}}}, start)
 	if reply := d.Replies()["n1"]; len(reply.Grants) != 1 || reply.Grants[0].InFlight != slots {
-		t.Errorf("got %+v", reply)
+		t.Errorf("got %+v, want a grant although no slot is free", reply)
 	}
 }
 
-// TestRunThatIsBeingStoppedStopsNoOther has an online request make room. The head
-// of its answer still counts the run that was stopped: that is no reason to stop
-// one more. (Most likely what TestOnlineRequestMakesRoomAtOnce of package platform
-// met once: one run too many gave way, and the number that it waits for was passed.)
-func TestRunThatIsBeingStoppedStopsNoOther(t *testing.T) {
+// TestPreemptedRunCausesNoSecondPreemption has an online request preempt a batch run. The
+// engine's own count in the response still includes the preempted run, which must not
+// cause the preemption of another run. This most likely explains a failure of
+// TestOnlineRequestMakesRoomAtOnce in package platform, in which one batch run too many
+// was preempted.
+func TestPreemptedRunCausesNoSecondPreemption(t *testing.T) {
 	d := NewDispatcher(DefaultDispatcherConfig(), lane, "n0", start)
 	d.SetEngines(entries(1), start)
 	state := State{Life: 1, Sequence: 1, Waiting: []Ask{{ID: 1}}}
@@ -212,7 +214,7 @@
 	d.Hear("n1", state, start)
 	reply := d.Replies()["n1"]
 	if len(reply.Grants) != 1 || !reply.Grants[0].Preempts || len(reply.Stops) != 1 {
-		t.Fatalf("got %+v", reply)
+		t.Fatalf("got %+v, want one grant that preempts and one stop", reply)
 	}
 	state.Sequence, state.Waiting = 2, nil
 	for at, held := range state.Held {
@@ -224,11 +226,12 @@
 	d.Hear("n1", state, start.Add(5*time.Millisecond))
 	d.Tick(start.Add(10 * time.Millisecond))
 	if stops := d.Replies()["n1"].Stops; len(stops) != 0 {
-		t.Errorf("stops %v too", stops)
+		t.Errorf("runs %v were stopped as well", stops)
 	}
 }
 
-// TestEnginesThatLeaveGetNothing has the dispatcher's list change.
+// TestEnginesThatLeaveGetNothing grants requests while an engine is leaving and after an
+// engine was removed.
 func TestEnginesThatLeaveGetNothing(t *testing.T) {
 	d := NewDispatcher(DefaultDispatcherConfig(), lane, "n0", start)
 	list := entries(2)
@@ -237,13 +240,13 @@
 	d.Hear("n1", State{Life: 1, Sequence: 1, Waiting: []Ask{{ID: 1}, {ID: 2}}}, start)
 	for _, granted := range d.Replies()["n1"].Grants {
 		if granted.Engine != EngineHash(enginechoice.Incarnation{ID: "e1"}) {
-			t.Errorf("granted %+v", granted)
+			t.Errorf("granted %+v at an engine that is leaving", granted)
 		}
 	}
 	d.SetEngines(list[:1], start)
 	d.Hear("n1", State{Life: 1, Sequence: 2, Waiting: []Ask{{ID: 3}}}, start)
 	if reply := d.Replies()["n1"]; len(reply.Grants) != 0 {
-		t.Errorf("granted %+v", reply.Grants)
+		t.Errorf("granted %+v with no usable engine", reply.Grants)
 	}
 }
 
@@ -256,7 +259,7 @@
 		ranking := Rank(lane, candidates)
 		shuffled := rapid.Permutation(candidates).Draw(t, "shuffled")
 		if got := Rank(lane, shuffled); fmt.Sprint(got) != fmt.Sprint(ranking) {
-			t.Fatalf("%v and %v", got, ranking)
+			t.Fatalf("ranking of shuffled candidates is %v, want %v", got, ranking)
 		}
 		large := 0
 		for _, candidate := range candidates {
@@ -267,18 +270,18 @@
 		for _, address := range ranking {
 			for _, candidate := range candidates {
 				if candidate.Address == address && candidate.Capacity < 0.5 && large > 0 {
-					t.Fatalf("%s is a small machine", address)
+					t.Fatalf("%s is ranked although its machine is too small", address)
 				}
 			}
 		}
-		if len(ranking) == 0 || len(ranking) > ranked {
-			t.Fatalf("%d dispatchers", len(ranking))
+		if len(ranking) == 0 || len(ranking) > maxDispatchers {
+			t.Fatalf("%d candidates ranked, want 1 to maxDispatchers", len(ranking))
 		}
 	})
 }
 
 func TestLanesDivideTheEngines(t *testing.T) {
-	for slotsAll, want := range map[int]uint32{0: 1, slotsPerLane: 1, slotsPerLane + 1: 2, 3 * slotsPerLane: 4} {
+	for slotsAll, want := range map[int]uint32{0: 1, maxSlotsPerLane: 1, maxSlotsPerLane + 1: 2, 3 * maxSlotsPerLane: 4} {
 		if got := Parts(slotsAll); got != want {
 			t.Errorf("%d slots: %d lanes, want %d", slotsAll, got, want)
 		}
@@ -291,12 +294,13 @@
 			}
 		}
 		if holders != 1 {
-			t.Errorf("engine %d is in %d lanes", engine, holders)
+			t.Errorf("engine %d is in %d lanes, want 1", engine, holders)
 		}
 	}
 }
 
-// BenchmarkHear is a request's ask and end at the dispatcher of a large fleet.
+// BenchmarkHear measures the arrival and the end of a request at the dispatcher of a
+// large fleet.
 func BenchmarkHear(b *testing.B) {
 	for _, engines := range []int{12, 130, 256} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -317,16 +321,16 @@
 	}
 }
 
-// TestNoRequestThatFitsIsPassedOver fills an engine, has requests of some ranks and
-// tenants wait, and frees one slot after the other: each goes to the request that a
-// plain reading of the rule names.
-func TestNoRequestThatFitsIsPassedOver(t *testing.T) {
+// TestSlotsGoToWaitingRequestsInOrder fills an engine, queues requests of several ranks
+// and tenants, and frees one slot after the other. Each slot must go to the request that
+// comes first by the reference order, and no free slot may stay unused.
+func TestSlotsGoToWaitingRequestsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDispatcher(DefaultDispatcherConfig(), lane, "n0", start)
 		d.SetEngines(entries(1), start)
 		expected := time.Duration(rapid.IntRange(0, 60).Draw(t, "expected ms")) * time.Millisecond
 		if expected > 0 {
-			d.ready.observe(FirstToken{Elapsed: expected})
+			d.firstTokens.observe(FirstToken{Elapsed: expected})
 		}
 		state := State{Life: 1, Sequence: 1}
 		for id := range uint64(slots) {
@@ -342,7 +346,7 @@
 		for len(state.Waiting) > 0 {
 			best := 0
 			for i, ask := range state.Waiting {
-				if plainlyBefore(ask, state.Waiting[best], expected) {
+				if referenceBefore(ask, state.Waiting[best], expected) {
 					best = i
 				}
 			}
@@ -360,8 +364,9 @@
 	})
 }
 
-// plainlyBefore says whether a request goes before another one.
-func plainlyBefore(a, b Ask, expected time.Duration) bool {
+// referenceBefore is the reference order. It reports whether a request is granted before
+// another one.
+func referenceBefore(a, b Ask, expected time.Duration) bool {
 	aFits, bFits := a.DueIn >= expected, b.DueIn >= expected
 	switch {
 	case aFits != bFits:
--- a/internal/core/grant/grant.go
+++ b/internal/core/grant/grant.go
@@ -1,18 +1,19 @@
-// Package grant divides the slots of a pool's engines among requests. For each
-// lane, a part of a pool's engines, one node at a time is the dispatcher: other
-// nodes send it what they have under way there and what waits (State), and it
-// answers which request may go to which engine (Reply). The dispatcher so knows
-// all work at its engines, and a request that finds no free slot waits in one
-// queue until any engine has one.
+// Package grant assigns the slots of a pool's engines to requests. The engines of
+// a pool are divided into lanes, and one node at a time is the dispatcher of a
+// lane. The other nodes report their in-flight and waiting requests to it (State),
+// and it replies with the engine that each request may use (Reply). The dispatcher
+// therefore knows all work at the lane's engines, and requests that find no free
+// slot wait in a single queue until any of the engines has one.
 //
-// Nothing here needs agreement. A node that takes another for the dispatcher,
-// because lists of nodes differ or the first fell silent, costs a fuller engine
-// for a moment. Each State is whole: one that is lost is made good by the next,
-// and a new dispatcher knows a node's work with its first message.
+// No consensus is needed. When nodes disagree on the dispatcher, because their
+// member lists differ or the previous one stopped replying, an engine may get more
+// requests than it has slots for a short time. Each State is complete: a lost one
+// is made up for by the next, and a new dispatcher learns all of a node's work from
+// the node's first message.
 //
-// The package owns the state machines of both sides (Dispatcher, Requester) and
-// the ranking of nodes (Ranking). Time is an argument; it does no I/O and takes
-// no lock.
+// The package holds the state machines of both sides (Dispatcher, Requester) and
+// the ranking of dispatcher candidates (Rank). The current time is an argument;
+// the package does no I/O and takes no locks.
 package grant
 
 import (
@@ -24,83 +25,84 @@
 	"ringstream.example/ringstream/internal/core/quota"
 )
 
-// Lane is a part of a pool's engines that one dispatcher looks after.
+// Lane is a part of a pool's engines that is served by one dispatcher.
 type Lane struct {
 	Pool  string
-	Parts uint32 // that the pool's engines are divided into, a power of two
-	Part  uint32
+	Parts uint32 // number of lanes of the pool, a power of two
+	Part  uint32 // index of this lane, from 0
 }
 
-// Holds says whether an engine, given by EngineHash, belongs to the lane.
-func (l Lane) Holds(engine uint64) bool { return uint32(engine)&(l.Parts-1) == l.Part } //nolint:gosec // the low bits are meant
+// Holds reports whether an engine, given by its EngineHash, belongs to the lane.
+func (l Lane) Holds(engine uint64) bool { return uint32(engine)&(l.Parts-1) == l.Part } //nolint:gosec // only the low bits are used
 
-// EngineHash stands for an engine in messages.
+// EngineHash returns the hash that identifies an engine in messages.
 func EngineHash(engine enginechoice.Incarnation) uint64 { return engine.Hash() }
 
-// LifeHash stands for a node's life in messages.
+// LifeHash returns the hash that identifies one run of a node's process in messages.
 func LifeHash(life string) uint64 { return xxhash.Sum64String(life) }
 
-// PartHash gives the number by which requests that share a part of their prompts choose
-// the same lane.
+// PartHash returns the hash of a shared prompt part. Requests that share the part use it
+// to choose the same lane.
 func PartHash(part string) uint64 { return xxhash.Sum64String(part) }
 
-// TenantHash stands for a tenant's name in messages.
+// TenantHash returns the hash that identifies a tenant in messages.
 func TenantHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// slotsPerLane is how many slots one dispatcher looks after: engines run about
-// one request a second and slot on the deployments measured, so a dispatcher
-// gets some 2,000 asks a second at the most (docs/CAPACITY.md).
-const slotsPerLane = 2048
+// maxSlotsPerLane is the largest number of slots that one dispatcher serves. A slot
+// completes about one request per second, so this bounds a dispatcher to some 2,000
+// requests per second (docs/CAPACITY.md).
+const maxSlotsPerLane = 2048
 
-// Parts gives the number of lanes for a pool with so many slots.
+// Parts returns the number of lanes for a pool with the given number of slots.
 func Parts(slots int) uint32 {
 	parts := uint32(1)
-	for int(parts)*slotsPerLane < slots {
+	for int(parts)*maxSlotsPerLane < slots {
 		parts *= 2
 	}
 	return parts
 }
 
-// Ask is a request that waits for a slot.
+// Ask is a request that waits for a slot, as a node reports it to the dispatcher.
 type Ask struct {
-	ID    uint64 // of this node's try of the request
+	ID    uint64 // identifies this node's attempt at the request
 	Batch bool
-	// Late: a batch item that will miss its due time, or a request that has
-	// missed its objective; it goes after those of its rank that need not.
+	// Late marks a batch item that will miss its deadline, or a request that has missed
+	// its latency objective. Late batch requests are granted after all others.
 	Late bool
-	// Queued: another dispatcher had it in its queue.
+	// Queued reports that the request was in the queue of another dispatcher before.
 	Queued bool
-	// Place: it waits no longer; it gets an engine even where no slot is free.
+	// Place asks for an engine at once, even if no slot is free.
 	Place bool
-	// TenantRank is the priority of its tenant, which goes before Rank, that of its
-	// route; 0 is the highest.
+	// TenantRank is the priority of the request's tenant and Rank that of its route.
+	// TenantRank is compared first; 0 is the highest priority.
 	TenantRank, Rank int
-	// Tenant is whose limit counts it, by TenantHash; 0: nobody's, or it is counted
-	// already.
+	// Tenant is the TenantHash of the tenant whose limit the request counts against. It
+	// is 0 if there is no limit, or if the request has been counted already.
 	Tenant uint64
-	// AdmitOnly: it wants no slot here, but only to be counted.
+	// AdmitOnly asks only for admission by the tenant's limit, not for a slot.
 	AdmitOnly bool
-	// DueIn is the time that is left of its objective, or until the item is due,
-	// at the moment of sending.
+	// DueIn is the time left at sending: for an online request of its latency
+	// objective, for a batch item until its deadline.
 	DueIn        time.Duration
-	Shared       []enginechoice.Part // of its prompt, in order
-	OwnTokens    int                 // of the prompt that nobody shares
-	MemoryTokens int                 // prompt and expected output
-	Former       uint64              // EngineHash of an engine that may keep its prompt; 0: none
-	Exclude      []uint64            // EngineHash of engines that it must not go to
+	Shared       []enginechoice.Part // shared parts of the prompt, in order
+	OwnTokens    int                 // tokens of the prompt that no other request shares
+	MemoryTokens int                 // tokens of the prompt and of the expected output
+	Former       uint64              // EngineHash of an engine that may have the prompt cached; 0 if none
+	Exclude      []uint64            // EngineHash of engines that must not get the request
 	Suspect      Suspect
-	// BatchPercent bounds the batch requests at an engine, in per cent of its slots, and
-	// RoomPercent all requests in the lane when a batch request is added.
+	// BatchPercent bounds the batch requests at an engine, as a percentage of its slots.
+	// RoomPercent bounds all requests in the lane at which a batch request may still be
+	// added, as a percentage of the lane's slots.
 	BatchPercent, RoomPercent int
 }
 
-// Suspect says that engines have ended under a request's content.
+// Suspect describes a request's content as a suspected cause of engine crashes.
 type Suspect struct {
-	Content uint64 // hash; 0: no engine ended under it
-	Crashes int    // engines that did
+	Content uint64 // hash of the content; 0 if no engine has crashed while running it
+	Crashes int    // engines that have crashed while running it
 }
 
-// promptTokens is the length of the whole prompt.
+// promptTokens returns the length of the whole prompt.
 func (a Ask) promptTokens() int {
 	tokens := a.OwnTokens
 	for _, part := range a.Shared {
@@ -109,80 +111,83 @@
 	return tokens
 }
 
-// Held is a request under way at an engine.
+// Held is a request in flight at an engine.
 type Held struct {
 	ID            uint64
 	Engine        uint64 // EngineHash
 	Batch         bool
-	Started       bool // its first token has come
+	Started       bool // the first token has arrived
 	PrefillTokens int
 	MemoryTokens  int
 	Suspect       Suspect
 }
 
-// Ended is a request that has ended lately, or a grant that was not used.
+// Ended is a request that has ended recently, or a grant that was not used.
 type Ended struct {
 	ID      uint64
 	Engine  uint64 // EngineHash
 	Result  enginechoice.Result
-	Refused bool // nothing listens at the engine's address
-	Unused  bool // a grant that was given back: the request did not begin
+	Refused bool // the engine's address refused the connection
+	Unused  bool // the grant was returned; the request did not start
 }
 
-// Load is an engine's own count, from the head of an answer.
+// Load is an engine's own count of its requests, from the header of a response.
 type Load struct {
 	Engine           uint64 // EngineHash
 	Running, Waiting int
 }
 
-// State is all that a node has in a lane. It replaces what the node sent before.
+// State is a node's complete report for a lane. It replaces the node's previous report.
 type State struct {
-	Life     uint64 // of the node
-	Sequence uint64 // rises within a life, over all lanes and receivers
+	Life     uint64 // LifeHash of the node
+	Sequence uint64 // increases with every State of a Requester, whichever node receives it
 	Zone     string
 	Held     []Held
 	Waiting  []Ask
 	Ended    []Ended
 	Loads    []Load
-	// Firsts are online requests whose first token has come since the last message.
+	// Firsts holds the online requests whose first token has arrived since the previous
+	// message.
 	Firsts []FirstToken
-	// Connected are engines to which the node keeps an idle connection.
+	// Connected holds the EngineHash of the engines to which the node keeps an idle
+	// connection.
 	Connected []uint64
-	// Attached: the node turns to this dispatcher, also while it has nothing in the
-	// lane. Limits are kept by the part of the nodes that does (quota.Place).
+	// Attached reports that the node uses this dispatcher, even while it has no requests
+	// in the lane. The dispatcher's part of each tenant limit is the fraction of nodes
+	// that are attached to it (quota.Place).
 	Attached bool
 }
 
-// Grant lets a request go to an engine.
+// Grant permits a request to be sent to an engine.
 type Grant struct {
-	ID            uint64 // of the ask
+	ID            uint64 // Ask.ID
 	Engine        uint64 // EngineHash
-	PrefillTokens int    // that the engine has to read
-	InFlight      int    // requests there before this one
+	PrefillTokens int    // prompt tokens that the engine has to compute
+	InFlight      int    // requests at the engine before this one
 	Score         float64
-	// Preempts: a batch run there is being stopped for this request.
+	// Preempts reports that a batch run at the engine is being stopped for this request.
 	Preempts bool
-	Waited   time.Duration // in the dispatcher's queue
+	Waited   time.Duration // time in the dispatcher's queue
 }
 
-// Refusal tells that a tenant's limit does not let a request through.
+// Refusal reports that a tenant's limit does not admit a request.
 type Refusal struct {
-	ID      uint64 // of the ask
+	ID      uint64 // Ask.ID
 	Verdict quota.Verdict
 }
 
 // Reply is a dispatcher's answer to a State.
 type Reply struct {
-	Life     uint64 // of the node that is answered
-	Sequence uint64 // of its newest State that was taken
+	Life     uint64 // LifeHash of the receiving node
+	Sequence uint64 // Sequence of the newest State applied from the node
 	Grants   []Grant
 	Refused  []Refusal
-	// Stops are batch runs of the node that are to make room.
+	// Stops holds the IDs of the node's batch runs that are preempted.
 	Stops []uint64
-	// Queued is how many online requests of all nodes wait for a slot.
+	// Queued is the number of online requests of all nodes that wait for a slot.
 	Queued int
 }
 
-// declined is the result of a grant that was not used; it says nothing of the
-// engine.
-const declined = enginechoice.Abandoned
+// declinedResult is the result of an unused grant. It does not affect the engine's
+// health.
+const declinedResult = enginechoice.Abandoned
--- a/internal/core/grant/limits_test.go
+++ b/internal/core/grant/limits_test.go
@@ -15,63 +15,63 @@
 	testMargin = quota.Margin{Window: 5 * time.Second, Part: 0.1, Requests: 20}
 )
 
-// limited is a network whose nodes count the requests of one tenant.
-type limited struct {
+// limitedNetwork is a network whose nodes enforce the rate limit of one tenant.
+type limitedNetwork struct {
 	*network
-	limit   quota.RateLimit
-	lone    map[*simNode]*quota.Place
-	begun   []time.Time // runs of the tenant's requests, at all nodes
-	refused int
-	asked   int
-	blocked map[string]bool // "from>to" of messages that are lost
-	paused  map[*simNode]bool
+	limit          quota.RateLimit
+	fallbackLimits map[*simNode]*quota.Place
+	startTimes     []time.Time // starts of the tenant's requests, at all nodes
+	refused        int
+	asked          int
+	blocked        map[string]bool // "from>to" of messages that are lost
+	pausedNodes    map[*simNode]bool
 }
 
-func newLimited(nodes, engines int, limit quota.RateLimit, seed uint64) *limited {
-	n := &limited{network: newNetwork(nodes, engines, 0, seed), limit: limit, blocked: make(map[string]bool), paused: make(map[*simNode]bool), lone: make(map[*simNode]*quota.Place)}
+func newLimitedNetwork(nodes, engines int, limit quota.RateLimit, seed uint64) *limitedNetwork {
+	n := &limitedNetwork{network: newNetwork(nodes, engines, 0, seed), limit: limit, blocked: make(map[string]bool), pausedNodes: make(map[*simNode]bool), fallbackLimits: make(map[*simNode]*quota.Place)}
 	for _, node := range n.nodes {
 		n.setUp(node)
 	}
 	n.onBegin = func(node *simNode, id uint64) {
 		if node.tenant[id] {
-			n.begun = append(n.begun, n.now)
+			n.startTimes = append(n.startTimes, n.now)
 		}
 	}
 	n.onRefused = func(*simNode, uint64) { n.refused++ }
-	n.onAlone = func(node *simNode, id uint64) bool {
+	n.onFallback = func(node *simNode, id uint64) bool {
 		if !node.tenant[id] {
 			return true
 		}
-		n.lone[node].Advance(n.now, 1/float64(len(n.nodes)))
-		admitted := n.lone[node].DrawAlone(tenantA, n.random.Float64())
+		n.fallbackLimits[node].Advance(n.now, 1/float64(len(n.nodes)))
+		admitted := n.fallbackLimits[node].DrawAlone(tenantA, n.random.Float64())
 		if !admitted {
 			n.refused++
 		}
 		return admitted
 	}
-	n.pausedNow = func(node *simNode) bool { return n.paused[node] }
+	n.pausedNow = func(node *simNode) bool { return n.pausedNodes[node] }
 	n.lost = func(from, to string) bool { return n.blocked[from+">"+to] }
 	return n
 }
 
-// setUp has a node know the limit and the number of nodes.
-func (n *limited) setUp(node *simNode) {
+// setUp sets the limit and the number of nodes at a node.
+func (n *limitedNetwork) setUp(node *simNode) {
 	limits := map[uint64]quota.RateLimit{tenantA: n.limit}
 	node.dispatcher.SetLimits(testMargin, limits, n.now)
 	node.dispatcher.SetLive(len(n.nodes))
 	node.requester.SetAttached(true, n.now)
-	n.lone[node] = quota.NewLonePlace(testMargin, n.now)
-	n.lone[node].SetLimits(limits)
+	n.fallbackLimits[node] = quota.NewLonePlace(testMargin, n.now)
+	n.fallbackLimits[node].SetLimits(limits)
 }
 
-// restart gives a node a new life; it knows nothing of the one before.
-func (n *limited) restart(node *simNode, life uint64) {
+// restart starts a node again without any of its state.
+func (n *limitedNetwork) restart(node *simNode, life uint64) {
 	var addresses []string
 	for i := range n.nodes {
 		addresses = append(addresses, fmt.Sprintf("n%d", i))
 	}
 	node.requester = NewRequester(DefaultRequesterConfig(), life, "z1")
-	node.requester.SetRanking(append(addresses[:min(ranked, len(addresses))], node.address), n.now)
+	node.requester.SetRanking(append(addresses[:min(maxDispatchers, len(addresses))], node.address), n.now)
 	node.dispatcher = NewDispatcher(DefaultDispatcherConfig(), lane, node.address, n.now)
 	node.dispatcher.SetEngines(entries(n.engines), n.now)
 	clear(node.held)
@@ -79,20 +79,20 @@
 	n.setUp(node)
 }
 
-// askOfTenant has a request of the tenant arrive at a node.
-func (n *limited) askOfTenant(node *simNode) {
+// askOfTenant adds a request of the tenant at a node.
+func (n *limitedNetwork) askOfTenant(node *simNode) {
 	if node.dead {
 		return
 	}
 	n.asked++
 	node.nextID++
-	node.tenant[node.nextID], node.began[node.nextID] = true, n.now
+	node.tenant[node.nextID], node.askedAt[node.nextID] = true, n.now
 	node.requester.Wait(Ask{ID: node.nextID, Tenant: tenantA}, n.now.Add(300*time.Millisecond), n.now)
 }
 
-// load lets time pass with so many requests of the tenant a second, at nodes by
-// chance; each runs for some milliseconds.
-func (n *limited) load(span time.Duration, perSecond float64) {
+// load runs the network for a span of time while the tenant's requests arrive at random
+// nodes with the given rate. Each request runs for some milliseconds.
+func (n *limitedNetwork) load(span time.Duration, perSecond float64) {
 	for end := n.now.Add(span); n.now.Before(end); {
 		if n.random.Float64() < perSecond*step.Seconds() {
 			n.askOfTenant(n.nodes[n.random.IntN(len(n.nodes))])
@@ -108,8 +108,9 @@
 	}
 }
 
-// mostWithin gives the most of some moments that lie in any window.
-func mostWithin(moments []time.Time, window time.Duration) int {
+// maxWithin returns the largest number of moments that lie within any window of the given
+// length.
+func maxWithin(moments []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for i, at := range moments {
 		for at.Sub(moments[first]) >= window {
@@ -120,42 +121,43 @@
 	return most
 }
 
-// faultsAllowed is how many faults in one window the operator's margin covers.
+// faultsAllowed is the number of faults in one window that the operator's margin covers.
 const faultsAllowed = 3
 
-// moreFor gives what each further fault in a window may add: a new place that begins
-// with a quarter of the margin, and all nodes counting at two places for a while.
-func (n *limited) moreFor(faults int) float64 {
+// extraFor returns the number of requests by which further faults in a window may exceed
+// the bound. Each fault may start a new quota.Place with a quarter of the margin, and may
+// have all nodes count at two places until AttachmentTimeout.
+func (n *limitedNetwork) extraFor(faults int) float64 {
 	allowed := testMargin.Window.Seconds()*n.limit.PerSecond + n.limit.Burst
 	margin := allowed*testMargin.Part + testMargin.Requests
-	moving := n.limit.PerSecond * DefaultDispatcherConfig().AttachedFor.Seconds()
+	moving := n.limit.PerSecond * DefaultDispatcherConfig().AttachmentTimeout.Seconds()
 	return float64(max(faults, 0)) * (margin/4 + moving)
 }
 
-// bound is what the operator lets all nodes together run in a window.
-func (n *limited) bound() float64 {
+// bound is the number of requests that all nodes together may start in a window.
+func (n *limitedNetwork) bound() float64 {
 	allowed := testMargin.Window.Seconds()*n.limit.PerSecond + n.limit.Burst
 	return allowed*(1+testMargin.Part) + testMargin.Requests
 }
 
-// TestLimitHoldsOverAllNodesUnderFaults has nodes killed and restarted, paused, cut
-// from each other in both directions or one, while the tenant asks for up to four
-// times its limit. With two seconds and more between faults all nodes together keep to
-// what the operator allows; with less, to the formula of quota.Place.
+// TestLimitHoldsOverAllNodesUnderFaults kills, restarts, pauses and disconnects nodes, in
+// one direction or both, while the tenant demands up to four times its limit. With two
+// seconds and more between faults all nodes together must keep to the operator's bound;
+// with less, to the bound that is documented at quota.Place.
 func TestLimitHoldsOverAllNodesUnderFaults(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		least, most int // milliseconds between two faults
+		name         string
+		minMs, maxMs int // time between two faults, in milliseconds
 	}{{"apart", 2000, 4000}, {"at any time", 20, 3000}} {
-		t.Run(test.name, func(t *testing.T) { limitUnderFaults(t, test.least, test.most) })
+		t.Run(test.name, func(t *testing.T) { limitUnderFaults(t, test.minMs, test.maxMs) })
 	}
 }
 
-func limitUnderFaults(t *testing.T, least, most int) {
+func limitUnderFaults(t *testing.T, minMs, maxMs int) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.SampledFrom([]int{3, 8, 30, 100}).Draw(t, "rate"))
-		n := newLimited(rapid.IntRange(3, 8).Draw(t, "nodes"), 200, quota.RateLimit{PerSecond: rate, Burst: rate}, rapid.Uint64().Draw(t, "seed"))
-		n.lossPer = rapid.IntRange(0, 50).Draw(t, "loss")
+		n := newLimitedNetwork(rapid.IntRange(3, 8).Draw(t, "nodes"), 200, quota.RateLimit{PerSecond: rate, Burst: rate}, rapid.Uint64().Draw(t, "seed"))
+		n.lossPerMille = rapid.IntRange(0, 50).Draw(t, "loss")
 		life := uint64(100)
 		var faults []time.Time
 		for range rapid.IntRange(1, 6).Draw(t, "faults") {
@@ -167,7 +169,7 @@
 				life++
 				n.restart(node, life)
 			case "pause":
-				n.paused[node] = !n.paused[node]
+				n.pausedNodes[node] = !n.pausedNodes[node]
 			case "cut":
 				n.cut(node, true, true)
 			case "cut one way":
@@ -183,24 +185,24 @@
 					}
 				}
 			case "restart all":
-				n.load(600*time.Millisecond, 0) // nobody serves meanwhile
+				n.load(600*time.Millisecond, 0) // no requests arrive meanwhile
 				for _, one := range n.nodes {
 					life++
 					n.restart(one, life)
 				}
 			}
 			faults = append(faults, n.now)
-			n.load(time.Duration(rapid.IntRange(least, most).Draw(t, "ms"))*time.Millisecond, rate*float64(rapid.IntRange(1, 4).Draw(t, "times")))
+			n.load(time.Duration(rapid.IntRange(minMs, maxMs).Draw(t, "ms"))*time.Millisecond, rate*float64(rapid.IntRange(1, 4).Draw(t, "times")))
 		}
-		bound := n.bound() + n.moreFor(mostWithin(faults, testMargin.Window)-faultsAllowed)
-		if ran := mostWithin(n.begun, testMargin.Window); float64(ran) > bound {
-			t.Errorf("%d requests ran in a window, bound %.0f", ran, bound)
+		bound := n.bound() + n.extraFor(maxWithin(faults, testMargin.Window)-faultsAllowed)
+		if ran := maxWithin(n.startTimes, testMargin.Window); float64(ran) > bound {
+			t.Errorf("%d requests started in a window, want at most %.0f", ran, bound)
 		}
 	})
 }
 
-// cut has the messages of a node lost that it sends, or that it gets.
-func (n *limited) cut(node *simNode, sent, got bool) {
+// cut loses or restores the messages that a node sends and those that it receives.
+func (n *limitedNetwork) cut(node *simNode, sent, got bool) {
 	for _, other := range n.nodes {
 		if other != node {
 			n.blocked[node.address+">"+other.address] = sent
@@ -209,37 +211,37 @@
 	}
 }
 
-// TestRequestsWithinTheLimitAreServed asks for six tenths of the limit, with bursts
-// of a fifth above it: nothing is refused.
+// TestRequestsWithinTheLimitAreServed demands 40 % of the limit, with bursts of a fifth
+// above the limit. No request may be refused.
 func TestRequestsWithinTheLimitAreServed(t *testing.T) {
-	n := newLimited(8, 200, quota.RateLimit{PerSecond: 30, Burst: 30}, 1)
-	n.load(2*time.Second, 0) // buckets fill
+	n := newLimitedNetwork(8, 200, quota.RateLimit{PerSecond: 30, Burst: 30}, 1)
+	n.load(2*time.Second, 0) // the token buckets fill
 	for range 4 {
 		n.load(3*time.Second, 12)
 		n.load(2*time.Second, 36)
 	}
-	if n.refused > 0 || len(n.begun) < n.asked-5 {
-		t.Errorf("%d of %d ran, %d refused", len(n.begun), n.asked, n.refused)
+	if n.refused > 0 || len(n.startTimes) < n.asked-5 {
+		t.Errorf("%d of %d requests started and %d were refused", len(n.startTimes), n.asked, n.refused)
 	}
 }
 
-// TestTenantAboveItsLimitGetsItsLimit asks for one and a half times the limit.
+// TestTenantAboveItsLimitGetsItsLimit demands one and a half times the limit.
 func TestTenantAboveItsLimitGetsItsLimit(t *testing.T) {
-	n := newLimited(8, 200, quota.RateLimit{PerSecond: 30, Burst: 30}, 1)
+	n := newLimitedNetwork(8, 200, quota.RateLimit{PerSecond: 30, Burst: 30}, 1)
 	n.load(20*time.Second, 45)
-	if ran := len(n.begun); ran < 20*30 || ran > 20*30+30+60 {
-		t.Errorf("%d of %d ran in 20 s", ran, n.asked)
+	if ran := len(n.startTimes); ran < 20*30 || ran > 20*30+30+60 {
+		t.Errorf("%d of %d requests started in 20 s", ran, n.asked)
 	}
-	if ran := mostWithin(n.begun, testMargin.Window); float64(ran) > n.bound() {
-		t.Errorf("%d in a window", ran)
+	if ran := maxWithin(n.startTimes, testMargin.Window); float64(ran) > n.bound() {
+		t.Errorf("%d requests started in a window, more than the bound", ran)
 	}
 }
 
-// TestKilledDispatcherCostsUnderASecondOfALimit kills the node that counts, at a
-// demand of nine tenths of the limit.
+// TestKilledDispatcherCostsUnderASecondOfALimit kills the dispatcher, which counts the
+// requests, at a demand of nine tenths of the limit.
 func TestKilledDispatcherCostsUnderASecondOfALimit(t *testing.T) {
 	for _, rate := range []float64{8, 30, 138} {
-		n := newLimited(8, 400, quota.RateLimit{PerSecond: rate, Burst: rate}, 1)
+		n := newLimitedNetwork(8, 400, quota.RateLimit{PerSecond: rate, Burst: rate}, 1)
 		n.load(3*time.Second, 0.9*rate)
 		before := n.refused
 		n.nodes[0].dead = true
@@ -250,25 +252,25 @@
 	}
 }
 
-// TestLostReplyIsNotCountedTwice loses half of all messages at a demand well below
-// the limit.
+// TestLostReplyIsNotCountedTwice loses 40 % of all messages at a demand well below the
+// limit. The full burst must be left afterwards.
 func TestLostReplyIsNotCountedTwice(t *testing.T) {
-	n := newLimited(4, 200, quota.RateLimit{PerSecond: 50, Burst: 50}, 3)
+	n := newLimitedNetwork(4, 200, quota.RateLimit{PerSecond: 50, Burst: 50}, 3)
 	n.load(2*time.Second, 0)
-	n.lossPer = 400
+	n.lossPerMille = 400
 	n.load(10*time.Second, 20)
-	n.lossPer = 0
+	n.lossPerMille = 0
 	n.load(2*time.Second, 0)
 	for _, node := range n.nodes {
 		if verdict := node.dispatcher.limits.Reserve(tenantA); node.dispatcher == n.nodes[0].dispatcher && verdict.Left < 49 {
-			t.Errorf("left %v of 50 after two seconds of calm", verdict.Left)
+			t.Errorf("%v of a burst of 50 left after two seconds without requests", verdict.Left)
 		}
 	}
 }
 
-// TestAskToBeCountedAloneHoldsNoSlot asks to be counted for a request whose engine is
-// in another lane.
-func TestAskToBeCountedAloneHoldsNoSlot(t *testing.T) {
+// TestAdmitOnlyAskHoldsNoSlot asks only for admission, as for a request whose engine is in
+// another lane.
+func TestAdmitOnlyAskHoldsNoSlot(t *testing.T) {
 	d := NewDispatcher(DefaultDispatcherConfig(), lane, "n0", start)
 	d.SetEngines(entries(1), start)
 	d.SetLive(1)
@@ -289,12 +291,12 @@
 	again := hear(Ask{ID: 1, Tenant: tenantA, AdmitOnly: true}) // its reply was lost
 	second := hear(Ask{ID: 2, Tenant: tenantA, AdmitOnly: true})
 	if len(first.Grants) != 1 || len(again.Grants) != 1 || len(again.Refused) > 0 {
-		t.Errorf("first %+v, again %+v", first, again)
+		t.Errorf("got %+v and, after a lost reply, %+v; want a grant in both", first, again)
 	}
 	if len(second.Grants) > 0 || len(second.Refused) != 1 || second.Refused[0].Verdict.RetryAfter <= 0 {
-		t.Errorf("second %+v", second)
+		t.Errorf("got %+v for a request over the limit, want a refusal", second)
 	}
 	if own := d.engines.Own(); len(own) > 0 {
-		t.Errorf("slots are held: %v", own)
+		t.Errorf("requests that need only admission hold slots: %v", own)
 	}
 }
--- a/internal/core/grant/network_test.go
+++ b/internal/core/grant/network_test.go
@@ -13,8 +13,8 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const (
-	step  = time.Millisecond // of the virtual clock
-	slots = 4
+	step  = time.Millisecond // step of the virtual clock
+	slots = 4                // slots of an engine
 )
 
 var lane = Lane{Pool: "p", Parts: 1}
@@ -33,12 +33,12 @@
 	requester  *Requester
 	dispatcher *Dispatcher
 	dead       bool
-	held       map[uint64]uint64 // engine by request
+	held       map[uint64]uint64 // EngineHash by request
 	batch      map[uint64]bool
 	tenant     map[uint64]bool      // requests of the tenant that has a limit
-	began      map[uint64]time.Time // when a request asked
-	waits      []time.Duration      // of the requests that got an engine
-	alone      int
+	askedAt    map[uint64]time.Time // arrival of each request
+	waits      []time.Duration      // waiting times of the requests that got an engine
+	fallbacks  int
 	nextID     uint64
 }
 
@@ -49,27 +49,26 @@
 	reply    *Reply
 }
 
-// network is some nodes that exchange datagrams with delay and loss, on a
-// virtual clock.
+// network simulates nodes that exchange datagrams with delay and loss, on a virtual clock.
 type network struct {
-	now     time.Time
-	nodes   []*simNode
-	queue   []datagram
-	lossPer int // in a thousand
-	random  *rand.Rand
-	sent    int
-	engines int
+	now          time.Time
+	nodes        []*simNode
+	queue        []datagram
+	lossPerMille int // lost datagrams in a thousand
+	random       *rand.Rand
+	sent         int
+	engines      int
 
-	// What a test adds; nil: nothing.
-	lost      func(from, to string) bool
-	onBegin   func(node *simNode, id uint64)
-	onRefused func(node *simNode, id uint64)
-	onAlone   func(node *simNode, id uint64) (begins bool)
-	pausedNow func(node *simNode) bool
+	// Optional hooks of a test.
+	lost       func(from, to string) bool
+	onBegin    func(node *simNode, id uint64)
+	onRefused  func(node *simNode, id uint64)
+	onFallback func(node *simNode, id uint64) (begins bool)
+	pausedNow  func(node *simNode) bool
 }
 
-func newNetwork(nodes, engines, lossPer int, seed uint64) *network {
-	n := &network{now: start, lossPer: lossPer, engines: engines, random: rand.New(rand.NewPCG(seed, 1))}
+func newNetwork(nodes, engines, lossPerMille int, seed uint64) *network {
+	n := &network{now: start, lossPerMille: lossPerMille, engines: engines, random: rand.New(rand.NewPCG(seed, 1))}
 	var addresses []string
 	for i := range nodes {
 		addresses = append(addresses, fmt.Sprintf("n%d", i))
@@ -78,10 +77,10 @@
 		node := &simNode{
 			address: address, requester: NewRequester(DefaultRequesterConfig(), uint64(i)+1, "z1"),
 			dispatcher: NewDispatcher(DefaultDispatcherConfig(), lane, address, start),
-			held:       make(map[uint64]uint64), batch: make(map[uint64]bool), tenant: make(map[uint64]bool), began: make(map[uint64]time.Time),
+			held:       make(map[uint64]uint64), batch: make(map[uint64]bool), tenant: make(map[uint64]bool), askedAt: make(map[uint64]time.Time),
 		}
 		node.dispatcher.SetEngines(entries(engines), start)
-		node.requester.SetRanking(append(slices.Clone(addresses[:min(ranked, nodes)]), address), start)
+		node.requester.SetRanking(append(slices.Clone(addresses[:min(maxDispatchers, nodes)]), address), start)
 		n.nodes = append(n.nodes, node)
 	}
 	return n
@@ -96,9 +95,9 @@
 	return nil
 }
 
-func (n *network) post(from, to string, state *State, reply *Reply) {
+func (n *network) send(from, to string, state *State, reply *Reply) {
 	n.sent++
-	if from != to && (n.random.IntN(1000) < n.lossPer || (n.lost != nil && n.lost(from, to))) {
+	if from != to && (n.random.IntN(1000) < n.lossPerMille || (n.lost != nil && n.lost(from, to))) {
 		return
 	}
 	delay := time.Duration(0)
@@ -108,11 +107,11 @@
 	n.queue = append(n.queue, datagram{at: n.now.Add(delay), from: from, to: to, state: state, reply: reply})
 }
 
-// run moves the clock on.
+// run advances the clock by a span of time.
 func (n *network) run(span time.Duration) {
 	for end := n.now.Add(span); n.now.Before(end); n.now = n.now.Add(step) {
 		for _, node := range n.nodes {
-			if !node.dead && !n.stands(node) {
+			if !node.dead && !n.isPaused(node) {
 				n.poll(node)
 			}
 		}
@@ -120,21 +119,21 @@
 	}
 }
 
-// stands says whether a node is paused.
-func (n *network) stands(node *simNode) bool { return n.pausedNow != nil && n.pausedNow(node) }
+// isPaused reports whether a node is paused.
+func (n *network) isPaused(node *simNode) bool { return n.pausedNow != nil && n.pausedNow(node) }
 
 func (n *network) poll(node *simNode) {
 	if n.now.Sub(start)%(10*step) == 0 {
 		node.dispatcher.Tick(n.now)
 		n.replies(node)
 	}
-	due, _ := node.requester.Poll(n.now, nil)
-	for _, send := range due.Sends {
-		n.post(node.address, send.To, &send.State, nil)
+	actions, _ := node.requester.Poll(n.now, nil)
+	for _, send := range actions.Sends {
+		n.send(node.address, send.To, &send.State, nil)
 	}
-	for _, id := range due.Alone {
-		node.alone++
-		if n.onAlone != nil && !n.onAlone(node, id) {
+	for _, id := range actions.Alone {
+		node.fallbacks++
+		if n.onFallback != nil && !n.onFallback(node, id) {
 			continue
 		}
 		n.begin(node, id, EngineHash(enginechoice.Incarnation{ID: "e0"}))
@@ -146,13 +145,13 @@
 	if n.onBegin != nil {
 		n.onBegin(node, id)
 	}
-	node.waits = append(node.waits, n.now.Sub(node.began[id]))
+	node.waits = append(node.waits, n.now.Sub(node.askedAt[id]))
 	node.requester.Begin(Held{ID: id, Engine: engine, Batch: node.batch[id]}, 0, n.now)
 }
 
 func (n *network) replies(node *simNode) {
 	for to, reply := range node.dispatcher.Replies() {
-		n.post(node.address, to, nil, &reply)
+		n.send(node.address, to, nil, &reply)
 	}
 }
 
@@ -168,8 +167,8 @@
 		if node == nil || node.dead {
 			continue
 		}
-		if n.stands(node) {
-			message.at = n.now.Add(step) // it lies in the socket until the node goes on
+		if n.isPaused(node) {
+			message.at = n.now.Add(step) // it stays in the socket buffer until the node resumes
 			n.queue = append(n.queue, message)
 			continue
 		}
@@ -178,14 +177,14 @@
 			n.replies(node)
 			continue
 		}
-		heard := node.requester.HearReply(message.from, *message.reply, n.now)
-		for _, granted := range heard.Grants {
+		outcome := node.requester.HearReply(message.from, *message.reply, n.now)
+		for _, granted := range outcome.Grants {
 			n.begin(node, granted.ID, granted.Engine)
 		}
-		for _, id := range heard.Stops {
+		for _, id := range outcome.Stops {
 			n.end(node, id)
 		}
-		for _, refusal := range heard.Refused {
+		for _, refusal := range outcome.Refused {
 			if n.onRefused != nil {
 				n.onRefused(node, refusal.ID)
 			}
@@ -196,7 +195,7 @@
 func (n *network) ask(node *simNode, batch bool) uint64 {
 	node.nextID++
 	id := node.nextID
-	node.batch[id], node.began[id] = batch, n.now
+	node.batch[id], node.askedAt[id] = batch, n.now
 	node.requester.Wait(Ask{ID: id, Batch: batch, BatchPercent: 100, RoomPercent: 100}, n.now.Add(300*time.Millisecond), n.now)
 	return id
 }
@@ -210,8 +209,8 @@
 	node.requester.End(Ended{ID: id, Engine: engine}, n.now)
 }
 
-// underWay counts the requests at each engine, of all nodes that live.
-func (n *network) underWay() map[uint64]int {
+// inFlightByEngine counts the requests of all live nodes at each engine.
+func (n *network) inFlightByEngine() map[uint64]int {
 	counts := make(map[uint64]int)
 	for _, node := range n.nodes {
 		if node.dead {
@@ -225,16 +224,15 @@
 }
 
 func (n *network) checkSlots(t interface{ Fatalf(string, ...any) }) {
-	for engine, count := range n.underWay() {
+	for engine, count := range n.inFlightByEngine() {
 		if count > slots {
-			t.Fatalf("%v: %d requests at engine %d of %d slots", n.now.Sub(start), count, engine, slots)
+			t.Fatalf("after %v: %d requests at engine %d, which has %d slots", n.now.Sub(start), count, engine, slots)
 		}
 	}
 }
 
-// TestLostDispatcherCostsLittle kills the dispatcher while requests come: each
-// request gets an engine within 50 ms, and the next dispatcher knows the slots
-// that are in use.
+// TestLostDispatcherCostsLittle kills the dispatcher while requests arrive. Each request
+// must get an engine within 50 ms, and the next dispatcher must know the slots in use.
 func TestLostDispatcherCostsLittle(t *testing.T) {
 	n := newNetwork(5, 3, 0, 1)
 	for range 4 { // 8 requests at 12 slots
@@ -254,27 +252,28 @@
 		n.ask(node, false)
 		n.run(50 * time.Millisecond)
 	}
-	n.run(2 * RefreshEvery)
+	n.run(2 * RefreshInterval)
 	held := 0
-	for _, count := range n.underWay() {
+	for _, count := range n.inFlightByEngine() {
 		held += count
 	}
 	if known, _ := n.nodes[1].dispatcher.Counts(); known != held {
-		t.Errorf("the next dispatcher knows of %d requests under way, of %d", known, held)
+		t.Errorf("the next dispatcher knows %d of %d requests in flight", known, held)
 	}
 	for _, node := range n.nodes[3:] {
 		for _, waited := range node.waits {
 			if waited > 50*time.Millisecond {
-				t.Errorf("%s: a request waited %v", node.address, waited)
+				t.Errorf("%s: a request waited %v, want at most 50ms", node.address, waited)
 			}
 		}
 		if node.requester.Current() != "n1" {
-			t.Errorf("%s asks %s", node.address, node.requester.Current())
+			t.Errorf("dispatcher of %s is %s, want n1", node.address, node.requester.Current())
 		}
 	}
 }
 
-// TestReturnedDispatcherIsAskedAgain cuts the best dispatcher off for a while.
+// TestReturnedDispatcherIsAskedAgain makes the best ranked dispatcher unreachable for a
+// while. The requester must switch away from it and back.
 func TestReturnedDispatcherIsAskedAgain(t *testing.T) {
 	n := newNetwork(4, 3, 0, 2)
 	n.ask(n.nodes[3], false)
@@ -283,24 +282,24 @@
 	n.ask(n.nodes[3], false)
 	n.run(time.Second)
 	if current := n.nodes[3].requester.Current(); current != "n1" {
-		t.Fatalf("asks %s while the best is dead", current)
+		t.Fatalf("dispatcher is %s while the best ranked one is dead, want n1", current)
 	}
 	n.nodes[0].dead = false
 	n.run(3 * time.Second)
 	if current := n.nodes[3].requester.Current(); current != "n0" {
-		t.Errorf("asks %s after the best has returned", current)
+		t.Errorf("dispatcher is %s after the best ranked one has returned, want n0", current)
 	}
 	if held, _ := n.nodes[0].dispatcher.Counts(); held != 2 {
-		t.Errorf("the returned dispatcher knows of %d requests, want 2", held)
+		t.Errorf("the returned dispatcher counts %d requests in flight, want 2", held)
 	}
 	if held, _ := n.nodes[1].dispatcher.Counts(); held != 0 {
-		t.Errorf("the one that was left still counts %d", held)
+		t.Errorf("the previous dispatcher counts %d requests in flight, want 0", held)
 	}
 }
 
-// TestNodeThatStoodStillSuspectsNobody has a node poll late, as after a pause:
-// the answers that wait to be read are no silence.
-func TestNodeThatStoodStillSuspectsNobody(t *testing.T) {
+// TestPausedNodeKeepsItsDispatcher has a node poll late, as after a pause. Replies that
+// the node has yet to read must not count as missing.
+func TestPausedNodeKeepsItsDispatcher(t *testing.T) {
 	n := newNetwork(2, 3, 0, 3)
 	n.ask(n.nodes[1], false)
 	n.run(5 * step)
@@ -309,12 +308,12 @@
 	n.now = n.now.Add(2 * time.Second)
 	n.run(100 * time.Millisecond)
 	if current := n.nodes[1].requester.Current(); current != "n0" {
-		t.Errorf("asks %s", current)
+		t.Errorf("dispatcher is %s after a pause of the node, want n0", current)
 	}
 }
 
-// TestQueuedRequestsAreAskedForAtTheNextDispatcher fills all engines, and has requests
-// wait when the nodes turn to another dispatcher: they go on waiting there.
+// TestQueuedRequestsAreAskedForAtTheNextDispatcher fills all engines and has requests wait
+// while the nodes switch to another dispatcher. The requests must continue to wait there.
 func TestQueuedRequestsAreAskedForAtTheNextDispatcher(t *testing.T) {
 	n := newNetwork(4, 1, 0, 1)
 	for range slots {
@@ -328,11 +327,11 @@
 	n.nodes[3].requester.SetRanking([]string{"n1", "n2", "n3"}, n.now)
 	n.nodes[2].requester.SetRanking([]string{"n1", "n2", "n3"}, n.now)
 	n.run(100 * time.Millisecond)
-	if n.nodes[3].alone > 0 {
-		t.Errorf("%d requests were left alone", n.nodes[3].alone)
+	if n.nodes[3].fallbacks > 0 {
+		t.Errorf("%d requests fell back to their node's own choice", n.nodes[3].fallbacks)
 	}
 	if _, queued := n.nodes[1].dispatcher.Counts(); queued != 3 {
-		t.Errorf("%d wait at the next dispatcher, want 3", queued)
+		t.Errorf("%d requests wait at the next dispatcher, want 3", queued)
 	}
 	n.checkSlots(t)
 }
--- a/internal/core/grant/poll.go
+++ b/internal/core/grant/poll.go
@@ -6,118 +6,121 @@
 	"time"
 )
 
-// NextAt gives when Poll is due at the latest, now that something has changed.
-func (r *Requester) NextAt(now time.Time) time.Time { return r.next(now) }
+// NextAt returns the latest time for the next Poll after a change.
+func (r *Requester) NextAt(now time.Time) time.Time { return r.nextPollAt(now) }
 
-// Send is a State for a node.
-type Send struct {
+// OutgoingState is a State to be sent to a node.
+type OutgoingState struct {
 	To    string
 	State State
 }
 
-// Due is what is to be done now.
-type Due struct {
-	Sends []Send
-	// Alone are asks of online requests that no dispatcher has answered; they
-	// wait no longer, and their node chooses an engine by itself.
+// Actions is what a node has to do after a Poll.
+type Actions struct {
+	Sends []OutgoingState
+	// Alone holds the IDs of online requests to which no dispatcher has replied in time.
+	// They no longer wait; the node chooses an engine by itself.
 	Alone []uint64
 }
 
-// Poll gives what is to be done now, and when to poll again at the latest.
-func (r *Requester) Poll(now time.Time, connected []uint64) (due Due, next time.Time) {
-	r.forgiveOwnPause(now)
-	r.leaveSilent(now)
+// Poll returns what to do now, and the latest time for the next Poll. Connected holds the
+// EngineHash of the engines to which the node keeps an idle connection.
+func (r *Requester) Poll(now time.Time, connected []uint64) (actions Actions, next time.Time) {
+	r.discountOwnPause(now)
+	r.leaveUnresponsive(now)
 	probes := r.probes(now)
-	due.Alone = r.alone(now)
-	r.ended = slices.DeleteFunc(r.ended, func(known endedAt) bool { return known.sent && now.Sub(known.at) > r.config.KeepEnded })
-	refresh := (!r.Idle() || r.attached) && now.Sub(r.sentLast) >= r.refreshEvery()
-	resend := len(r.sent) > 0 && !r.resent && now.Sub(r.sent[0].at) >= r.answerTime()
+	actions.Alone = r.takeFallbacks(now)
+	r.ended = slices.DeleteFunc(r.ended, func(known endedReport) bool { return known.sent && now.Sub(known.at) > r.config.EndedRetention })
+	refresh := (!r.Idle() || r.attached) && now.Sub(r.lastSentAt) >= r.refreshInterval()
+	resend := len(r.unanswered) > 0 && !r.resent && now.Sub(r.unanswered[0].at) >= r.replyTimeout()
 	if resend {
 		r.resent = true
 	}
-	if r.current != "" && (refresh || resend || (!r.soonAt.IsZero() && !now.Before(r.soonAt))) {
-		due.Sends = append(due.Sends, Send{To: r.current, State: r.state(now, connected)})
-		r.sent = append(r.sent, sentAt{sequence: r.sequence, at: now})
-		r.sentLast, r.soonAt = now, time.Time{}
+	if r.current != "" && (refresh || resend || (!r.nextSendAt.IsZero() && !now.Before(r.nextSendAt))) {
+		actions.Sends = append(actions.Sends, OutgoingState{To: r.current, State: r.nextState(now, connected)})
+		r.unanswered = append(r.unanswered, sentState{sequence: r.sequence, at: now})
+		r.lastSentAt, r.nextSendAt = now, time.Time{}
 	}
 	for _, address := range probes {
-		due.Sends = append(due.Sends, Send{To: address, State: r.probe()})
+		actions.Sends = append(actions.Sends, OutgoingState{To: address, State: r.probeState()})
 	}
-	if r.left != "" {
-		due.Sends = append(due.Sends, Send{To: r.left, State: r.probe()}) // what is under way keeps its slots there
-		r.left = ""
+	if r.previous != "" {
+		actions.Sends = append(actions.Sends, OutgoingState{To: r.previous, State: r.probeState()}) // requests in flight keep their slots there
+		r.previous = ""
 	}
-	next = r.next(now)
-	r.polled = max(next.Sub(now), time.Nanosecond)
-	return due, next
+	next = r.nextPollAt(now)
+	r.pollDelay = max(next.Sub(now), time.Nanosecond)
+	return actions, next
 }
 
-// refreshEvery is the longest pause between two messages: shorter while an online
-// request is in the dispatcher's queue, so that the loss of that is soon seen.
-func (r *Requester) refreshEvery() time.Duration {
+// refreshInterval is the longest time between two messages. It is shorter while an online
+// request is in the dispatcher's queue, so that the loss of the dispatcher is detected
+// sooner.
+func (r *Requester) refreshInterval() time.Duration {
 	for _, pending := range r.asks {
 		if !pending.ask.Batch {
-			return queuedRefresh
+			return queuedRefreshInterval
 		}
 	}
 	if r.Idle() {
-		return attachedRefresh
+		return attachedRefreshInterval
 	}
-	return RefreshEvery
+	return RefreshInterval
 }
 
-// forgiveOwnPause moves deadlines by the time in which this node itself stood
-// still, so that it does not take others for silent.
-func (r *Requester) forgiveOwnPause(now time.Time) {
-	gap := now.Sub(r.polledAt)
-	if r.polled > 0 && !r.polledAt.IsZero() && gap > r.polled+r.config.AnswerLeast/2 {
-		late := gap - r.polled
-		for i := range r.sent {
-			r.sent[i].at = r.sent[i].at.Add(late)
+// discountOwnPause extends timeouts by the time for which this node itself was paused, so
+// that it does not take replies that it has yet to read for missing ones.
+func (r *Requester) discountOwnPause(now time.Time) {
+	gap := now.Sub(r.lastPollAt)
+	if r.pollDelay > 0 && !r.lastPollAt.IsZero() && gap > r.pollDelay+r.config.MinReplyTimeout/2 {
+		excess := gap - r.pollDelay
+		for i := range r.unanswered {
+			r.unanswered[i].at = r.unanswered[i].at.Add(excess)
 		}
 		for _, pending := range r.asks {
-			if !pending.answered {
-				pending.since = pending.since.Add(min(late, r.config.AloneAfter/2))
+			if !pending.acknowledged {
+				pending.since = pending.since.Add(min(excess, r.config.FallbackAfter/2))
 			}
 		}
 	}
-	r.polledAt = now
+	r.lastPollAt = now
 }
 
-// leaveSilent turns to the next node when the dispatcher has not answered twice.
-func (r *Requester) leaveSilent(now time.Time) {
-	if r.current == "" || !r.resent || len(r.sent) == 0 || now.Sub(r.sent[0].at) < 2*r.answerTime() {
+// leaveUnresponsive switches to the next node when the dispatcher has not replied to two
+// messages.
+func (r *Requester) leaveUnresponsive(now time.Time) {
+	if r.current == "" || !r.resent || len(r.unanswered) == 0 || now.Sub(r.unanswered[0].at) < 2*r.replyTimeout() {
 		return
 	}
-	r.leave(r.current, now)
-	r.turnTo(r.firstSound(now), now)
-	r.left = "" // it does not listen
+	r.backOff(r.current, now)
+	r.switchTo(r.firstAvailable(now), now)
+	r.previous = "" // it does not reply
 }
 
-func (r *Requester) leave(address string, now time.Time) {
-	pause := min(max(2*r.silent[address].pause, r.config.SilentLeast), r.config.SilentMost)
-	r.silent[address] = silence{until: now.Add(pause), pause: pause}
+// backOff starts or doubles a node's backoff.
+func (r *Requester) backOff(address string, now time.Time) {
+	delay := min(max(2*r.backoffs[address].delay, r.config.MinSilentBackoff), r.config.MaxSilentBackoff)
+	r.backoffs[address] = backoff{until: now.Add(delay), delay: delay}
 }
 
-// probes gives the better ranked nodes than the dispatcher that were left for
-// long enough: they are sent what is under way here, and are turned to when they
-// answer.
+// probes returns the nodes ranked before the dispatcher whose backoff has expired. They
+// are sent the requests in flight, and the requester switches to one that replies.
 func (r *Requester) probes(now time.Time) []string {
 	var probes []string
 	for _, address := range r.ranking {
 		if address == r.current {
 			break
 		}
-		if known := r.silent[address]; !now.Before(known.until) {
-			r.leave(address, now)
+		if known := r.backoffs[address]; !now.Before(known.until) {
+			r.backOff(address, now)
 			probes = append(probes, address)
 		}
 	}
 	return probes
 }
 
-// better says whether a node ranks before the dispatcher.
-func (r *Requester) better(address string) bool {
+// ranksBeforeCurrent reports whether a node ranks before the dispatcher.
+func (r *Requester) ranksBeforeCurrent(address string) bool {
 	for _, candidate := range r.ranking {
 		if candidate == r.current {
 			return false
@@ -129,22 +132,24 @@
 	return false
 }
 
-func (r *Requester) alone(now time.Time) []uint64 {
-	var alone []uint64
+// takeFallbacks removes and returns the online requests that have waited for a
+// dispatcher's reply for too long.
+func (r *Requester) takeFallbacks(now time.Time) []uint64 {
+	var fallbacks []uint64
 	for id, pending := range r.asks {
-		if !pending.ask.Batch && !pending.answered && (r.current == "" || now.Sub(pending.since) >= r.config.AloneAfter) {
-			alone = append(alone, id)
+		if !pending.ask.Batch && !pending.acknowledged && (r.current == "" || now.Sub(pending.since) >= r.config.FallbackAfter) {
+			fallbacks = append(fallbacks, id)
 		}
 	}
-	slices.Sort(alone)
-	for _, id := range alone {
+	slices.Sort(fallbacks)
+	for _, id := range fallbacks {
 		delete(r.asks, id)
 	}
-	return alone
+	return fallbacks
 }
 
-// state gives what the dispatcher is to know.
-func (r *Requester) state(now time.Time, connected []uint64) State {
+// nextState returns the complete State for the dispatcher.
+func (r *Requester) nextState(now time.Time, connected []uint64) State {
 	r.sequence++
 	state := State{Life: r.life, Sequence: r.sequence, Zone: r.zone, Connected: connected, Attached: r.attached}
 	for _, id := range slices.Sorted(maps.Keys(r.held)) {
@@ -152,9 +157,9 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.asks)) {
 		pending := r.asks[id]
-		pending.ask.DueIn = pending.due.Sub(now)
-		if pending.sentAs == 0 {
-			pending.sentAs = r.sequence
+		pending.ask.DueIn = pending.deadline.Sub(now)
+		if pending.firstSequence == 0 {
+			pending.firstSequence = r.sequence
 		}
 		state.Waiting = append(state.Waiting, pending.ask)
 	}
@@ -170,8 +175,8 @@
 	return state
 }
 
-// probe gives a State that asks for nothing.
-func (r *Requester) probe() State {
+// probeState returns a State with the requests in flight that asks for no grants.
+func (r *Requester) probeState() State {
 	r.sequence++
 	state := State{Life: r.life, Sequence: r.sequence, Zone: r.zone}
 	for _, id := range slices.Sorted(maps.Keys(r.held)) {
@@ -180,26 +185,27 @@
 	return state
 }
 
-func (r *Requester) next(now time.Time) time.Time {
-	next := now.Add(r.refreshEvery())
+// nextPollAt returns the time of the earliest timeout or scheduled message.
+func (r *Requester) nextPollAt(now time.Time) time.Time {
+	next := now.Add(r.refreshInterval())
 	earliest := func(at time.Time) {
 		if at.Before(next) {
 			next = at
 		}
 	}
-	if !r.soonAt.IsZero() {
-		earliest(r.soonAt)
+	if !r.nextSendAt.IsZero() {
+		earliest(r.nextSendAt)
 	}
-	if len(r.sent) > 0 {
-		wait := r.answerTime()
+	if len(r.unanswered) > 0 {
+		wait := r.replyTimeout()
 		if r.resent {
 			wait *= 2
 		}
-		earliest(r.sent[0].at.Add(wait))
+		earliest(r.unanswered[0].at.Add(wait))
 	}
 	for _, pending := range r.asks {
-		if !pending.ask.Batch && !pending.answered {
-			earliest(pending.since.Add(r.config.AloneAfter))
+		if !pending.ask.Batch && !pending.acknowledged {
+			earliest(pending.since.Add(r.config.FallbackAfter))
 		}
 	}
 	return next
--- a/internal/core/grant/readiness.go
+++ b/internal/core/grant/readiness.go
@@ -5,56 +5,59 @@
 	"time"
 )
 
-// FirstToken is how long a request took from its grant to its first token.
+// FirstToken is the time that a request took from its grant to its first token.
 type FirstToken struct {
-	PromptTokens int // of the whole prompt, read before or not
+	PromptTokens int // length of the whole prompt, including cached parts
 	Elapsed      time.Duration
 }
 
-// readiness learns how long requests of a lane take from their grant to their first
-// token, with the way of the grant: a high quantile, for prompts of about the same
-// length. A request that is granted a slot later than that before it is due is late in
-// most cases, and takes the slot from one that need not be.
-type readiness struct {
-	quantiles [promptClasses]float64 // seconds; 0: nothing was observed
+// firstTokenEstimator estimates a high quantile of the time that requests of a lane take
+// from their grant to their first token, including the transit of the grant, for each
+// class of prompt lengths. A request that is granted a slot with less time left than the
+// estimate usually misses its deadline, and takes the slot from one that could meet its
+// own.
+type firstTokenEstimator struct {
+	seconds [promptLengthClasses]float64 // by class of prompt length; 0 if nothing was observed
 }
 
 const (
-	// readinessQuantile is the part of the requests that take no longer than expected.
-	readinessQuantile = 0.95
-	// readinessStep is how much of the estimate one observation moves it by at the most:
-	// some fifty observations follow a change of half.
-	readinessStep = 0.05
-	// readinessLeast keeps an estimate from vanishing, in seconds.
-	readinessLeast = 0.0005
-	// promptClasses is the number of lengths told apart, by the power of two.
-	promptClasses = 24
+	// estimatedQuantile is the fraction of requests that take no longer than expected.
+	estimatedQuantile = 0.95
+	// estimateStep is the largest relative change of an estimate by one observation. Some
+	// fifty observations follow a change by half.
+	estimateStep = 0.05
+	// minEstimateSeconds is the lower bound of an estimate, which keeps its relative steps
+	// from vanishing.
+	minEstimateSeconds = 0.0005
+	// promptLengthClasses is the number of prompt length classes, one per power of two.
+	promptLengthClasses = 24
 )
 
-func promptClass(tokens int) int {
-	return min(bits.Len(uint(max(tokens, 0))), promptClasses-1) //nolint:gosec // not negative
+func promptLengthClass(tokens int) int {
+	return min(bits.Len(uint(max(tokens, 0))), promptLengthClasses-1) //nolint:gosec // not negative
 }
 
-// observe takes what a request took.
-func (r *readiness) observe(first FirstToken) {
-	known := &r.quantiles[promptClass(first.PromptTokens)]
-	taken := max(first.Elapsed.Seconds(), readinessLeast)
+// observe updates the estimate of a prompt length with one request.
+func (r *firstTokenEstimator) observe(first FirstToken) {
+	estimate := &r.seconds[promptLengthClass(first.PromptTokens)]
+	taken := max(first.Elapsed.Seconds(), minEstimateSeconds)
 	switch {
-	case *known == 0:
-		*known = taken
-	case taken > *known:
-		*known += readinessStep * readinessQuantile * *known
+	case *estimate == 0:
+		*estimate = taken
+	case taken > *estimate:
+		*estimate += estimateStep * estimatedQuantile * *estimate
 	default:
-		*known = max(*known-readinessStep*(1-readinessQuantile)**known, readinessLeast)
+		*estimate = max(*estimate-estimateStep*(1-estimatedQuantile)**estimate, minEstimateSeconds)
 	}
 }
 
-// expected gives what a prompt of a length takes. Of lengths that were not observed it
-// takes the next shorter one that was; zero when there is none.
-func (r *readiness) expected(promptTokens int) time.Duration {
-	for class := promptClass(promptTokens); class >= 0; class-- {
-		if known := r.quantiles[class]; known > 0 {
-			return time.Duration(known * float64(time.Second))
+// expected returns the estimate for a prompt length. If that length class has not been
+// observed, it returns the estimate of the next shorter one that has, or zero if there is
+// none.
+func (r *firstTokenEstimator) expected(promptTokens int) time.Duration {
+	for class := promptLengthClass(promptTokens); class >= 0; class-- {
+		if estimate := r.seconds[class]; estimate > 0 {
+			return time.Duration(estimate * float64(time.Second))
 		}
 	}
 	return 0
--- a/internal/core/grant/requester.go
+++ b/internal/core/grant/requester.go
@@ -5,295 +5,302 @@
 	"time"
 )
 
-// RefreshEvery is the longest pause between two messages of a node that has
-// work in a lane.
-const RefreshEvery = 200 * time.Millisecond
+// RefreshInterval is the longest time between two messages of a node that has work in a
+// lane.
+const RefreshInterval = 200 * time.Millisecond
 
-// queuedRefresh is the same for a node with an online request in the queue.
-const queuedRefresh = 60 * time.Millisecond
+// queuedRefreshInterval is the same for a node with an online request in the queue.
+const queuedRefreshInterval = 60 * time.Millisecond
 
-// attachedRefresh is the same for an attached node that has nothing in the lane: one
-// message may be lost until its part of the limits is no longer kept
-// (DispatcherConfig.AttachedFor).
-const attachedRefresh = 250 * time.Millisecond
+// attachedRefreshInterval is the same for an attached node that has nothing in the lane.
+// One message may be lost before the node no longer counts as attached
+// (DispatcherConfig.AttachmentTimeout).
+const attachedRefreshInterval = 250 * time.Millisecond
 
-// RequesterConfig bounds how long a node waits for a dispatcher.
+// RequesterConfig holds the timeouts of a requester.
 type RequesterConfig struct {
-	// An answer is waited for AnswerTimes smoothed round trips, within the two
-	// bounds; then the message is sent once more, and then the next node is the
-	// dispatcher.
-	AnswerTimes             float64
-	AnswerLeast, AnswerMost time.Duration
-	// AloneAfter is how long an online request waits until any dispatcher has
-	// answered; then its node chooses an engine by itself.
-	AloneAfter time.Duration
-	// A node that did not answer is left for SilentLeast, doubled up to
-	// SilentMost while it goes on saying nothing.
-	SilentLeast, SilentMost time.Duration
-	// KeepEnded is how long the end of a request is told: some messages.
-	KeepEnded time.Duration
-	// SoonAfter is how long the end of a request may wait to be told.
-	SoonAfter time.Duration
+	// The reply timeout is ReplyTimeoutRoundTrips smoothed round trips, within the two
+	// bounds. After the first timeout the message is sent once more; after the second
+	// the next node becomes the dispatcher.
+	ReplyTimeoutRoundTrips           float64
+	MinReplyTimeout, MaxReplyTimeout time.Duration
+	// FallbackAfter is how long an online request waits for a reply of any dispatcher
+	// before its node chooses an engine by itself.
+	FallbackAfter time.Duration
+	// A node that did not reply is not used for MinSilentBackoff. The backoff doubles up
+	// to MaxSilentBackoff while the node does not reply.
+	MinSilentBackoff, MaxSilentBackoff time.Duration
+	// EndedRetention is how long the end of a request is repeated in messages.
+	EndedRetention time.Duration
+	// SendDelay is how long a change may wait before it is sent, so that several changes
+	// share one message.
+	SendDelay time.Duration
 }
 
-// DefaultRequesterConfig loses under 50 ms to a dispatcher that is gone.
+// DefaultRequesterConfig returns timeouts with which the loss of a dispatcher delays a
+// request by less than 50 ms.
 func DefaultRequesterConfig() RequesterConfig {
 	return RequesterConfig{
-		AnswerTimes: 4, AnswerLeast: 8 * time.Millisecond, AnswerMost: 16 * time.Millisecond, AloneAfter: 48 * time.Millisecond,
-		SilentLeast: time.Second, SilentMost: 2 * time.Second, KeepEnded: 100 * time.Millisecond, SoonAfter: 2 * time.Millisecond,
+		ReplyTimeoutRoundTrips: 4, MinReplyTimeout: 8 * time.Millisecond, MaxReplyTimeout: 16 * time.Millisecond, FallbackAfter: 48 * time.Millisecond,
+		MinSilentBackoff: time.Second, MaxSilentBackoff: 2 * time.Second, EndedRetention: 100 * time.Millisecond, SendDelay: 2 * time.Millisecond,
 	}
 }
 
 // rttWeight is the weight of the newest round trip in the smoothed one.
 const rttWeight = 0.1
 
-// longPrompt is how many tokens a prompt has, whose first token is told at once:
-// its reading keeps all other requests of the engine waiting.
-const longPrompt = 1000
+// longPromptTokens is the prefill length from which on a request's first token is
+// reported at once, since the prefill delays all other requests of the engine.
+const longPromptTokens = 1000
 
-// mostFirsts bounds the first tokens that one message tells of.
-const mostFirsts = 16
+// maxFirstTokens bounds the first tokens that one message reports.
+const maxFirstTokens = 16
 
-// pendingAsk is an ask that waits for its grant.
+// pendingAsk is a request that waits for its grant.
 type pendingAsk struct {
-	ask      Ask
-	due      time.Time
-	since    time.Time // when it was first asked for at the current dispatcher
-	answered bool      // a dispatcher has it
-	sentAs   uint64    // sequence of the first State that had it, to the current dispatcher; 0: none yet
+	ask           Ask
+	deadline      time.Time
+	since         time.Time // when the current dispatcher was first asked for it
+	acknowledged  bool      // a dispatcher has replied to a State with it
+	firstSequence uint64    // sequence of the first State to the current dispatcher that had it; 0 if none
 }
 
-// heldRequest is a request that is under way.
+// heldRequest is a request in flight at an engine.
 type heldRequest struct {
 	Held
 	promptTokens int
 	since        time.Time // when its engine was chosen
 }
 
-type endedAt struct {
+// endedReport is an ended request that is still reported to the dispatcher.
+type endedReport struct {
 	ended Ended
 	at    time.Time
 	sent  bool
 }
 
-type silence struct {
+// backoff is the time during which a node that did not reply is not used.
+type backoff struct {
 	until time.Time
-	pause time.Duration
+	delay time.Duration
 }
 
-type sentAt struct {
+// sentState is a State that was sent and has not been replied to.
+type sentState struct {
 	sequence uint64
 	at       time.Time
 }
 
-// Requester is a node's side of a lane: what it has under way there, what waits,
-// and which node is the dispatcher.
+// Requester is a node's side of a lane. It holds the node's in-flight and waiting
+// requests of the lane, and selects the dispatcher.
 type Requester struct {
 	config RequesterConfig
 	life   uint64
 	zone   string
 
-	ranking []string // of dispatchers, best first
-	silent  map[string]silence
-	current string
-	left    string // the dispatcher before, to be told that nothing waits there
+	ranking  []string // addresses of the dispatcher candidates, best first
+	backoffs map[string]backoff
+	current  string // the dispatcher; empty if none
+	previous string // the previous dispatcher until a State without waiting requests is sent to it
 
 	asks   map[uint64]*pendingAsk
 	held   map[uint64]*heldRequest
-	ended  []endedAt
+	ended  []endedReport
 	loads  map[uint64]Load
 	firsts []FirstToken
 
-	sequence  uint64
-	sent      []sentAt  // to current, not answered
-	resent    bool      // the oldest of sent was sent again
-	sentLast  time.Time // any message
-	soonAt    time.Time // when the next message is due; zero: nothing is new
-	roundTrip time.Duration
-	attached  bool
-	// wokeAt is the newest sequence from before the machine was suspended: grants that
-	// answer it have been taken back.
-	wokeAt   uint64
-	polledAt time.Time     // the last Poll
-	polled   time.Duration // that it asked to be polled again after
+	sequence   uint64
+	unanswered []sentState // sent to current without a reply so far
+	resent     bool        // the State was sent again after the first timeout
+	lastSentAt time.Time   // when current was last sent a State
+	nextSendAt time.Time   // when to send the next message; zero if nothing has changed
+	roundTrip  time.Duration
+	attached   bool
+	// suspendedSequence is the newest sequence from before the machine was suspended. The
+	// dispatcher has withdrawn the grants of replies to it.
+	suspendedSequence uint64
+	lastPollAt        time.Time     // time of the last Poll
+	pollDelay         time.Duration // the delay that it requested until the next one
 }
 
-// NewRequester makes the side of a life of a node.
+// NewRequester returns the requester of a node in a zone. Life is the LifeHash of the
+// node.
 func NewRequester(config RequesterConfig, life uint64, zone string) *Requester {
 	return &Requester{
-		config: config, life: life, zone: zone, silent: make(map[string]silence),
+		config: config, life: life, zone: zone, backoffs: make(map[string]backoff),
 		asks: make(map[uint64]*pendingAsk), held: make(map[uint64]*heldRequest), loads: make(map[uint64]Load),
 	}
 }
 
-// SetRanking takes the nodes that may be the dispatcher, best first.
+// SetRanking sets the addresses of the nodes that may be the dispatcher, best first.
 func (r *Requester) SetRanking(addresses []string, now time.Time) {
 	if slices.Equal(addresses, r.ranking) {
 		return
 	}
 	r.ranking = slices.Clone(addresses)
-	for address, known := range r.silent {
+	for address, known := range r.backoffs {
 		if !slices.Contains(addresses, address) && now.After(known.until) {
-			delete(r.silent, address)
+			delete(r.backoffs, address)
 		}
 	}
-	r.turnTo(r.firstSound(now), now)
+	r.switchTo(r.firstAvailable(now), now)
 }
 
-// Current gives the dispatcher; empty: none is known.
+// Current returns the address of the dispatcher, or an empty string if none is known.
 func (r *Requester) Current() string { return r.current }
 
-func (r *Requester) firstSound(now time.Time) string {
+// firstAvailable returns the best ranked node that is not backed off, or an empty string.
+func (r *Requester) firstAvailable(now time.Time) string {
 	for _, address := range r.ranking {
-		if !now.Before(r.silent[address].until) {
+		if !now.Before(r.backoffs[address].until) {
 			return address
 		}
 	}
 	return ""
 }
 
-// turnTo makes a node the dispatcher.
-func (r *Requester) turnTo(address string, now time.Time) {
+// switchTo makes a node the dispatcher.
+func (r *Requester) switchTo(address string, now time.Time) {
 	if address == r.current {
 		return
 	}
-	r.left, r.current = r.current, address
-	r.sent, r.resent = nil, false
+	r.previous, r.current = r.current, address
+	r.unanswered, r.resent = nil, false
 	for _, pending := range r.asks {
-		if pending.answered {
-			pending.since, pending.ask.Queued = now, true // it is to wait in the next queue
+		if pending.acknowledged {
+			pending.since, pending.ask.Queued = now, true // it continues to wait in the next dispatcher's queue
 		}
-		pending.answered, pending.sentAs = false, 0
+		pending.acknowledged, pending.firstSequence = false, 0
 	}
 	if !r.Idle() || r.attached {
-		r.soonAt = now
+		r.nextSendAt = now
 	}
 }
 
-// SetAttached has the requester belong to its dispatcher also while the node has
-// nothing in the lane, and say so.
+// SetAttached sets whether the node stays attached to its dispatcher while it has nothing
+// in the lane, and reports it there.
 func (r *Requester) SetAttached(attached bool, now time.Time) {
 	if attached && !r.attached {
-		r.soon(now)
+		r.scheduleSend(now)
 	}
 	r.attached = attached
 }
 
-// Attached says whether the requester belongs to its dispatcher in any case.
+// Attached reports whether the node stays attached while it has nothing in the lane.
 func (r *Requester) Attached() bool { return r.attached }
 
-// Idle says whether the node has nothing in the lane.
+// Idle reports whether the node has nothing in the lane.
 func (r *Requester) Idle() bool { return len(r.asks)+len(r.held)+len(r.ended) == 0 }
 
-// Wait adds an ask, or brings one up to date; due is when its objective, or the
-// item, is due.
-func (r *Requester) Wait(ask Ask, due, now time.Time) {
+// Wait adds or updates a waiting request. The deadline is that of its latency objective
+// or of the batch item.
+func (r *Requester) Wait(ask Ask, deadline, now time.Time) {
 	pending := r.asks[ask.ID]
 	if pending == nil {
 		pending = &pendingAsk{since: now}
 		r.asks[ask.ID] = pending
 	}
 	ask.Queued = pending.ask.Queued
-	pending.ask, pending.due = ask, due
+	pending.ask, pending.deadline = ask, deadline
 	if ask.Batch {
-		r.soon(now)
+		r.scheduleSend(now)
 	} else {
-		r.soonAt = now
+		r.nextSendAt = now
 	}
 }
 
-// Cancel takes an ask back; it reports whether it still waited.
+// Cancel removes a waiting request. It reports whether the request was still waiting.
 func (r *Requester) Cancel(id uint64, now time.Time) bool {
 	if r.asks[id] == nil {
 		return false
 	}
 	delete(r.asks, id)
-	r.soon(now)
+	r.scheduleSend(now)
 	return true
 }
 
-// Waits says whether an ask waits.
-func (r *Requester) Waits(id uint64) bool { return r.asks[id] != nil }
+// IsWaiting reports whether a request waits for its grant.
+func (r *Requester) IsWaiting(id uint64) bool { return r.asks[id] != nil }
 
-// Begin takes note of a request that is under way; its ask, if any, is over.
+// Begin records a request that is sent to an engine. It no longer waits for a grant.
 func (r *Requester) Begin(held Held, promptTokens int, now time.Time) {
 	delete(r.asks, held.ID)
 	r.held[held.ID] = &heldRequest{Held: held, promptTokens: promptTokens, since: now}
-	r.soon(now.Add(RefreshEvery / 4)) // its dispatcher knows of it by its grant
+	r.scheduleSend(now.Add(RefreshInterval / 4)) // not urgent: the dispatcher knows of it by the grant
 }
 
-// Started takes note that a request's first token has come.
+// Started records that a request's first token has arrived.
 func (r *Requester) Started(id uint64, now time.Time) {
 	if held := r.held[id]; held != nil && !held.Started {
 		held.Started = true
-		if !held.Batch && len(r.firsts) < mostFirsts {
+		if !held.Batch && len(r.firsts) < maxFirstTokens {
 			r.firsts = append(r.firsts, FirstToken{PromptTokens: held.promptTokens, Elapsed: now.Sub(held.since) + r.roundTrip/2})
 		}
-		if held.PrefillTokens >= longPrompt {
-			r.soon(now)
+		if held.PrefillTokens >= longPromptTokens {
+			r.scheduleSend(now)
 		}
 	}
 }
 
-// End takes note of a request's end.
+// End records the end of a request.
 func (r *Requester) End(ended Ended, now time.Time) {
 	if r.held[ended.ID] == nil {
 		return
 	}
 	delete(r.held, ended.ID)
-	r.ended = append(r.ended, endedAt{ended: ended, at: now})
-	r.soon(now)
+	r.ended = append(r.ended, endedReport{ended: ended, at: now})
+	r.scheduleSend(now)
 }
 
-// Observe takes an engine's own count.
+// Observe records an engine's own count of its requests, to be sent with the next State.
 func (r *Requester) Observe(load Load) { r.loads[load.Engine] = load }
 
-// soon has a message sent within SoonAfter.
-func (r *Requester) soon(now time.Time) {
-	if at := now.Add(r.config.SoonAfter); r.soonAt.IsZero() || at.Before(r.soonAt) {
-		r.soonAt = at
+// scheduleSend schedules a message within SendDelay of a time.
+func (r *Requester) scheduleSend(now time.Time) {
+	if at := now.Add(r.config.SendDelay); r.nextSendAt.IsZero() || at.Before(r.nextSendAt) {
+		r.nextSendAt = at
 	}
 }
 
-// answerTime is how long an answer is waited for.
-func (r *Requester) answerTime() time.Duration {
-	return min(max(time.Duration(r.config.AnswerTimes*float64(r.roundTrip)), r.config.AnswerLeast), r.config.AnswerMost)
+// replyTimeout is how long to wait for a reply before a State is sent again.
+func (r *Requester) replyTimeout() time.Duration {
+	return min(max(time.Duration(r.config.ReplyTimeoutRoundTrips*float64(r.roundTrip)), r.config.MinReplyTimeout), r.config.MaxReplyTimeout)
 }
 
-// Suspended takes note that the node's machine was suspended: what dispatchers granted
-// before may be another's by now.
-func (r *Requester) Suspended() { r.wokeAt = r.sequence }
+// Suspended records that the node's machine was suspended. Grants from before may have
+// been given to other nodes meanwhile.
+func (r *Requester) Suspended() { r.suspendedSequence = r.sequence }
 
-// Heard is what a Reply means for the node.
-type Heard struct {
-	Grants []Grant  // for asks that wait; each is to be followed by Begin or Decline
-	Stops  []uint64 // batch runs under way here that are to end
-	// Refused are asks that waited, and wait no longer: a tenant's limit does not let
-	// them through.
+// ReplyOutcome is what a node has to do after a Reply.
+type ReplyOutcome struct {
+	Grants []Grant  // for requests that waited; each must be followed by Begin or Decline
+	Stops  []uint64 // batch runs of this node that must be stopped
+	// Refused holds the requests that no longer wait because a tenant's limit did not
+	// admit them.
 	Refused []Refusal
 }
 
-// HearReply takes a dispatcher's reply. A grant that nobody waits for is given
-// back.
-func (r *Requester) HearReply(from string, reply Reply, now time.Time) Heard {
-	var heard Heard
+// HearReply applies a dispatcher's reply. Grants for requests that no longer wait are
+// returned to the dispatcher.
+func (r *Requester) HearReply(from string, reply Reply, now time.Time) ReplyOutcome {
+	var outcome ReplyOutcome
 	if reply.Life != r.life {
-		return heard
+		return outcome
 	}
-	if _, left := r.silent[from]; left && r.better(from) {
-		delete(r.silent, from)
-		r.turnTo(from, now)
+	if _, backedOff := r.backoffs[from]; backedOff && r.ranksBeforeCurrent(from) {
+		delete(r.backoffs, from)
+		r.switchTo(from, now)
 	}
 	if from == r.current {
-		r.answered(reply.Sequence, now)
+		r.acknowledge(reply.Sequence, now)
 	}
 	for _, granted := range reply.Grants {
 		switch {
-		case reply.Sequence <= r.wokeAt:
+		case reply.Sequence <= r.suspendedSequence:
 			r.Decline(granted, now)
 		case r.asks[granted.ID] != nil:
 			delete(r.asks, granted.ID)
-			heard.Grants = append(heard.Grants, granted)
+			outcome.Grants = append(outcome.Grants, granted)
 		case r.held[granted.ID] == nil:
 			r.Decline(granted, now)
 		}
@@ -301,43 +308,44 @@
 	for _, refusal := range reply.Refused {
 		if r.asks[refusal.ID] != nil {
 			delete(r.asks, refusal.ID)
-			heard.Refused = append(heard.Refused, refusal)
+			outcome.Refused = append(outcome.Refused, refusal)
 		}
 	}
 	for _, id := range reply.Stops {
 		if held := r.held[id]; held != nil && held.Batch {
-			heard.Stops = append(heard.Stops, id)
+			outcome.Stops = append(outcome.Stops, id)
 		}
 	}
-	return heard
+	return outcome
 }
 
-// Decline gives a grant back that is not used.
+// Decline returns an unused grant to the dispatcher.
 func (r *Requester) Decline(granted Grant, now time.Time) {
-	r.ended = append(r.ended, endedAt{ended: Ended{ID: granted.ID, Engine: granted.Engine, Result: declined, Unused: true}, at: now})
-	r.soon(now)
+	r.ended = append(r.ended, endedReport{ended: Ended{ID: granted.ID, Engine: granted.Engine, Result: declinedResult, Unused: true}, at: now})
+	r.scheduleSend(now)
 }
 
-// answered takes note that the dispatcher has a State and all before it.
-func (r *Requester) answered(sequence uint64, now time.Time) {
-	for _, message := range r.sent {
+// acknowledge records that the dispatcher has applied the State with the sequence, which
+// also covers all earlier ones.
+func (r *Requester) acknowledge(sequence uint64, now time.Time) {
+	for _, message := range r.unanswered {
 		if message.sequence == sequence {
-			trip := now.Sub(message.at)
+			sample := now.Sub(message.at)
 			if r.roundTrip == 0 {
-				r.roundTrip = trip
+				r.roundTrip = sample
 			}
-			r.roundTrip += time.Duration(rttWeight * float64(trip-r.roundTrip))
+			r.roundTrip += time.Duration(rttWeight * float64(sample-r.roundTrip))
 		}
 	}
-	before := len(r.sent)
-	r.sent = slices.DeleteFunc(r.sent, func(message sentAt) bool { return message.sequence <= sequence })
-	if len(r.sent) < before {
+	before := len(r.unanswered)
+	r.unanswered = slices.DeleteFunc(r.unanswered, func(message sentState) bool { return message.sequence <= sequence })
+	if len(r.unanswered) < before {
 		r.resent = false
-		delete(r.silent, r.current)
+		delete(r.backoffs, r.current)
 	}
 	for _, pending := range r.asks {
-		if pending.sentAs != 0 && pending.sentAs <= sequence {
-			pending.answered = true
+		if pending.firstSequence != 0 && pending.firstSequence <= sequence {
+			pending.acknowledged = true
 		}
 	}
 }
--- a/internal/core/grant/restart_test.go
+++ b/internal/core/grant/restart_test.go
@@ -7,8 +7,9 @@
 	"ringstream.example/ringstream/internal/core/enginechoice"
 )
 
-// TestSlotsOfAFormerIncarnationAreNotTakenFromTheNext has an engine of four slots start
-// again while all of them are in use, by the dispatcher's grants and as its node tells.
+// TestSlotsOfAFormerIncarnationAreNotTakenFromTheNext restarts an engine of four slots
+// while all of them are in use, by the dispatcher's grants and by the node's reports. The
+// requests of the former incarnation must not use slots of the new one.
 func TestSlotsOfAFormerIncarnationAreNotTakenFromTheNext(t *testing.T) {
 	d := newSuspectDispatcher(0)
 	former, next := enginechoice.Incarnation{ID: "e0", Born: 1000}, enginechoice.Incarnation{ID: "e0", Born: 2000}
@@ -19,35 +20,35 @@
 	for id := range uint64(4) {
 		d.ask(id+1, Suspect{})
 	}
-	if granted := d.tell(); len(granted) != 4 {
-		t.Fatalf("%d grants", len(granted))
+	if granted := d.exchange(); len(granted) != 4 {
+		t.Fatalf("%d grants, want 4", len(granted))
 	}
 	d.ask(5, Suspect{})
-	if granted := d.tell(); len(granted) != 0 {
+	if granted := d.exchange(); len(granted) != 0 {
 		t.Fatalf("granted beyond the slots: %v", granted)
 	}
 	d.SetEngines([]enginechoice.Listed{list(enginechoice.Ready, next), list(enginechoice.Ended, former)}, d.now)
-	d.state.Loads = []Load{{Engine: EngineHash(former), Running: 9, Waiting: 9}} // from an answer's head
+	d.state.Loads = []Load{{Engine: EngineHash(former), Running: 9, Waiting: 9}} // from the header of a late response
 	for id := range uint64(4) {
 		d.ask(id+6, Suspect{})
 	}
-	granted := d.tell()
+	granted := d.exchange()
 	for id, engine := range granted {
 		if engine != EngineHash(next) {
-			t.Errorf("request %d may go to the former", id)
+			t.Errorf("request %d was granted the former incarnation", id)
 		}
 	}
-	if underWay, queued := d.Counts(); underWay != 8 || queued != 1 {
-		t.Errorf("%d requests under way and %d wait, want four at each incarnation and one", underWay, queued)
+	if inFlight, queued := d.Counts(); inFlight != 8 || queued != 1 {
+		t.Errorf("%d requests in flight and %d waiting, want four at each incarnation and one waiting", inFlight, queued)
 	}
 	for id := range uint64(4) {
-		d.end(id + 1) // at the former: nothing is free at the next
+		d.end(id + 1) // at the former incarnation; no slot of the next becomes free
 	}
-	if granted := d.tell(); len(granted) != 0 {
-		t.Errorf("granted what the former had: %v", granted)
+	if granted := d.exchange(); len(granted) != 0 {
+		t.Errorf("granted slots of the former incarnation: %v", granted)
 	}
 	d.now = d.now.Add(time.Second)
 	if own := d.engines.Own(); own[former] != (enginechoice.Counts{}) || own[next].Online != 4 {
-		t.Errorf("counted: %v", own)
+		t.Errorf("in flight are %v, want 4 online requests at the new incarnation only", own)
 	}
 }
--- a/internal/core/grant/suspect.go
+++ b/internal/core/grant/suspect.go
@@ -7,46 +7,47 @@
 	"ringstream.example/ringstream/internal/core/enginechoice"
 )
 
-// apartFrom is how many engines have ended under a content before it runs apart from all
-// others that any engine ended under: at an engine that ends all requests are suspects,
-// and those that run again are to be told apart by what ends with them.
-const apartFrom = 2
+// isolationCrashes is the number of engine crashes from which on a suspected content runs
+// isolated from all other suspects. When an engine crashes, all of its requests become
+// suspects; running them again on separate engines shows which one causes the crashes.
+const isolationCrashes = 2
 
-// noteSuspect keeps a work whose content engines have ended under.
-func (d *Dispatcher) noteSuspect(request *work) {
+// trackSuspect records an in-flight request if its content is a suspect.
+func (d *Dispatcher) trackSuspect(request *inFlightRequest) {
 	if request.suspect.Content != 0 {
 		d.suspects[request] = true
 	}
 }
 
-// pick gives the best engine for an entry. A content that engines have ended under runs
-// once at a time in the lane, and away from others of its kind where it can; the model of
-// package quarantine refuses 22 innocent requests in 2.19 million without this, and 1 with it.
-func (d *Dispatcher) pick(entry *waiting, query enginechoice.Query, now time.Time) (enginechoice.Choice, bool) {
+// pick returns the best engine for an entry. A suspected content runs only once at a time
+// in the lane, and apart from other suspects if possible. In the model of package
+// quarantine, 22 of 2.19 million innocent requests are refused without this rule, and 1
+// with it.
+func (d *Dispatcher) pick(entry *queuedAsk, query enginechoice.Query, now time.Time) (enginechoice.Choice, bool) {
 	suspect := entry.ask.Suspect
-	if suspect.Content != 0 && d.runsNow(suspect.Content) {
+	if suspect.Content != 0 && d.isInFlight(suspect.Content) {
 		return enginechoice.Choice{}, false
 	}
-	away := d.away(suspect)
-	if len(away) == 0 {
+	avoid := d.enginesToAvoid(suspect)
+	if len(avoid) == 0 {
 		return d.engines.Pick(query, now)
 	}
-	apart := query
-	apart.Exclude = maps.Clone(query.Exclude)
-	if apart.Exclude == nil {
-		apart.Exclude = make(map[enginechoice.Incarnation]bool, len(away))
+	isolated := query
+	isolated.Exclude = maps.Clone(query.Exclude)
+	if isolated.Exclude == nil {
+		isolated.Exclude = make(map[enginechoice.Incarnation]bool, len(avoid))
 	}
-	maps.Copy(apart.Exclude, away)
-	choice, found := d.engines.Pick(apart, now)
-	free := found && (entry.ask.Batch || choice.HasSlot())
-	if free || (suspect.Crashes >= apartFrom && !entry.ask.Place) {
-		return choice, free
+	maps.Copy(isolated.Exclude, avoid)
+	choice, found := d.engines.Pick(isolated, now)
+	startsNow := found && (entry.ask.Batch || choice.HasSlot())
+	if startsNow || (suspect.Crashes >= isolationCrashes && !entry.ask.Place) {
+		return choice, startsNow
 	}
 	return d.engines.Pick(query, now)
 }
 
-// runsNow says whether a content that engines have ended under is at an engine.
-func (d *Dispatcher) runsNow(content uint64) bool {
+// isInFlight reports whether a request with the suspected content is in flight.
+func (d *Dispatcher) isInFlight(content uint64) bool {
 	for request := range d.suspects {
 		if request.suspect.Content == content {
 			return true
@@ -55,17 +56,18 @@
 	return false
 }
 
-// away gives the engines that a request is to be kept away from: a suspect from those with
-// any other, and all others from those with one that is to run apart.
-func (d *Dispatcher) away(suspect Suspect) map[enginechoice.Incarnation]bool {
+// enginesToAvoid returns the engines that a request should avoid. A suspect avoids engines
+// with any other suspect; other requests avoid only engines with a suspect that is to run
+// isolated.
+func (d *Dispatcher) enginesToAvoid(suspect Suspect) map[enginechoice.Incarnation]bool {
 	if len(d.suspects) == 0 {
 		return nil
 	}
-	away := make(map[enginechoice.Incarnation]bool)
+	avoid := make(map[enginechoice.Incarnation]bool)
 	for request := range d.suspects {
-		if suspect.Content != 0 || request.suspect.Crashes >= apartFrom {
-			away[request.engine] = true
+		if suspect.Content != 0 || request.suspect.Crashes >= isolationCrashes {
+			avoid[request.engine] = true
 		}
 	}
-	return away
+	return avoid
 }
--- a/internal/core/grant/suspect_test.go
+++ b/internal/core/grant/suspect_test.go
@@ -8,7 +8,7 @@
 	"ringstream.example/ringstream/internal/core/enginechoice"
 )
 
-// suspectDispatcher is a dispatcher of some engines of 4 slots, asked by one node.
+// suspectDispatcher is a dispatcher of engines with 4 slots that is used by one node.
 type suspectDispatcher struct {
 	*Dispatcher
 	state State
@@ -27,8 +27,8 @@
 	return d
 }
 
-// tell sends the state and gives the engine of each new grant, by ask.
-func (d *suspectDispatcher) tell() map[uint64]uint64 {
+// exchange sends the node's State and returns the EngineHash of each new grant, by Ask.ID.
+func (d *suspectDispatcher) exchange() map[uint64]uint64 {
 	d.state.Sequence++
 	d.now = d.now.Add(10 * time.Millisecond)
 	d.Hear("n", d.state, d.now)
@@ -60,77 +60,78 @@
 	}
 }
 
-// TestContentUnderWhichAnEngineEndedRunsOnceAtATime has repeats of one content wait for each
-// other, and another request not wait for them.
-func TestContentUnderWhichAnEngineEndedRunsOnceAtATime(t *testing.T) {
+// TestSuspectContentRunsOnceAtATime has requests with the same suspected content wait for
+// each other. Another request must not wait for them.
+func TestSuspectContentRunsOnceAtATime(t *testing.T) {
 	d := newSuspectDispatcher(3)
 	for id := range uint64(3) {
 		d.ask(id+1, Suspect{Content: 7, Crashes: 1})
 	}
 	d.ask(9, Suspect{})
-	granted := d.tell()
+	granted := d.exchange()
 	if len(granted) != 2 || granted[9] == 0 {
-		t.Fatalf("granted %v", granted)
+		t.Fatalf("granted %v, want one request of the suspected content and request 9", granted)
 	}
-	if again := d.tell(); len(again) > 0 {
-		t.Errorf("granted %v beside a run of the same content", again)
+	if again := d.exchange(); len(again) > 0 {
+		t.Errorf("granted %v while a request with the same content is in flight", again)
 	}
 	for id := range granted {
 		if id != 9 {
 			d.end(id)
 		}
 	}
-	if next := d.tell(); len(next) != 1 {
-		t.Errorf("granted %v after it had ended", next)
+	if next := d.exchange(); len(next) != 1 {
+		t.Errorf("granted %v after the request had ended, want one request", next)
 	}
 }
 
-// TestSuspectsRunApart gives contents that ended two engines an engine each, keeps others
-// away from there while there is room, and has those that find none wait until they are to
-// be placed in any case.
+// TestSuspectsRunApart has contents that have crashed two engines each run at separate
+// engines. Other requests must avoid those engines while another has a free slot, and a
+// suspect without an engine of its own must wait until it asks for placement.
 func TestSuspectsRunApart(t *testing.T) {
 	d := newSuspectDispatcher(3)
 	for id := range uint64(3) {
 		d.ask(id+1, Suspect{Content: 100 + id, Crashes: 2})
 	}
-	granted := d.tell()
+	granted := d.exchange()
 	engines := make(map[uint64]bool)
 	for _, engine := range granted {
 		engines[engine] = true
 	}
 	if len(granted) != 3 || len(engines) != 3 {
-		t.Fatalf("granted %v", granted)
+		t.Fatalf("granted %v, want 3 requests at 3 engines", granted)
 	}
 	d.ask(4, Suspect{Content: 200, Crashes: 2})
-	if next := d.tell(); len(next) > 0 {
-		t.Errorf("granted %v beside another suspect", next)
+	if next := d.exchange(); len(next) > 0 {
+		t.Errorf("granted %v at an engine with another suspect", next)
 	}
 	d.end(1)
-	if next := d.tell(); next[4] != granted[1] {
-		t.Errorf("granted %v, want the engine that is free of suspects", next)
+	if next := d.exchange(); next[4] != granted[1] {
+		t.Errorf("granted %v, want the engine without suspects", next)
 	}
 	d.end(2)
 	d.ask(20, Suspect{})
-	if next := d.tell(); next[20] != granted[2] {
-		t.Errorf("granted %v to a request that is no suspect, want the engine without one", next)
+	if next := d.exchange(); next[20] != granted[2] {
+		t.Errorf("granted %v to a request that is not a suspect, want the engine without suspects", next)
 	}
 	d.ask(5, Suspect{Content: 300, Crashes: 2})
 	d.ask(6, Suspect{Content: 301, Crashes: 2})
-	if next := d.tell(); len(next) != 1 {
-		t.Errorf("granted %v, want one", next)
+	if next := d.exchange(); len(next) != 1 {
+		t.Errorf("granted %v, want one request", next)
 	}
 	d.state.Waiting[0].Place = true
-	if next := d.tell(); len(next) != 1 {
-		t.Errorf("granted %v to one that waits no longer", next)
+	if next := d.exchange(); len(next) != 1 {
+		t.Errorf("granted %v to a request that asks for placement, want one grant", next)
 	}
 }
 
-// TestNewDispatcherKnowsSuspects by what nodes hold.
+// TestNewDispatcherKnowsSuspects checks that a new dispatcher learns of suspects from the
+// in-flight requests that nodes report.
 func TestNewDispatcherKnowsSuspects(t *testing.T) {
 	d := newSuspectDispatcher(1)
 	d.state.Held = []Held{{ID: 1, Engine: EngineHash(enginechoice.Incarnation{ID: "e0"}), Suspect: Suspect{Content: 7, Crashes: 1}}}
 	d.ask(2, Suspect{Content: 7, Crashes: 1})
-	if granted := d.tell(); len(granted) > 0 {
-		t.Errorf("granted %v", granted)
+	if granted := d.exchange(); len(granted) > 0 {
+		t.Errorf("granted %v while a request with the same content is in flight", granted)
 	}
 }
