--- a/internal/core/ordering/ordering.go
+++ b/internal/core/ordering/ordering.go
@@ -2,7 +2,7 @@
 // lacks. It owns no state.
 package ordering
 
-// FalseFirst compares two booleans as cmp.Compare does numbers, false before true.
+// FalseFirst compares two booleans like cmp.Compare, with false before true.
 func FalseFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/core/ordering/ordering_test.go
+++ b/internal/core/ordering/ordering_test.go
@@ -9,6 +9,6 @@
 	list := []bool{true, false, true, false}
 	slices.SortFunc(list, FalseFirst)
 	if !slices.Equal(list, []bool{false, false, true, true}) {
-		t.Errorf("got %v", list)
+		t.Errorf("got %v, want false before true", list)
 	}
 }
