--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -11,7 +11,8 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// Score is the weight of a node for a key; the highest owns the key.
+// Score returns the weight of a node for a key. The node with the highest weight owns the
+// key.
 func Score(key string, node identity.NodeID) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -21,7 +22,7 @@
 	return digest.Sum64()
 }
 
-// Owner gives the node that owns the key, or false when there are no nodes.
+// Owner returns the node that owns the key. It returns false if there are no nodes.
 func Owner(key string, nodes []identity.NodeID) (identity.NodeID, bool) {
 	var best identity.NodeID
 	var bestScore uint64
@@ -35,7 +36,7 @@
 	return best, found
 }
 
-// Top gives the first count nodes for the key, best first.
+// Top returns up to count nodes with the highest weights for the key, best first.
 func Top(key string, nodes []identity.NodeID, count int) []identity.NodeID {
 	type scored struct {
 		node  identity.NodeID
