--- a/internal/core/quarantine/digest.go
+++ b/internal/core/quarantine/digest.go
@@ -7,29 +7,30 @@
 	"fmt"
 )
 
-// Content is what makes two requests the same one, sent again.
+// Content holds the parts of a request that identify it. Two requests with equal contents
+// count as the same request.
 type Content struct {
 	Host   string
 	Target string // path and query, as the client sent them
-	Caller string // name of the tenant; empty: none
+	Caller string // name of the tenant; empty if there is none
 	Body   []byte
 }
 
-// Digest stands for a request's content. It is the front half of a SHA-256 sum, so
-// that nobody can make a request that shares the digest of another caller's.
+// Digest identifies a request's content. It is the first half of a SHA-256 sum, so
+// that nobody can make a request whose digest collides with another caller's.
 type Digest [sha256.Size / 2]byte
 
-// shownBytes is how much of a digest stands in logs: two of a million contents
-// share it with a chance of one in 37 million.
-const shownBytes = 8
+// logDigestBytes is the number of digest bytes that are logged. The probability that two
+// of a million contents share them is one in 37 million.
+const logDigestBytes = 8
 
-// String gives the digest as it stands in logs.
-func (d Digest) String() string { return hex.EncodeToString(d[:shownBytes]) }
+// String returns the shortened digest that is used in logs.
+func (d Digest) String() string { return hex.EncodeToString(d[:logDigestBytes]) }
 
-// Key gives the whole digest as text, for a record's key.
+// Key returns the whole digest in hexadecimal, for use as a record's key.
 func (d Digest) Key() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what Key gave.
+// ParseDigest parses the text that Key returns.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	content, err := hex.DecodeString(text)
@@ -42,16 +43,17 @@
 	return Digest(content), nil
 }
 
-// Hash gives a part of the digest, for messages that need only tell contents apart.
+// Hash returns the first 8 bytes of the digest as a number, for messages that only need to
+// distinguish contents.
 func (d Digest) Hash() uint64 { return binary.LittleEndian.Uint64(d[:]) }
 
-// Digest gives the digest of a content, the same at every node.
+// Digest returns the digest of a content. It is the same on every node.
 func (c Content) Digest() Digest {
 	sum := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{[]byte(c.Host), []byte(c.Target), []byte(c.Caller), c.Body} {
 		binary.LittleEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = sum.Write(length[:]) // a hash takes everything
+		_, _ = sum.Write(length[:]) // a hash never returns an error
 		_, _ = sum.Write(part)
 	}
 	return Digest(sum.Sum(nil)[:len(Digest{})])
--- a/internal/core/quarantine/digest_test.go
+++ b/internal/core/quarantine/digest_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("%+v and %+v share a digest", contents[other], content)
 		}
 		if again := content.Digest(); again != digest {
-			t.Errorf("%+v: %s, then %s", content, digest, again)
+			t.Errorf("%+v: digest %s, then %s", content, digest, again)
 		}
 		seen[digest] = i
 	}
--- a/internal/core/quarantine/judge_test.go
+++ b/internal/core/quarantine/judge_test.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// judge is what decides whether a node may send a content to an engine.
-type judge interface {
-	crashed(crash Crash, own bool, now time.Time)
-	served(content Digest, now time.Time) []Crash
-	mayRun(content Digest, now time.Time) bool
-	crashes(content Digest, now time.Time) int
+// detector decides whether a node may send a content to an engine.
+type detector interface {
+	recordCrash(crash Crash, own bool, now time.Time)
+	recordSuccess(content Digest, now time.Time) []Crash
+	allows(content Digest, now time.Time) bool
+	crashCount(content Digest, now time.Time) int
 }
 
-// ledgerJudge is the package itself.
-type ledgerJudge struct{ *Ledger }
+// ledgerDetector is the detector under test: a Ledger.
+type ledgerDetector struct{ *Ledger }
 
-func (j ledgerJudge) crashed(crash Crash, _ bool, now time.Time) { j.Note(crash, now) }
+func (j ledgerDetector) recordCrash(crash Crash, _ bool, now time.Time) { j.Note(crash, now) }
 
-func (j ledgerJudge) served(content Digest, now time.Time) []Crash { return j.Excuse(content, now) }
+func (j ledgerDetector) recordSuccess(content Digest, now time.Time) []Crash {
+	return j.Excuse(content, now)
+}
 
-func (j ledgerJudge) mayRun(content Digest, now time.Time) bool {
+func (j ledgerDetector) allows(content Digest, now time.Time) bool {
 	return !j.Verdict(content, now).Blocked
 }
 
-func (j ledgerJudge) crashes(content Digest, now time.Time) int {
+func (j ledgerDetector) crashCount(content Digest, now time.Time) int {
 	return j.Verdict(content, now).Crashes
 }
 
-// countJudge is the naive twin: it counts the engines that ended under a content, all of
-// them or only those that this node saw itself.
-type countJudge struct {
+// countDetector is the reference model. It counts the engines that crashed while they ran a
+// content: all of them, or only those that this node observed itself.
+type countDetector struct {
 	ownOnly bool
 	engines map[Digest]map[uint64]bool
 }
 
-func (j countJudge) crashed(crash Crash, own bool, _ time.Time) {
+func (j countDetector) recordCrash(crash Crash, own bool, _ time.Time) {
 	if j.ownOnly && !own {
 		return
 	}
@@ -42,8 +44,8 @@
 	j.engines[crash.Content][crash.Engine] = true
 }
 
-func (j countJudge) served(Digest, time.Time) []Crash { return nil }
+func (j countDetector) recordSuccess(Digest, time.Time) []Crash { return nil }
 
-func (j countJudge) mayRun(content Digest, _ time.Time) bool { return len(j.engines[content]) < 3 }
+func (j countDetector) allows(content Digest, _ time.Time) bool { return len(j.engines[content]) < 3 }
 
-func (j countJudge) crashes(content Digest, _ time.Time) int { return len(j.engines[content]) }
+func (j countDetector) crashCount(content Digest, _ time.Time) int { return len(j.engines[content]) }
--- a/internal/core/quarantine/judgement.go
+++ b/internal/core/quarantine/judgement.go
@@ -1,130 +1,133 @@
 package quarantine
 
-// whole is the weight of an engine's end that counts in full: divisible by all numbers up
-// to 16, so that sums of parts are the same in any order.
-const whole = 720720
+// fullWeight is the weight of a crash that counts in full. It is divisible by all numbers up
+// to 16, so that a sum of fractions does not depend on the order of addition.
+const fullWeight = 720720
 
-// weightOf gives a number of engines as a weight.
-func weightOf(engines float64) int { return int(engines * whole) }
+// toWeight converts a number of engines to a weight.
+func toWeight(engines float64) int { return int(engines * fullWeight) }
 
-// judgement weighs the crashes of a ledger as they are. What it has worked out it keeps,
-// until the ledger changes and another judgement takes its place.
-type judgement struct {
+// evaluation weighs the crashes of one state of a ledger and caches intermediate results. It is
+// replaced by a new evaluation when the ledger changes.
+type evaluation struct {
 	*Ledger
-	near      map[uint64][]uint64 // engines that ended at the same time, by engine
-	alone     map[Digest]int      // strength of contents, where no end is explained
-	explains  map[uint64]bool     // whether an engine's end has a cause that shows
-	strengths map[Digest]int
+	endedNearby          map[uint64][]uint64 // by engine: others that ended within WaveWindow of it
+	unexplainedStrengths map[Digest]int      // by content: cached unexplainedStrength
+	explanations         map[uint64]bool     // by engine: cached isExplained
+	strengths            map[Digest]int
 }
 
-func newJudgement(ledger *Ledger) *judgement {
-	return &judgement{
-		Ledger: ledger, near: make(map[uint64][]uint64), alone: make(map[Digest]int),
-		explains: make(map[uint64]bool), strengths: make(map[Digest]int),
+func newEvaluation(ledger *Ledger) *evaluation {
+	return &evaluation{
+		Ledger: ledger, endedNearby: make(map[uint64][]uint64), unexplainedStrengths: make(map[Digest]int),
+		explanations: make(map[uint64]bool), strengths: make(map[Digest]int),
 	}
 }
 
-// evidence is how many engines a content has ended: those at which no other content is
-// likelier to have, each for what it weighs.
-func (j *judgement) evidence(content Digest) int {
+// evidence returns the sum of the weights of a content's crashes. It counts only engines at
+// which no other content is a likelier cause.
+func (j *evaluation) evidence(content Digest) int {
 	sum := 0
-	for engine, known := range j.contents[content].marks {
-		if !known.excused && j.leads(content, engine) {
-			sum += j.weight(content, engine, j.explained)
+	for engine, known := range j.contents[content].crashes {
+		if !known.excused && j.isLikeliestCause(content, engine) {
+			sum += j.crashWeight(content, engine, j.isExplained)
 		}
 	}
 	return sum
 }
 
-// leads says whether no other content that ran at an engine is likelier to have ended it.
-func (j *judgement) leads(content Digest, engine uint64) bool {
+// isLikeliestCause reports whether no other content that ran at an engine is likelier to have
+// crashed it.
+func (j *evaluation) isLikeliestCause(content Digest, engine uint64) bool {
 	strength := j.strength(content)
 	for other := range j.engines[engine].contents {
-		if other == content || j.contents[other].marks[engine].excused {
+		if other == content || j.contents[other].crashes[engine].excused {
 			continue
 		}
-		against := j.strength(other)
-		if against > strength || (against == strength && strength < weightOf(j.config.CrashesOfPair)) {
+		otherStrength := j.strength(other)
+		if otherStrength > strength || (otherStrength == strength && strength < toWeight(j.config.CrashesToBlockPair)) {
 			return false
 		}
 	}
 	return true
 }
 
-// strength is the evidence against a content by itself.
-func (j *judgement) strength(content Digest) int {
+// strength returns the evidence against a content without regard to other contents that ran
+// at the same engines.
+func (j *evaluation) strength(content Digest) int {
 	strength, known := j.strengths[content]
 	if !known {
-		strength = j.sum(content, j.explained)
+		strength = j.sumWeights(content, j.isExplained)
 		j.strengths[content] = strength
 	}
 	return strength
 }
 
-// sum adds the weights of a content's crashes.
-func (j *judgement) sum(content Digest, explained func(uint64) bool) int {
+// sumWeights adds up the weights of a content's crashes that are not excused.
+func (j *evaluation) sumWeights(content Digest, isExplained func(uint64) bool) int {
 	sum := 0
-	for engine, known := range j.contents[content].marks {
+	for engine, known := range j.contents[content].crashes {
 		if !known.excused {
-			sum += j.weight(content, engine, explained)
+			sum += j.crashWeight(content, engine, isExplained)
 		}
 	}
 	return sum
 }
 
-// weight is what one engine's end tells against a content: less where several other
-// engines ended at the same time without it and for no cause that shows, as when a rack
-// loses power.
-func (j *judgement) weight(content Digest, engine uint64, explained func(uint64) bool) int {
-	without := 0
+// crashWeight returns the weight of one engine's crash as evidence against a content. The weight
+// is lower when several other engines that did not run the content ended at the same time
+// and their ends are not explained, as when a rack loses power.
+func (j *evaluation) crashWeight(content Digest, engine uint64, isExplained func(uint64) bool) int {
+	unrelated := 0
 	for _, other := range j.endedNear(engine) {
-		if !j.engines[other].contents[content] && !explained(other) {
-			without++
+		if !j.engines[other].contents[content] && !isExplained(other) {
+			unrelated++
 		}
 	}
-	return whole / max(without, 1)
+	return fullWeight / max(unrelated, 1)
 }
 
-// endedNear gives the other engines that ended when one did.
-func (j *judgement) endedNear(engine uint64) []uint64 {
-	near, known := j.near[engine]
+// endedNear returns the other engines that ended within WaveWindow of an engine's end.
+func (j *evaluation) endedNear(engine uint64) []uint64 {
+	near, known := j.endedNearby[engine]
 	if known {
 		return near
 	}
-	ended := j.engines[engine].at
+	ended := j.engines[engine].endedAt
 	for other, record := range j.engines {
-		if other != engine && record.at.Sub(ended).Abs() <= j.config.WaveWithin {
+		if other != engine && record.endedAt.Sub(ended).Abs() <= j.config.WaveWindow {
 			near = append(near, other)
 		}
 	}
-	j.near[engine] = near
+	j.endedNearby[engine] = near
 	return near
 }
 
-// explained says whether an engine's end has a cause that shows: a content that has ended
-// other engines too, as far as their ends are not part of a wave. Long requests that are
-// hit by several waves would else explain them.
-func (j *judgement) explained(engine uint64) bool {
-	explained, known := j.explains[engine]
+// isExplained reports whether an engine's end is explained by a content that has crashed other
+// engines too. Crashes that are part of a wave count less here: otherwise long requests that
+// are hit by several waves would explain those waves.
+func (j *evaluation) isExplained(engine uint64) bool {
+	explained, known := j.explanations[engine]
 	if known {
 		return explained
 	}
 	for content := range j.engines[engine].contents {
-		if j.contents[content].counted() >= j.config.CrashesToExplain && j.strengthAlone(content) >= weightOf(j.config.EvidenceToExplain) {
+		if j.contents[content].unexcusedCrashes() >= j.config.CrashesToExplain && j.unexplainedStrength(content) >= toWeight(j.config.EvidenceToExplain) {
 			explained = true
 			break
 		}
 	}
-	j.explains[engine] = explained
+	j.explanations[engine] = explained
 	return explained
 }
 
-// strengthAlone is the strength of a content where no end of an engine is explained.
-func (j *judgement) strengthAlone(content Digest) int {
-	strength, known := j.alone[content]
+// unexplainedStrength returns the strength of a content under the assumption that no engine's
+// end is explained.
+func (j *evaluation) unexplainedStrength(content Digest) int {
+	strength, known := j.unexplainedStrengths[content]
 	if !known {
-		strength = j.sum(content, func(uint64) bool { return false })
-		j.alone[content] = strength
+		strength = j.sumWeights(content, func(uint64) bool { return false })
+		j.unexplainedStrengths[content] = strength
 	}
 	return strength
 }
--- a/internal/core/quarantine/model_test.go
+++ b/internal/core/quarantine/model_test.go
@@ -10,156 +10,156 @@
 	"time"
 )
 
-// The model plays a pool of engines under requests that end them, beside innocent ones,
-// with nodes that tell each other of crashes late, twice or never, are cut off and start
-// anew, and with engines that end for other reasons. It checks the bound: how many runs of a
-// guilty request begin later than agreement takes after the third engine ended under it.
+// The model simulates a pool of engines that run guilty requests, which crash their engine,
+// and innocent ones. Nodes report crashes to each other late, twice or never, are isolated and
+// restart, and engines also end for other reasons. The model checks the bound on the number of
+// runs of a guilty request that begin more than agreementTime after its third crash.
 
 var (
-	modelRuns    = flag.Int("quarantine.runs", 150, "runs of the model")
-	modelReturns = flag.Int("quarantine.returns", 1, "how often a client of the model comes again")
+	modelRuns          = flag.Int("quarantine.runs", 150, "runs of the model")
+	modelClientRetries = flag.Int("quarantine.returns", 1, "how often a client of the model comes again")
 )
 
 const (
 	modelTick     = 10 * time.Millisecond
-	modelLength   = 25 * time.Second
+	modelDuration = 25 * time.Second
 	modelNodes    = 5
 	modelEngines  = 12
 	modelSlots    = 8
-	modelAttempts = 2               // engines for one call
-	agreeWithin   = 3 * time.Second // after the third crash; then the bound holds
-	mostLateRuns  = 3
+	modelAttempts = 2               // engines per client request
+	agreementTime = 3 * time.Second // after the third crash; the bound applies from then on
+	maxLateRuns   = 3
 )
 
-// modelRequest is one call of a client.
+// modelRequest is one request of a client.
 type modelRequest struct {
-	content  Digest
-	guilty   bool
-	node     int
-	attempts int
-	returns  int
-	engine   int       // that runs it; -1: none
-	sent     time.Time // to its engine
-	until    time.Time
-	from     time.Time // when it may run
+	content       Digest
+	guilty        bool
+	node          int
+	attempts      int
+	clientRetries int
+	engine        int       // index of the engine that runs it; -1 if none
+	sentAt        time.Time // when it was sent to its engine
+	endsAt        time.Time
+	notBefore     time.Time // earliest time at which it may be sent
 }
 
 type modelEngine struct {
-	life  uint64
-	back  time.Time // while it is down; zero: it runs
-	works []*modelRequest
+	id        uint64
+	restartAt time.Time // zero while it runs
+	running   []*modelRequest
 }
 
-// told is a crash, or an excuse, on its way to a node.
-type told struct {
-	to    int
-	at    time.Time
-	since time.Time
-	crash Crash
+// crashMessage is a crash report, or an excuse, in transit to a node.
+type crashMessage struct {
+	to        int
+	arrivesAt time.Time
+	sentAt    time.Time
+	crash     Crash
 }
 
 type model struct {
-	random   *rand.Rand
-	newJudge func() judge
-	apart    bool // suspects run apart from each other
-	now      time.Time
-	start    time.Time
-	engines  []*modelEngine
-	judges   []judge
-	waiting  []*modelRequest
-	messages []told
-	kept     []told // what the store has
-	lives    uint64
-	guilty   []Digest
-	rates    []float64
-	waves    map[time.Time]bool
-	cutUntil time.Time
-	cut      int                   // node that others do not reach until cutUntil
-	touched  [modelNodes]time.Time // when a node was last disturbed
-
-	result modelResult
-	ended  map[Digest][]guiltyRun // engines that ended under the guilty
+	random           *rand.Rand
+	newDetector      func() detector
+	separateSuspects bool // whether suspects may not share an engine
+	now              time.Time
+	start            time.Time
+	engines          []*modelEngine
+	detectors        []detector
+	waiting          []*modelRequest
+	inTransit        []crashMessage
+	stored           []crashMessage // records in the store
+	lastEngineID     uint64
+	guilty           []Digest
+	rates            []float64
+	waves            map[time.Time]bool
+	isolatedUntil    time.Time
+	isolated         int                   // node that others cannot reach until isolatedUntil
+	disturbedAt      [modelNodes]time.Time // when each node last restarted or was isolated
+
+	result     modelResult
+	guiltyRuns map[Digest][]guiltyRun // runs that crashed their engine
 }
 
-// guiltyRun is a run that ended its engine.
+// guiltyRun is a run that crashed its engine.
 type guiltyRun struct {
-	sent, at time.Time
-	inTouch  bool // its node had not been disturbed for as long as agreement takes
+	sentAt, endedAt time.Time
+	undisturbed     bool // its node had not been disturbed for agreementTime
 }
 
 type modelResult struct {
 	innocentsRefused, innocentsServed, innocentsFailed int
-	guiltyRuns, lateRuns, mostLate                     int
+	guiltyRuns, lateRuns, maxLate                      int
 }
 
 func contentNamed(name string) Digest { return Content{Target: name}.Digest() }
 
-func newModel(seed uint64, apart bool, newJudge func() judge) *model {
+func newModel(seed uint64, apart bool, newDetector func() detector) *model {
 	random := rand.New(rand.NewPCG(seed, 1))
-	m := &model{random: random, newJudge: newJudge, apart: apart, start: time.Unix(0, 0), ended: make(map[Digest][]guiltyRun), waves: make(map[time.Time]bool), cut: -1}
+	m := &model{random: random, newDetector: newDetector, separateSuspects: apart, start: time.Unix(0, 0), guiltyRuns: make(map[Digest][]guiltyRun), waves: make(map[time.Time]bool), isolated: -1}
 	m.now = m.start
 	for range modelEngines {
 		m.engines = append(m.engines, m.newEngine())
 	}
 	for range modelNodes {
-		m.judges = append(m.judges, newJudge())
+		m.detectors = append(m.detectors, newDetector())
 	}
 	for i := range 1 + random.IntN(3) {
 		m.guilty = append(m.guilty, contentNamed(fmt.Sprint("guilty", i)))
 		m.rates = append(m.rates, 0.15*float64(uint(1)<<random.IntN(6)))
 	}
-	for at := 3 * time.Second; random.IntN(3) > 0 && at < modelLength; at += time.Duration(random.IntN(6000)) * time.Millisecond {
+	for at := 3 * time.Second; random.IntN(3) > 0 && at < modelDuration; at += time.Duration(random.IntN(6000)) * time.Millisecond {
 		m.waves[m.start.Add(at.Truncate(modelTick))] = true
 	}
 	return m
 }
 
 func (m *model) newEngine() *modelEngine {
-	m.lives++
-	return &modelEngine{life: m.lives}
+	m.lastEngineID++
+	return &modelEngine{id: m.lastEngineID}
 }
 
 func (m *model) run() modelResult {
-	for count := 0; m.now.Sub(m.start) < modelLength; count++ {
+	for count := 0; m.now.Sub(m.start) < modelDuration; count++ {
 		m.now = m.now.Add(modelTick)
-		m.hear()
-		m.arrive(count)
-		m.disturb()
-		m.work()
-		m.choose()
+		m.deliver()
+		m.addRequests(count)
+		m.injectFaults()
+		m.runEngines()
+		m.dispatch()
 	}
 	for _, content := range m.guilty {
 		late := 0
-		if runs := m.ended[content]; len(runs) > 3 {
+		if runs := m.guiltyRuns[content]; len(runs) > 3 {
 			for _, run := range runs[3:] {
-				if run.inTouch && run.sent.Sub(runs[2].at) > agreeWithin {
+				if run.undisturbed && run.sentAt.Sub(runs[2].endedAt) > agreementTime {
 					late++
 				}
 			}
 		}
 		m.result.lateRuns += late
-		m.result.mostLate = max(m.result.mostLate, late)
+		m.result.maxLate = max(m.result.maxLate, late)
 	}
 	return m.result
 }
 
-// arrive adds new calls.
-func (m *model) arrive(count int) {
+// addRequests adds new requests of clients.
+func (m *model) addRequests(count int) {
 	if m.random.Float64() < 0.6 {
-		m.waiting = append(m.waiting, &modelRequest{content: contentNamed(fmt.Sprint("innocent", count)), node: m.random.IntN(modelNodes), engine: -1, from: m.now, returns: *modelReturns})
+		m.waiting = append(m.waiting, &modelRequest{content: contentNamed(fmt.Sprint("innocent", count)), node: m.random.IntN(modelNodes), engine: -1, notBefore: m.now, clientRetries: *modelClientRetries})
 	}
 	for i, content := range m.guilty {
 		if m.random.Float64() < m.rates[i]*modelTick.Seconds() {
-			m.waiting = append(m.waiting, &modelRequest{content: content, guilty: true, node: m.random.IntN(modelNodes), engine: -1, from: m.now})
+			m.waiting = append(m.waiting, &modelRequest{content: content, guilty: true, node: m.random.IntN(modelNodes), engine: -1, notBefore: m.now})
 		}
 	}
 }
 
-// disturb has engines end, nodes start anew and be cut off.
-func (m *model) disturb() {
+// injectFaults ends engines, restarts nodes and isolates nodes.
+func (m *model) injectFaults() {
 	if m.waves[m.now] {
 		for _, engine := range m.engines {
-			if engine.back.IsZero() && m.random.IntN(2) == 0 {
+			if engine.restartAt.IsZero() && m.random.IntN(2) == 0 {
 				m.crash(engine)
 			}
 		}
@@ -167,36 +167,37 @@
 	if m.random.Float64() < modelTick.Seconds()/10 {
 		m.restart(m.random.IntN(modelNodes))
 	}
-	if m.now.Before(m.cutUntil) {
-		m.touched[m.cut] = m.now
+	if m.now.Before(m.isolatedUntil) {
+		m.disturbedAt[m.isolated] = m.now
 	}
 	if m.random.Float64() < modelTick.Seconds()/15 {
-		m.cut, m.cutUntil = m.random.IntN(modelNodes), m.now.Add(time.Duration(m.random.IntN(2500))*time.Millisecond)
+		m.isolated, m.isolatedUntil = m.random.IntN(modelNodes), m.now.Add(time.Duration(m.random.IntN(2500))*time.Millisecond)
 	}
 }
 
-// crash ends an engine and everything that runs there.
+// crash ends an engine and all requests that run there.
 func (m *model) crash(engine *modelEngine) {
-	engine.back = m.now.Add(3500 * time.Millisecond)
-	works := engine.works
-	engine.works = nil
+	engine.restartAt = m.now.Add(3500 * time.Millisecond)
+	works := engine.running
+	engine.running = nil
 	for _, request := range works {
-		own := Crash{Content: request.content, Engine: engine.life}
-		m.judges[request.node].crashed(own, true, m.now)
-		m.tell(request.node, own)
+		own := Crash{Content: request.content, Engine: engine.id}
+		m.detectors[request.node].recordCrash(own, true, m.now)
+		m.broadcast(request.node, own)
 		request.engine = -1
 		request.attempts++
-		m.again(request)
+		m.retry(request)
 	}
 }
 
-// again has a call go on elsewhere, or its client come again.
-func (m *model) again(request *modelRequest) {
+// retry queues a request for another engine, or lets its client send it again when its
+// attempts are used up.
+func (m *model) retry(request *modelRequest) {
 	if request.attempts < modelAttempts {
 		m.waiting = append(m.waiting, request)
 		return
 	}
-	if request.returns == 0 {
+	if request.clientRetries == 0 {
 		if !request.guilty {
 			m.result.innocentsFailed++
 		}
@@ -204,113 +205,113 @@
 	}
 	m.waiting = append(m.waiting, &modelRequest{
 		content: request.content, guilty: request.guilty, node: m.random.IntN(modelNodes), engine: -1,
-		from: m.now.Add(50 * time.Millisecond), returns: request.returns - 1,
+		notBefore: m.now.Add(50 * time.Millisecond), clientRetries: request.clientRetries - 1,
 	})
 }
 
-// tell sends a crash to the other nodes, three times, each of which may be lost, and to
-// the store once two engines have ended under the content.
-func (m *model) tell(from int, crash Crash) {
+// broadcast sends a crash to the other nodes three times, where each message may be lost, and
+// writes it to the store once the content has crashed two engines or the crash is excused.
+func (m *model) broadcast(from int, crash Crash) {
 	for to := range modelNodes {
 		if to == from {
 			continue
 		}
 		for try := range 3 {
 			at := m.now.Add(time.Duration(try)*150*time.Millisecond + time.Duration(1+m.random.IntN(30))*time.Millisecond)
-			lost := m.random.IntN(4) == 0 || (m.now.Before(m.cutUntil) && (m.cut == to || m.cut == from))
+			lost := m.random.IntN(4) == 0 || (m.now.Before(m.isolatedUntil) && (m.isolated == to || m.isolated == from))
 			if !lost {
-				m.messages = append(m.messages, told{to: to, at: at, since: m.now, crash: crash})
+				m.inTransit = append(m.inTransit, crashMessage{to: to, arrivesAt: at, sentAt: m.now, crash: crash})
 			}
 		}
 	}
-	if m.judges[from].crashes(crash.Content, m.now) >= 2 || crash.Excused {
-		for _, known := range m.known(from, crash.Content) {
+	if m.detectors[from].crashCount(crash.Content, m.now) >= 2 || crash.Excused {
+		for _, known := range m.crashesToStore(from, crash.Content) {
 			at := m.now.Add(time.Duration(100+m.random.IntN(600)) * time.Millisecond)
 			for to := range modelNodes {
-				m.messages = append(m.messages, told{to: to, at: at, since: m.now, crash: known})
+				m.inTransit = append(m.inTransit, crashMessage{to: to, arrivesAt: at, sentAt: m.now, crash: known})
 			}
-			m.kept = append(m.kept, told{at: at, since: m.now, crash: known})
+			m.stored = append(m.stored, crashMessage{arrivesAt: at, sentAt: m.now, crash: known})
 		}
 	}
 }
 
-// known gives what a node writes to the store of a content.
-func (m *model) known(node int, content Digest) []Crash {
-	if ledger, ok := m.judges[node].(ledgerJudge); ok {
+// crashesToStore returns the crashes of a content that a node writes to the store.
+func (m *model) crashesToStore(node int, content Digest) []Crash {
+	if ledger, ok := m.detectors[node].(ledgerDetector); ok {
 		return ledger.Crashes(content, m.now)
 	}
 	return nil
 }
 
-// hear delivers what is due; a node that started anew reads what the store has.
-func (m *model) hear() {
-	left := m.messages[:0]
-	for _, message := range m.messages {
-		if message.at.After(m.now) {
+// deliver delivers the messages that are due.
+func (m *model) deliver() {
+	left := m.inTransit[:0]
+	for _, message := range m.inTransit {
+		if message.arrivesAt.After(m.now) {
 			left = append(left, message)
 			continue
 		}
 		crash := message.crash
-		crash.Age += m.now.Sub(message.since)
-		m.judges[message.to].crashed(crash, false, m.now)
+		crash.Age += m.now.Sub(message.sentAt)
+		m.detectors[message.to].recordCrash(crash, false, m.now)
 	}
-	m.messages = left
+	m.inTransit = left
 }
 
-// restart has a node forget what it knew; it reads what the store has.
+// restart clears the state of a node, which then reads the records in the store.
 func (m *model) restart(node int) {
-	m.judges[node], m.touched[node] = m.newJudge(), m.now
-	for _, row := range m.kept {
-		if !row.at.After(m.now) {
+	m.detectors[node], m.disturbedAt[node] = m.newDetector(), m.now
+	for _, row := range m.stored {
+		if !row.arrivesAt.After(m.now) {
 			crash := row.crash
-			crash.Age += m.now.Sub(row.since)
-			m.judges[node].crashed(crash, false, m.now)
+			crash.Age += m.now.Sub(row.sentAt)
+			m.detectors[node].recordCrash(crash, false, m.now)
 		}
 	}
 }
 
-// work ends runs, and engines under the guilty.
-func (m *model) work() {
+// runEngines restarts engines that are due and finishes runs at the others.
+func (m *model) runEngines() {
 	for i, engine := range m.engines {
-		if !engine.back.IsZero() && !m.now.Before(engine.back) {
+		if !engine.restartAt.IsZero() && !m.now.Before(engine.restartAt) {
 			m.engines[i] = m.newEngine()
 			continue
 		}
-		m.workAt(engine)
+		m.finishRuns(engine)
 	}
 }
 
-func (m *model) workAt(engine *modelEngine) {
+func (m *model) finishRuns(engine *modelEngine) {
 	var left []*modelRequest
-	for _, request := range engine.works {
+	for _, request := range engine.running {
 		switch {
-		case m.now.Before(request.until):
+		case m.now.Before(request.endsAt):
 			left = append(left, request)
 		case request.guilty:
-			inTouch := request.sent.Sub(m.touched[request.node]) > agreeWithin
-			m.ended[request.content] = append(m.ended[request.content], guiltyRun{sent: request.sent, at: m.now, inTouch: inTouch})
+			undisturbed := request.sentAt.Sub(m.disturbedAt[request.node]) > agreementTime
+			m.guiltyRuns[request.content] = append(m.guiltyRuns[request.content], guiltyRun{sentAt: request.sentAt, endedAt: m.now, undisturbed: undisturbed})
 			m.result.guiltyRuns++
 			m.crash(engine)
 			return
 		default:
 			m.result.innocentsServed++
-			for _, crash := range m.judges[request.node].served(request.content, m.now) {
-				m.tell(request.node, crash)
+			for _, crash := range m.detectors[request.node].recordSuccess(request.content, m.now) {
+				m.broadcast(request.node, crash)
 			}
 		}
 	}
-	engine.works = left
+	engine.running = left
 }
 
-// choose gives what waits a slot.
-func (m *model) choose() {
+// dispatch assigns the waiting requests to engines.
+func (m *model) dispatch() {
 	waiting := m.waiting
 	m.waiting = nil
 	for _, request := range waiting {
 		switch {
-		case m.now.Before(request.from):
+		case m.now.Before(request.notBefore):
 			m.waiting = append(m.waiting, request)
-		case !m.judges[request.node].mayRun(request.content, m.now):
+		case !m.detectors[request.node].allows(request.content, m.now):
 			if !request.guilty {
 				m.result.innocentsRefused++
 			}
@@ -323,12 +324,12 @@
 func (m *model) place(request *modelRequest) {
 	var best *modelEngine
 	index := -1
-	marks := m.judges[request.node].crashes(request.content, m.now)
+	marks := m.detectors[request.node].crashCount(request.content, m.now)
 	for i, engine := range m.engines {
-		if !engine.back.IsZero() || len(engine.works) >= modelSlots || (m.apart && marks >= 1 && m.suspectAt(engine, request, marks)) {
+		if !engine.restartAt.IsZero() || len(engine.running) >= modelSlots || (m.separateSuspects && marks >= 1 && m.suspectAt(engine, request, marks)) {
 			continue
 		}
-		if best == nil || len(engine.works) < len(best.works) {
+		if best == nil || len(engine.running) < len(best.running) {
 			best, index = engine, i
 		}
 	}
@@ -336,19 +337,19 @@
 		m.waiting = append(m.waiting, request)
 		return
 	}
-	request.engine, request.sent = index, m.now
-	best.works = append(best.works, request)
-	request.until = m.now.Add(time.Duration(200+m.random.IntN(900)) * time.Millisecond)
+	request.engine, request.sentAt = index, m.now
+	best.running = append(best.running, request)
+	request.endsAt = m.now.Add(time.Duration(200+m.random.IntN(900)) * time.Millisecond)
 	if request.guilty {
-		request.until = m.now.Add(time.Duration(60+m.random.IntN(60)) * time.Millisecond)
+		request.endsAt = m.now.Add(time.Duration(60+m.random.IntN(60)) * time.Millisecond)
 	}
 }
 
-// suspectAt says whether a suspect must not go to an engine: the same content runs
-// anywhere, or it has crashed twice and another suspect runs there.
+// suspectAt reports whether a suspect must not be sent to an engine: because the same content
+// runs at any engine, or because it has two crashes and another suspect runs there.
 func (m *model) suspectAt(engine *modelEngine, request *modelRequest, marks int) bool {
 	for _, other := range m.engines {
-		for _, running := range other.works {
+		for _, running := range other.running {
 			if running.content == request.content {
 				return true
 			}
@@ -357,23 +358,23 @@
 	if marks < 2 {
 		return false
 	}
-	for _, running := range engine.works {
-		if m.judges[running.node].crashes(running.content, m.now) > 0 {
+	for _, running := range engine.running {
+		if m.detectors[running.node].crashCount(running.content, m.now) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// modelSum plays the model and sums what came of it.
-func modelSum(runs int, apart bool, newJudge func() judge) modelResult {
+// runModels runs the model with a number of seeds and sums the results.
+func runModels(runs int, apart bool, newDetector func() detector) modelResult {
 	results := make([]modelResult, runs)
 	var group sync.WaitGroup
 	seeds := make(chan int)
 	for range runtime.GOMAXPROCS(0) {
 		group.Go(func() {
 			for seed := range seeds {
-				results[seed] = newModel(uint64(seed), apart, newJudge).run() //nolint:gosec // counts up from 0
+				results[seed] = newModel(uint64(seed), apart, newDetector).run() //nolint:gosec // counts up from 0
 			}
 		})
 	}
@@ -389,68 +390,70 @@
 		sum.innocentsFailed += result.innocentsFailed
 		sum.guiltyRuns += result.guiltyRuns
 		sum.lateRuns += result.lateRuns
-		sum.mostLate = max(sum.mostLate, result.mostLate)
+		sum.maxLate = max(sum.maxLate, result.maxLate)
 	}
 	return sum
 }
 
-func newLedgerJudge() judge { return ledgerJudge{NewLedger(DefaultConfig())} }
+func newLedgerDetector() detector { return ledgerDetector{NewLedger(DefaultConfig())} }
 
-func newCountJudge(ownOnly bool) func() judge {
-	return func() judge { return countJudge{ownOnly: ownOnly, engines: make(map[Digest]map[uint64]bool)} }
+func newCountDetector(ownOnly bool) func() detector {
+	return func() detector { return countDetector{ownOnly: ownOnly, engines: make(map[Digest]map[uint64]bool)} }
 }
 
-// TestBoundHoldsInTheModel has the ledger keep the bound and refuse nobody innocent, where
-// a count at each node breaks the bound, and a count over all nodes refuses the innocent.
+// TestBoundHoldsInTheModel checks that the ledger keeps the bound and refuses no innocent
+// request. As a check of the model, a count at each node must break the bound, and a count over
+// all nodes must refuse innocent requests.
 func TestBoundHoldsInTheModel(t *testing.T) {
-	ledger := modelSum(*modelRuns, true, newLedgerJudge)
+	ledger := runModels(*modelRuns, true, newLedgerDetector)
 	t.Logf("ledger, suspects apart: %+v", ledger)
-	if ledger.mostLate > mostLateRuns || ledger.innocentsRefused > 0 {
-		t.Errorf("late runs of one content %d, want %d at most; innocent requests refused %d, want none", ledger.mostLate, mostLateRuns, ledger.innocentsRefused)
+	if ledger.maxLate > maxLateRuns || ledger.innocentsRefused > 0 {
+		t.Errorf("late runs of one content %d, want %d at most; innocent requests refused %d, want none", ledger.maxLate, maxLateRuns, ledger.innocentsRefused)
 	}
 	naiveRuns := min(*modelRuns, 50)
-	perNode := modelSum(naiveRuns, false, newCountJudge(true))
+	perNode := runModels(naiveRuns, false, newCountDetector(true))
 	t.Logf("count at each node: %+v", perNode)
-	if perNode.mostLate <= mostLateRuns {
-		t.Error("a count at each node keeps the bound too: the model shows nothing")
+	if perNode.maxLate <= maxLateRuns {
+		t.Error("a count at each node keeps the bound too, so the model does not exercise it")
 	}
-	overAll := modelSum(naiveRuns, false, newCountJudge(false))
+	overAll := runModels(naiveRuns, false, newCountDetector(false))
 	t.Logf("count over all nodes: %+v", overAll)
 	if overAll.innocentsRefused == 0 {
-		t.Error("a count over all nodes refuses nobody innocent: the model shows nothing")
+		t.Error("a count over all nodes refuses no innocent request, so the model does not exercise that case")
 	}
 }
 
-// BenchmarkModel compares ways to judge: innocent requests refused, runs of guilty ones,
-// and the most runs of one that began later than the bound. Its figures stand in
-// DefaultConfig and in docs/decisions.
+// BenchmarkModel compares detectors and configurations. It reports innocent requests refused
+// and served, runs of guilty requests, and the maximum number of runs of one content that began
+// more than agreementTime after its third crash. DefaultConfig and docs/decisions quote its
+// figures.
 func BenchmarkModel(b *testing.B) {
-	with := func(change func(*Config)) func() judge {
+	with := func(change func(*Config)) func() detector {
 		config := DefaultConfig()
 		change(&config)
-		return func() judge { return ledgerJudge{NewLedger(config)} }
+		return func() detector { return ledgerDetector{NewLedger(config)} }
 	}
 	for _, way := range []struct {
 		name  string
 		apart bool
-		make  func() judge
+		make  func() detector
 	}{
-		{"default", true, newLedgerJudge},
-		{"not apart", false, newLedgerJudge},
+		{"default", true, newLedgerDetector},
+		{"not apart", false, newLedgerDetector},
 		{"block at 3", true, with(func(c *Config) { c.CrashesToBlock = 3 })},
-		{"no waves, block at 3", true, with(func(c *Config) { c.WaveWithin = -1; c.CrashesToBlock = 3 })},
-		{"no waves, block at 4", true, with(func(c *Config) { c.WaveWithin = -1; c.CrashesToBlock = 4 })},
-		{"waves of 250 ms", true, with(func(c *Config) { c.WaveWithin = 250 * time.Millisecond })},
-		{"count over all nodes", false, newCountJudge(false)},
-		{"count at each node", false, newCountJudge(true)},
+		{"no waves, block at 3", true, with(func(c *Config) { c.WaveWindow = -1; c.CrashesToBlock = 3 })},
+		{"no waves, block at 4", true, with(func(c *Config) { c.WaveWindow = -1; c.CrashesToBlock = 4 })},
+		{"waves of 250 ms", true, with(func(c *Config) { c.WaveWindow = 250 * time.Millisecond })},
+		{"count over all nodes", false, newCountDetector(false)},
+		{"count at each node", false, newCountDetector(true)},
 	} {
 		b.Run(way.name, func(b *testing.B) {
 			for b.Loop() {
-				sum := modelSum(*modelRuns, way.apart, way.make)
+				sum := runModels(*modelRuns, way.apart, way.make)
 				b.ReportMetric(float64(sum.innocentsRefused), "refused")
 				b.ReportMetric(float64(sum.innocentsServed), "served")
 				b.ReportMetric(float64(sum.guiltyRuns), "guilty-runs")
-				b.ReportMetric(float64(sum.mostLate), "most-late-runs")
+				b.ReportMetric(float64(sum.maxLate), "most-late-runs")
 			}
 		})
 	}
--- a/internal/core/quarantine/order.go
+++ b/internal/core/quarantine/order.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Order is an operator's word on a content: that it is blocked whatever its crashes tell, or
-// no longer. What the crashes tell is lifted by telling them as excused.
+// Order is an operator's instruction to block a content regardless of its crashes, or to end
+// such a block. A block that follows from crashes is lifted by reporting them as excused.
 type Order struct {
 	Content Digest
-	// Version orders the words on a content; the highest counts.
+	// Version orders the instructions for a content; the highest is in force.
 	Version int64
-	// Left is how long the content is blocked from the moment of telling; 0: it is not.
+	// Left is how long the content stays blocked, counted from the moment the order is sent;
+	// 0 ends the block.
 	Left time.Duration
 }
 
-// ordered is an order as the ledger keeps it.
-type ordered struct {
+// orderRecord is the stored form of an Order.
+type orderRecord struct {
 	version int64
 	until   time.Time
 }
 
-// Order takes an operator's word; it reports whether that was news.
+// Order applies an operator's order and reports whether it was newer than the one known.
 func (l *Ledger) Order(order Order, now time.Time) bool {
 	if order.Version <= l.orders[order.Content].version {
 		return false
 	}
-	l.orders[order.Content] = ordered{version: order.Version, until: now.Add(order.Left)}
+	l.orders[order.Content] = orderRecord{version: order.Version, until: now.Add(order.Left)}
 	return true
 }
 
-// byOrder gives the verdict on a content that an operator has blocked.
-func (l *Ledger) byOrder(content Digest, verdict Verdict, now time.Time) Verdict {
+// applyOrder returns the verdict with the operator's block of the content applied, if there is
+// one in force.
+func (l *Ledger) applyOrder(content Digest, verdict Verdict, now time.Time) Verdict {
 	known, found := l.orders[content]
 	if !found || !now.Before(known.until) {
 		return verdict
@@ -40,10 +42,11 @@
 	return verdict
 }
 
-// expireOrders forgets orders whose block has long ended: none is told as news again before.
+// expireOrders removes orders whose block ended longer than Retention ago. Until then the
+// stored version keeps a repeated order from being applied as new.
 func (l *Ledger) expireOrders(now time.Time) {
 	for content, known := range l.orders {
-		if now.Sub(known.until) > l.config.KeepFor {
+		if now.Sub(known.until) > l.config.Retention {
 			delete(l.orders, content)
 		}
 	}
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,12 +1,12 @@
-// Package quarantine finds the requests that end the engines which run them. It keeps
-// which requests, told apart by their content, were under way at each engine that ended,
-// and says of a content whether it is to blame and must reach no engine for a time.
+// Package quarantine detects requests that crash the engines which run them. It records
+// which requests, identified by their content, were in flight at each engine that ended,
+// and decides whether a content is the cause and must be sent to no engine for a time.
 //
-// What is kept is a set of crashes, pairs of a content and an engine's life. Nodes tell
-// each other theirs in any order and as often as they like: a pair that is known changes
-// nothing, and one that was excused stays so. Nodes that know the same pairs judge alike.
+// The state is a set of crashes, each a pair of a content and an engine's incarnation. Nodes
+// exchange crashes in any order and any number of times: a known pair changes nothing, and an
+// excused pair stays excused. Nodes that know the same pairs reach the same verdicts.
 //
-// Time is an argument; the package does no I/O and takes no lock.
+// The caller passes the time; the package does no I/O and takes no lock.
 package quarantine
 
 import (
@@ -16,65 +16,67 @@
 	"time"
 )
 
-// Crash says that an engine ended while a request with this content was under way there.
+// Crash states that an engine ended while a request with this content was in flight there.
 type Crash struct {
 	Content Digest
-	Engine  uint64 // hash of the id of the engine's life
-	// Age is how long ago the engine ended, at the moment of telling.
+	Engine  uint64 // hash of the id of the engine's incarnation
+	// Age is how long ago the engine ended, at the moment the report is sent.
 	Age time.Duration
-	// Excused: the content has since run whole at an engine, or an operator let it
-	// through; the crash no longer counts against it.
+	// Excused is true when the content has since completed at an engine, or an operator has
+	// cleared it. The crash then no longer counts against the content.
 	Excused bool
 }
 
-// Config says when a content is to blame.
+// Config holds the thresholds for blocking a content.
 type Config struct {
-	// CrashesToBlock is the evidence from which on a content is blocked, in engines
-	// that ended under it.
+	// CrashesToBlock is the evidence at which a content is blocked, as a number of engines
+	// that crashed while they ran it.
 	CrashesToBlock float64
-	// CrashesOfPair is the same for contents that came and crashed together, so that
-	// neither has more evidence against it than the other.
-	CrashesOfPair float64
-	// CrashesToExplain is how many engines ended under a content that explains the end
-	// of each of them, and EvidenceToExplain what is left of them without waves.
+	// CrashesToBlockPair is the same threshold for contents that ran and crashed together,
+	// so that neither has more evidence against it than the other.
+	CrashesToBlockPair float64
+	// CrashesToExplain and EvidenceToExplain are the minimum number of crashes of a content
+	// and the minimum evidence, reduced for waves, at which the content explains the ends of
+	// the engines that ran it.
 	CrashesToExplain  int
 	EvidenceToExplain float64
-	// WaveWithin is how near in time engines end that end of one cause.
-	WaveWithin time.Duration
-	// KeepFor is how long after its newest crash a content is remembered, and blocked.
-	KeepFor time.Duration
-	// MostContents bounds the contents that are remembered.
-	MostContents int
-}
-
-// DefaultConfig blocks a content once four engines ended under it. In the model
-// (BenchmarkModel: 1,500 runs with 1 to 3 contents that end engines, waves of other ends,
-// restarts and cuts, and clients that come back three times) it refuses 1 of 2.19 million
-// innocent requests, and at most 3 runs of a content begin later than 3 s after the third
-// engine ended under it. At 3 it refuses 33, without waves (at 4) 9, and where suspects
-// share engines 22.
+	// WaveWindow is the largest time between two ends of engines that may share one cause.
+	WaveWindow time.Duration
+	// Retention is how long after its newest crash a content is remembered and blocked.
+	Retention time.Duration
+	// MaxContents is the maximum number of contents that are remembered.
+	MaxContents int
+}
+
+// DefaultConfig returns a configuration that blocks a content after it has crashed four
+// engines. In the simulation of BenchmarkModel (1,500 runs with 1 to 3 contents that crash
+// engines, waves of other crashes, node restarts and partitions, and clients that retry three
+// times) it refuses 1 of 2.19 million innocent requests, and at most 3 runs of a content begin
+// later than 3 s after it has crashed its third engine. It refuses 33 when it blocks after
+// three engines, 9 when it blocks after four and ignores waves, and 22 when suspect contents
+// may share an engine.
 func DefaultConfig() Config {
 	return Config{
-		CrashesToBlock: 3.5, CrashesOfPair: 5, CrashesToExplain: 3, EvidenceToExplain: 1.5, WaveWithin: 100 * time.Millisecond,
-		KeepFor: 30 * time.Minute, MostContents: 4096,
+		CrashesToBlock: 3.5, CrashesToBlockPair: 5, CrashesToExplain: 3, EvidenceToExplain: 1.5, WaveWindow: 100 * time.Millisecond,
+		Retention: 30 * time.Minute, MaxContents: 4096,
 	}
 }
 
-// mark is one crash, as the ledger keeps it.
-type mark struct {
+// crashRecord is the stored state of one crash.
+type crashRecord struct {
 	excused bool
 }
 
-// contentRecord is what is known of a content.
+// contentRecord holds the known crashes of a content.
 type contentRecord struct {
-	marks  map[uint64]mark // by engine
-	newest time.Time       // of its crashes
+	crashes map[uint64]crashRecord // by engine
+	newest  time.Time              // time of the newest crash
 }
 
-// counted is how many engines ended under the content, but for those it is excused for.
-func (r *contentRecord) counted() int {
+// unexcusedCrashes returns the number of the content's crashes that are not excused.
+func (r *contentRecord) unexcusedCrashes() int {
 	count := 0
-	for _, known := range r.marks {
+	for _, known := range r.crashes {
 		if !known.excused {
 			count++
 		}
@@ -82,103 +84,105 @@
 	return count
 }
 
-// engineRecord is an engine that ended.
+// engineRecord describes an engine that ended.
 type engineRecord struct {
-	at       time.Time // when it ended, as far as is known
+	endedAt  time.Time // earliest reported time
 	contents map[Digest]bool
 }
 
-// Ledger keeps the crashes. It is not safe for concurrent use.
+// Ledger holds the known crashes and operators' orders. It is not safe for concurrent use.
 type Ledger struct {
-	config   Config
-	contents map[Digest]*contentRecord
-	engines  map[uint64]*engineRecord
-	orders   map[Digest]ordered // of operators
-	judged   *judgement         // nil: something has changed since
+	config    Config
+	contents  map[Digest]*contentRecord
+	engines   map[uint64]*engineRecord
+	orders    map[Digest]orderRecord // orders of operators
+	evaluated *evaluation            // nil after a change
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger(config Config) *Ledger {
-	return &Ledger{config: config, contents: make(map[Digest]*contentRecord), engines: make(map[uint64]*engineRecord), orders: make(map[Digest]ordered)}
+	return &Ledger{config: config, contents: make(map[Digest]*contentRecord), engines: make(map[uint64]*engineRecord), orders: make(map[Digest]orderRecord)}
 }
 
-// Note takes a crash, own or told; it reports whether that was news.
+// Note records a crash that this node observed or another node reported. It returns whether
+// the crash, or its excuse, was new. A crash older than Retention is ignored.
 func (l *Ledger) Note(crash Crash, now time.Time) bool {
 	at := now.Add(-crash.Age)
-	if crash.Age > l.config.KeepFor {
+	if crash.Age > l.config.Retention {
 		return false
 	}
 	record := l.contents[crash.Content]
 	if record == nil {
-		l.makeRoom(now)
-		record = &contentRecord{marks: make(map[uint64]mark), newest: at}
+		l.evictIfFull(now)
+		record = &contentRecord{crashes: make(map[uint64]crashRecord), newest: at}
 		l.contents[crash.Content] = record
 	}
 	engine := l.engines[crash.Engine]
 	if engine == nil {
-		engine = &engineRecord{at: at, contents: make(map[Digest]bool)}
+		engine = &engineRecord{endedAt: at, contents: make(map[Digest]bool)}
 		l.engines[crash.Engine] = engine
 	}
-	if at.Before(engine.at) {
-		engine.at = at
+	if at.Before(engine.endedAt) {
+		engine.endedAt = at
 	}
 	if at.After(record.newest) {
 		record.newest = at
 	}
 	engine.contents[crash.Content] = true
-	l.judged = nil
-	known, found := record.marks[crash.Engine]
-	record.marks[crash.Engine] = mark{excused: known.excused || crash.Excused}
+	l.evaluated = nil
+	known, found := record.crashes[crash.Engine]
+	record.crashes[crash.Engine] = crashRecord{excused: known.excused || crash.Excused}
 	return !found || (crash.Excused && !known.excused)
 }
 
-// Excuse takes word that a content is harmless, since it has run whole. It gives the
-// crashes that no longer count against it; nil where there were none.
+// Excuse marks all crashes of a content as excused, since the content has completed at an
+// engine. It returns the crashes that no longer count against it, or nil if there were none.
 func (l *Ledger) Excuse(content Digest, now time.Time) []Crash {
 	record := l.contents[content]
 	if record == nil {
 		return nil
 	}
-	l.judged = nil
+	l.evaluated = nil
 	var excused []Crash
-	for engine, known := range record.marks {
+	for engine, known := range record.crashes {
 		if !known.excused {
-			record.marks[engine] = mark{excused: true}
+			record.crashes[engine] = crashRecord{excused: true}
 			excused = append(excused, l.crash(content, engine, now))
 		}
 	}
 	return excused
 }
 
-// crash gives a known crash as it is told at a time.
+// crash returns a known crash as it is reported at a time.
 func (l *Ledger) crash(content Digest, engine uint64, now time.Time) Crash {
-	return Crash{Content: content, Engine: engine, Age: now.Sub(l.engines[engine].at), Excused: l.contents[content].marks[engine].excused}
+	return Crash{Content: content, Engine: engine, Age: now.Sub(l.engines[engine].endedAt), Excused: l.contents[content].crashes[engine].excused}
 }
 
-// Crashes gives what is known of a content.
+// Crashes returns the known crashes of a content, ordered by engine.
 func (l *Ledger) Crashes(content Digest, now time.Time) []Crash {
 	record := l.contents[content]
 	if record == nil {
 		return nil
 	}
 	var crashes []Crash
-	for _, engine := range slices.Sorted(maps.Keys(record.marks)) {
+	for _, engine := range slices.Sorted(maps.Keys(record.crashes)) {
 		crashes = append(crashes, l.crash(content, engine, now))
 	}
 	return crashes
 }
 
-// Gravest gives the crashes of contents under which two engines or more ended, those with
-// the most first, so many crashes at most, and none that are older than an age.
+// Gravest returns the crashes of contents that have two or more crashes which are not
+// excused, contents with the most crashes first. It returns at most `most` crashes and leaves
+// out contents whose newest crash is older than `oldest`.
 func (l *Ledger) Gravest(most int, oldest time.Duration, now time.Time) []Crash {
 	var repeated []Digest
 	for content, record := range l.contents {
-		if record.counted() >= 2 && now.Sub(record.newest) <= oldest {
+		if record.unexcusedCrashes() >= 2 && now.Sub(record.newest) <= oldest {
 			repeated = append(repeated, content)
 		}
 	}
 	slices.SortFunc(repeated, func(a, b Digest) int {
-		return cmp.Or(cmp.Compare(l.contents[b].counted(), l.contents[a].counted()), slices.Compare(a[:], b[:]))
+		return cmp.Or(cmp.Compare(l.contents[b].unexcusedCrashes(), l.contents[a].unexcusedCrashes()), slices.Compare(a[:], b[:]))
 	})
 	var crashes []Crash
 	for _, content := range repeated {
@@ -190,28 +194,29 @@
 	return crashes[:min(most, len(crashes))]
 }
 
-// Knows says whether anything is known of a content.
+// Knows reports whether a crash of a content is known.
 func (l *Ledger) Knows(content Digest) bool { return l.contents[content] != nil }
 
-// Empty says whether nothing is known of any content.
+// Empty reports whether the ledger holds no crashes and no orders.
 func (l *Ledger) Empty() bool { return len(l.contents)+len(l.orders) == 0 }
 
-// Sizes gives how many contents and engines are remembered.
+// Sizes returns the numbers of contents and engines that are remembered.
 func (l *Ledger) Sizes() (contents, engines int) { return len(l.contents), len(l.engines) }
 
-// Expire forgets contents whose newest crash is too long ago.
+// Expire removes contents whose newest crash is older than Retention, and orders that ended
+// longer ago than that.
 func (l *Ledger) Expire(now time.Time) {
 	for content, record := range l.contents {
-		if now.Sub(record.newest) > l.config.KeepFor {
-			l.forget(content)
+		if now.Sub(record.newest) > l.config.Retention {
+			l.remove(content)
 		}
 	}
 	l.expireOrders(now)
 }
 
-func (l *Ledger) forget(content Digest) {
-	l.judged = nil
-	for engine := range l.contents[content].marks {
+func (l *Ledger) remove(content Digest) {
+	l.evaluated = nil
+	for engine := range l.contents[content].crashes {
 		known := l.engines[engine]
 		delete(known.contents, content)
 		if len(known.contents) == 0 {
@@ -221,22 +226,23 @@
 	delete(l.contents, content)
 }
 
-// roomMade is the part of the contents that goes when there are too many.
-const roomMade = 8
+// evictionDivisor sets the part of the contents, 1/evictionDivisor, that is removed when the
+// ledger is full.
+const evictionDivisor = 8
 
-// makeRoom forgets the contents with the fewest crashes, the oldest first, when there are
-// too many.
-func (l *Ledger) makeRoom(now time.Time) {
-	if len(l.contents) < l.config.MostContents {
+// evictIfFull removes the contents with the fewest crashes, and among these the oldest first,
+// when the ledger holds MaxContents.
+func (l *Ledger) evictIfFull(now time.Time) {
+	if len(l.contents) < l.config.MaxContents {
 		return
 	}
 	l.Expire(now)
-	byWeight := slices.Collect(maps.Keys(l.contents))
-	slices.SortFunc(byWeight, func(a, b Digest) int {
+	byCrashCount := slices.Collect(maps.Keys(l.contents))
+	slices.SortFunc(byCrashCount, func(a, b Digest) int {
 		one, other := l.contents[a], l.contents[b]
-		return cmp.Or(cmp.Compare(one.counted(), other.counted()), one.newest.Compare(other.newest), slices.Compare(a[:], b[:]))
+		return cmp.Or(cmp.Compare(one.unexcusedCrashes(), other.unexcusedCrashes()), one.newest.Compare(other.newest), slices.Compare(a[:], b[:]))
 	})
-	for _, content := range byWeight[:len(byWeight)-len(byWeight)*(roomMade-1)/roomMade] {
-		l.forget(content)
+	for _, content := range byCrashCount[:len(byCrashCount)-len(byCrashCount)*(evictionDivisor-1)/evictionDivisor] {
+		l.remove(content)
 	}
 }
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -15,8 +15,9 @@
 
 var start = time.Unix(1000, 0)
 
-// note has engines end under contents, a second apart.
-func note(ledger *Ledger, from uint64, contents ...string) {
+// noteCrashes records that an engine crashed while it ran the contents. Engine n ends n
+// seconds after start.
+func noteCrashes(ledger *Ledger, from uint64, contents ...string) {
 	for _, name := range contents {
 		ledger.Note(Crash{Content: contentNamed(name), Engine: from}, start.Add(time.Duration(from)*time.Second))
 	}
@@ -30,13 +31,13 @@
 		if ledger.Verdict(contentNamed("guilty"), later).Blocked {
 			t.Fatalf("blocked after %d engines", engine)
 		}
-		note(ledger, engine, "guilty", fmt.Sprint("innocent", engine), "often beside")
+		noteCrashes(ledger, engine, "guilty", fmt.Sprint("innocent", engine), "often beside")
 		if engine == 2 {
 			ledger.Excuse(contentNamed("often beside"), later)
 		}
 	}
 	if got := ledger.Verdict(contentNamed("guilty"), later); !got.Blocked || got.Crashes != 4 {
-		t.Errorf("got %+v", got)
+		t.Errorf("guilty: got %+v", got)
 	}
 	for _, name := range []string{"innocent0", "innocent3", "often beside", "never seen"} {
 		if got := ledger.Verdict(contentNamed(name), later); got.Blocked {
@@ -44,17 +45,17 @@
 		}
 	}
 	if blocked := ledger.Blocked(later); len(blocked) != 1 || len(blocked[0].Crashes) != 4 {
-		t.Errorf("got %+v", blocked)
+		t.Errorf("blocked contents: got %+v, want one with 4 crashes", blocked)
 	}
 }
 
-// TestCompanionOfAGuiltyContentIsNotBlocked has one content end four engines, and another
-// be there at all of them but the first.
+// TestCompanionOfAGuiltyContentIsNotBlocked has one content crash five engines while another
+// runs at all of them but the first.
 func TestCompanionOfAGuiltyContentIsNotBlocked(t *testing.T) {
 	ledger := NewLedger(DefaultConfig())
-	note(ledger, 0, "guilty")
+	noteCrashes(ledger, 0, "guilty")
 	for engine := range uint64(4) {
-		note(ledger, engine+1, "guilty", "companion")
+		noteCrashes(ledger, engine+1, "guilty", "companion")
 	}
 	if got := ledger.Verdict(contentNamed("companion"), later); got.Blocked || got.Crashes != 4 {
 		t.Errorf("companion: got %+v", got)
@@ -64,14 +65,15 @@
 	}
 }
 
-// TestPairThatCrashesTogetherIsBlockedLater: neither has more against it than the other.
+// TestPairThatCrashesTogetherIsBlockedLater has two contents crash the same engines, so that
+// neither has more evidence against it than the other.
 func TestPairThatCrashesTogetherIsBlockedLater(t *testing.T) {
 	ledger := NewLedger(DefaultConfig())
 	for engine := range uint64(5) {
 		if ledger.Verdict(contentNamed("one"), later).Blocked {
 			t.Fatalf("blocked after %d engines", engine)
 		}
-		note(ledger, engine, "one", "other")
+		noteCrashes(ledger, engine, "one", "other")
 	}
 	for _, name := range []string{"one", "other"} {
 		if !ledger.Verdict(contentNamed(name), later).Blocked {
@@ -80,8 +82,8 @@
 	}
 }
 
-// TestWaveOfEndsBlocksNobody has half of twelve engines end at once, six times, each time
-// with one request at all of its engines in turn.
+// TestWaveOfEndsBlocksNobody has half of twelve engines end at once, six times. One request
+// is at one of these engines each time.
 func TestWaveOfEndsBlocksNobody(t *testing.T) {
 	ledger := NewLedger(DefaultConfig())
 	for wave := range uint64(6) {
@@ -96,18 +98,12 @@
 	}
 }
 
-// TestLongRequestsDoNotExplainWavesToEachOther.
-//
-// Symptom: an item of a job was blocked for 14 s, though it ran whole when it was let through.
-//
-// Sequence: six times half of twelve engines end at once. Items run for seconds, so some are hit
-// three times, and one four times, each time beside other items.
-//
-// Cause: the ends of engines at which an item hit three times had run counted as explained by it, so
-// that of the six ends of a wave none was left to speak for a common cause.
-//
-// What settled it: "content blocked" with crashes=4, evidence=3.5; the crashes of all nodes put into one
-// ledger gave weights of 1, 0.5, 1 and 1 in waves of six, where 0.2 each is due.
+// TestLongRequestsDoNotExplainWavesToEachOther guards against a harmless item being blocked
+// after several waves of crashes. Six times, half of twelve engines end at once. Items run for
+// seconds, so some are hit by three waves and one by four. When the items hit three times
+// counted as an explanation of those ends, no end of a wave was left to indicate a common
+// cause: an item was blocked for 14 s with crashes=4 and evidence=3.5, because its crashes
+// weighed 1, 0.5, 1 and 1 where 0.2 each is right for waves of six.
 func TestLongRequestsDoNotExplainWavesToEachOther(t *testing.T) {
 	ledger := NewLedger(DefaultConfig())
 	for wave := range uint64(6) {
@@ -132,19 +128,19 @@
 func TestExcuseCountsFromThenOn(t *testing.T) {
 	ledger := NewLedger(DefaultConfig())
 	for engine := range uint64(4) {
-		note(ledger, engine, "guilty")
+		noteCrashes(ledger, engine, "guilty")
 	}
 	if got := len(ledger.Excuse(contentNamed("guilty"), later)); got != 4 {
 		t.Errorf("%d crashes were excused", got)
 	}
-	for engine := range uint64(4) { // told again by who has not heard of it
-		note(ledger, engine, "guilty")
+	for engine := range uint64(4) { // reported again by a node that does not know of the excuse
+		noteCrashes(ledger, engine, "guilty")
 	}
 	if got := ledger.Verdict(contentNamed("guilty"), later); got.Crashes != 0 || got.Blocked {
 		t.Errorf("excused: got %+v", got)
 	}
 	for engine := range uint64(4) {
-		note(ledger, 10+engine, "guilty")
+		noteCrashes(ledger, 10+engine, "guilty")
 	}
 	if got := ledger.Verdict(contentNamed("guilty"), later); got.Crashes != 4 || !got.Blocked {
 		t.Errorf("after four more: got %+v", got)
@@ -155,11 +151,11 @@
 	config := DefaultConfig()
 	ledger := NewLedger(config)
 	for engine := range uint64(4) {
-		note(ledger, engine, "guilty")
+		noteCrashes(ledger, engine, "guilty")
 	}
-	end := start.Add(3*time.Second + config.KeepFor)
+	end := start.Add(3*time.Second + config.Retention)
 	if !ledger.Verdict(contentNamed("guilty"), end.Add(-time.Millisecond)).Blocked || ledger.Verdict(contentNamed("guilty"), end).Blocked {
-		t.Error("the block does not last as long as it says")
+		t.Error("the block does not last until Retention after the newest crash")
 	}
 	ledger.Expire(end.Add(time.Millisecond))
 	if contents, engines := ledger.Sizes(); contents+engines != 0 {
@@ -169,19 +165,19 @@
 
 func TestLedgerIsBoundedAndKeepsTheGravest(t *testing.T) {
 	config := DefaultConfig()
-	config.MostContents = 64
+	config.MaxContents = 64
 	ledger := NewLedger(config)
 	for engine := range uint64(4) {
-		note(ledger, engine, "guilty")
+		noteCrashes(ledger, engine, "guilty")
 	}
 	for engine := range uint64(1000) {
-		note(ledger, 10+engine, fmt.Sprint("innocent", engine))
+		noteCrashes(ledger, 10+engine, fmt.Sprint("innocent", engine))
 	}
-	if contents, engines := ledger.Sizes(); contents > config.MostContents || engines > config.MostContents+4 {
+	if contents, engines := ledger.Sizes(); contents > config.MaxContents || engines > config.MaxContents+4 {
 		t.Errorf("%d contents and %d engines are kept", contents, engines)
 	}
 	if !ledger.Verdict(contentNamed("guilty"), later).Blocked {
-		t.Error("the blocked content made room for others")
+		t.Error("the blocked content was evicted")
 	}
 	crashes := ledger.Gravest(3, time.Hour, later)
 	if len(crashes) != 3 || slices.ContainsFunc(crashes, func(crash Crash) bool { return crash.Content != contentNamed("guilty") }) {
@@ -189,8 +185,8 @@
 	}
 }
 
-// TestNodesThatKnowTheSameJudgeAlike tells two ledgers the same crashes in other orders, some
-// more than once and some by way of the other ledger.
+// TestNodesThatKnowTheSameJudgeAlike reports the same crashes to two ledgers in different
+// orders, to one of them twice, and then reports one ledger's crashes to the other.
 func TestNodesThatKnowTheSameJudgeAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
@@ -215,18 +211,19 @@
 			}
 			for _, crash := range one.Crashes(content, now) {
 				if other.Note(crash, now) {
-					t.Fatalf("%+v is news to who knows it", crash)
+					t.Fatalf("%+v was reported as new to a ledger that knows it", crash)
 				}
 			}
 		}
 	})
 }
 
-// TestStaleCrashIsNotTaken: what is older than what is kept would never go.
+// TestStaleCrashIsNotTaken checks that a crash older than Retention is ignored; it would
+// never be removed.
 func TestStaleCrashIsNotTaken(t *testing.T) {
 	ledger := NewLedger(DefaultConfig())
-	if ledger.Note(Crash{Content: contentNamed("old"), Engine: 1, Age: DefaultConfig().KeepFor + time.Second}, later) || !ledger.Empty() {
-		t.Error("it was taken")
+	if ledger.Note(Crash{Content: contentNamed("old"), Engine: 1, Age: DefaultConfig().Retention + time.Second}, later) || !ledger.Empty() {
+		t.Error("a crash older than Retention was recorded")
 	}
 }
 
@@ -237,7 +234,7 @@
 	}
 	for _, text := range []string{"", "zz", digest.String(), digest.Key() + "00"} {
 		if _, err := ParseDigest(text); err == nil {
-			t.Errorf("%q is taken for a digest", text)
+			t.Errorf("%q was parsed as a digest", text)
 		}
 	}
 }
@@ -246,7 +243,7 @@
 	ledger := NewLedger(DefaultConfig())
 	for engine := range uint64(200) {
 		for i := range 17 {
-			note(ledger, engine, fmt.Sprint(engine, i))
+			noteCrashes(ledger, engine, fmt.Sprint(engine, i))
 		}
 	}
 	content := contentNamed("another")
@@ -255,8 +252,9 @@
 	}
 }
 
-// BenchmarkVerdictInAStorm judges a content that ended four engines, where 200 engines have
-// ended in waves of 30 with 17 contents each, a tenth of which came back twice.
+// BenchmarkVerdictInAStorm measures the verdict on a content that crashed four engines, where
+// 200 engines have ended in waves of 30 with 17 contents each, and about half of the contents
+// ran at a second engine.
 func BenchmarkVerdictInAStorm(b *testing.B) {
 	ledger := NewLedger(DefaultConfig())
 	for engine := range uint64(200) {
--- a/internal/core/quarantine/verdict.go
+++ b/internal/core/quarantine/verdict.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// Verdict says what the crashes tell of a content.
+// Verdict states whether a content is blocked, and why.
 type Verdict struct {
-	// Crashes is how many engines ended under it, but for those it is excused for.
+	// Crashes is the number of engines that ended while they ran the content, without
+	// excused crashes.
 	Crashes int
-	// Evidence is how many engines it has ended, by what is known of all else that
-	// ran there and of all other engines that ended then.
+	// Evidence is the estimated number of engines that the content has crashed. It takes into
+	// account what else ran there and which other engines ended at the same time.
 	Evidence float64
-	// Blocked: it must reach no engine before Until.
+	// Blocked is true when the content must be sent to no engine before Until.
 	Blocked bool
 	Until   time.Time
-	// Ordered: an operator has blocked it.
+	// Ordered is true when an operator has blocked the content.
 	Ordered bool
 }
 
-// Verdict judges a content, by the word of operators and by its crashes.
+// Verdict returns the verdict on a content, from its crashes and from operators' orders.
 func (l *Ledger) Verdict(content Digest, now time.Time) Verdict {
-	return l.byOrder(content, l.byCrashes(content, now), now)
+	return l.applyOrder(content, l.crashVerdict(content, now), now)
 }
 
-// byCrashes judges a content. One under which fewer engines ended than are needed to block
-// it costs two look-ups.
-func (l *Ledger) byCrashes(content Digest, now time.Time) Verdict {
+// crashVerdict returns the verdict on a content from its crashes. A content with fewer crashes
+// than CrashesToBlock costs two lookups.
+func (l *Ledger) crashVerdict(content Digest, now time.Time) Verdict {
 	record := l.contents[content]
 	if record == nil {
 		return Verdict{}
 	}
-	verdict := Verdict{Crashes: record.counted(), Until: record.newest.Add(l.config.KeepFor)}
+	verdict := Verdict{Crashes: record.unexcusedCrashes(), Until: record.newest.Add(l.config.Retention)}
 	if float64(verdict.Crashes) < l.config.CrashesToBlock || !now.Before(verdict.Until) {
 		return verdict
 	}
-	if l.judged == nil {
-		l.judged = newJudgement(l)
+	if l.evaluated == nil {
+		l.evaluated = newEvaluation(l)
 	}
-	evidence := l.judged.evidence(content)
-	verdict.Evidence = float64(evidence) / whole
-	verdict.Blocked = evidence >= weightOf(l.config.CrashesToBlock)
+	evidence := l.evaluated.evidence(content)
+	verdict.Evidence = float64(evidence) / fullWeight
+	verdict.Blocked = evidence >= toWeight(l.config.CrashesToBlock)
 	return verdict
 }
 
-// BlockedContent is a content that must reach no engine.
+// BlockedContent is a content that must be sent to no engine.
 type BlockedContent struct {
 	Content Digest
 	Verdict Verdict
 	Crashes []Crash
 }
 
-// Blocked gives the contents that are blocked, in the order of their digests.
+// Blocked returns the contents that are blocked, ordered by digest.
 func (l *Ledger) Blocked(now time.Time) []BlockedContent {
 	known := make(map[Digest]bool, len(l.contents))
 	for content := range l.contents {
