--- a/internal/core/quota/bucket.go
+++ b/internal/core/quota/bucket.go
@@ -1,7 +1,7 @@
 package quota
 
-// bucket holds what a rate leaves to be spent. Its owner says what flows in and
-// how much it holds, since both change with the limit.
+// bucket is a token bucket. Its owner passes the refill and the capacity with
+// each call, since both change with the limit.
 type bucket struct {
 	level float64 // requests, tokens or credits
 }
--- a/internal/core/quota/permit.go
+++ b/internal/core/quota/permit.go
@@ -8,25 +8,27 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// PermitAsk is what a borrower tells the owner of a concurrency limit.
+// PermitAsk is a borrower's request to the owner of a concurrency limit.
 type PermitAsk struct {
-	// Sequence rises with each ask of a borrower for this limit; an owner
-	// ignores an older one than it has seen.
+	// Sequence increases with each request of a borrower for this limit. An
+	// owner ignores a request that is not newer than the last one it has seen.
 	Sequence uint64
-	// Hold is the most that the borrower holds from now on, or has running
-	// beyond that; Want is what it would like.
+	// Hold is the number of permits that the borrower keeps, or the number of
+	// its running requests where that is larger. Want is the number of permits
+	// that it wants in all.
 	Hold, Want int
 }
 
 // PermitLender is the owner's side of one concurrency limit.
 type PermitLender struct {
-	// lendFrom is when permits may be lent that no one has declared: by then
-	// the borrowers of an earlier owner have told this one what they hold.
+	// lendFrom is the time from which permits may be lent beyond those that
+	// borrowers declare. By then the borrowers of an earlier owner have reported
+	// what they hold.
 	lendFrom time.Time
 	ledger   map[identity.NodeID]loanEntry
-	// shortAt is when a borrower last got less than it wanted, free what was
-	// left of the limit after the last ask.
-	shortAt     time.Time
+	// lastShortAt is when a borrower last got less than it wanted; free is what
+	// was left of the limit after the last request.
+	lastShortAt time.Time
 	free, limit int
 }
 
@@ -37,14 +39,16 @@
 	at       time.Time
 }
 
-// NewPermitLender makes a lender that only takes declarations until lendFrom.
+// NewPermitLender returns a lender that lends nothing until lendFrom and only
+// records what borrowers declare.
 func NewPermitLender(lendFrom time.Time) PermitLender {
 	return PermitLender{lendFrom: lendFrom, ledger: map[identity.NodeID]loanEntry{}}
 }
 
-// Lend answers an ask with the number of permits that the borrower holds in
-// all; ok is false when the ask is older than one already answered. The answer
-// may be less than Hold: the borrower lowers its holding with its next ask.
+// Lend answers a request with the total number of permits that the borrower
+// holds; ok is false when the request is not newer than one already answered.
+// The total may be less than Hold; the borrower then gives permits up with its
+// next request.
 func (l *PermitLender) Lend(now time.Time, from identity.NodeID, limit int, ask PermitAsk, parameters Parameters) (total int, ok bool) {
 	if ask.Sequence <= l.ledger[from].sequence {
 		return 0, false
@@ -57,7 +61,7 @@
 		total = min(total, l.fairTotal(limit))
 	}
 	if total < ask.Want {
-		l.shortAt = now
+		l.lastShortAt = now
 	}
 	l.free = free - (total - ask.Hold)
 	l.limit = limit
@@ -67,7 +71,8 @@
 	return total, true
 }
 
-// reserved sums what borrowers may hold, and forgets those that hold nothing.
+// reserved returns the sum of the permits that borrowers may hold, and removes
+// borrowers that hold nothing and whose lease has ended.
 func (l *PermitLender) reserved(now time.Time, parameters Parameters) int {
 	sum := 0
 	for node, entry := range l.ledger {
@@ -81,8 +86,9 @@
 	return sum
 }
 
-// fairTotal is the most that one borrower gets when the wants exceed the
-// limit: the level at which the wants, cut to it, fill the limit; at least 1.
+// fairTotal returns the maximum number of permits for one borrower when the
+// wants exceed the limit. This is the max-min fair share: the level at which the
+// wants, each capped to it, fill the limit. It is at least 1.
 func (l *PermitLender) fairTotal(limit int) int {
 	sum := 0
 	for _, entry := range l.ledger {
@@ -107,19 +113,20 @@
 	return limit
 }
 
-// Short says whether permits were lately too few.
+// Short reports whether a borrower got fewer permits than it wanted in the last
+// two seconds.
 func (l *PermitLender) Short(now time.Time) bool {
-	const lately = 2 * time.Second
-	return now.Sub(l.shortAt) < lately
+	const shortWindow = 2 * time.Second
+	return now.Sub(l.lastShortAt) < shortWindow
 }
 
-// Abundant says whether borrowers may keep idle permits until they renew them.
+// Abundant reports whether borrowers may keep idle permits until they renew them.
 func (l *PermitLender) Abundant(now time.Time) bool {
-	const least = 2
-	return !l.Short(now) && l.free >= max(l.limit/2, least)
+	const minFree = 2
+	return !l.Short(now) && l.free >= max(l.limit/2, minFree)
 }
 
-// Holders gives the nodes that hold permits, other than one.
+// Holders returns the nodes that hold permits, without the given one.
 func (l *PermitLender) Holders(except identity.NodeID) []identity.NodeID {
 	var holders []identity.NodeID
 	for node, entry := range l.ledger {
@@ -131,7 +138,7 @@
 	return holders
 }
 
-// ForgetUnless drops the borrowers that are known to be gone.
+// ForgetUnless removes the borrowers for which live returns false.
 func (l *PermitLender) ForgetUnless(live func(identity.NodeID) bool) {
 	for node := range l.ledger {
 		if !live(node) {
@@ -140,78 +147,81 @@
 	}
 }
 
-// Borrowers is the number of nodes that hold or want permits.
+// Borrowers returns the number of nodes that hold or want permits.
 func (l *PermitLender) Borrowers() int { return len(l.ledger) }
 
 // PermitMeter is a borrower's side of one concurrency limit, on one node.
 type PermitMeter struct {
 	held, running int
-	// leaseStart is when the ask was sent whose answer gave the permits.
+	// leaseStart is when the request was sent whose answer granted the permits.
 	leaseStart time.Time
 	sequence   uint64
 	sentAt     time.Time
-	waiting    bool // the last ask is unanswered
-	// peak is the most that ran at once since the last ask.
+	unanswered bool // whether the last request is unanswered
+	// peak is the maximum number that ran at once since the last request.
 	peak        int
 	deniedUntil time.Time
 }
 
-// NewPermitMeter makes a meter whose asks have sequences after the one given: a
-// node that forgets a meter and makes it again must not ask with old ones.
+// NewPermitMeter returns a meter whose requests have sequence numbers above the
+// given one. A node that drops a meter and creates it again must not reuse old
+// sequence numbers.
 func NewPermitMeter(after uint64) PermitMeter { return PermitMeter{sequence: after} }
 
-// Usable is the number of permits that count now.
+// Usable returns the number of permits that are valid now.
 func (m *PermitMeter) Usable(now time.Time, parameters Parameters) int {
 	return parameters.decayed(m.held, now.Sub(m.leaseStart))
 }
 
-// Has says whether one more request may run.
+// Has reports whether one more request may run.
 func (m *PermitMeter) Has(now time.Time, parameters Parameters) bool {
 	return m.running < m.Usable(now, parameters)
 }
 
-// Spend starts a request for which Has was true.
+// Spend counts the start of a request for which Has was true.
 func (m *PermitMeter) Spend() {
 	m.running++
 	m.peak = max(m.peak, m.running)
 }
 
-// Release ends a request.
+// Release counts the end of a request.
 func (m *PermitMeter) Release() { m.running-- }
 
-// ForgetPeak makes the next ask give up what is not in use.
+// ForgetPeak makes the next request give up the permits that are not in use.
 func (m *PermitMeter) ForgetPeak() { m.peak = m.running }
 
-// Scale keeps a part of the permits, when their limit was lowered.
+// Scale keeps a part of the permits, rounded up, after their limit was lowered.
 func (m *PermitMeter) Scale(part float64) { m.held = int(math.Ceil(float64(m.held) * part)) }
 
-// Sequence is that of the last ask.
+// Sequence returns the sequence number of the last request.
 func (m *PermitMeter) Sequence() uint64 { return m.sequence }
 
-// Running is the number of requests that run.
+// Running returns the number of running requests.
 func (m *PermitMeter) Running() int { return m.running }
 
-// Held is the number of permits as last answered.
+// Held returns the number of permits held, without regard to their lease.
 func (m *PermitMeter) Held() int { return m.held }
 
-// Ask makes the next ask, for the running requests, as many as lately ran at
-// once, and more that wait. Permits beyond that are given up with it.
+// Ask returns the next request to the owner. It wants permits for the peak
+// number of running requests since the last one and for `more` waiting requests,
+// and gives up permits beyond that.
 func (m *PermitMeter) Ask(now time.Time, more int) PermitAsk {
 	want := max(m.running, m.peak) + more
 	m.peak = m.running
 	m.held = min(m.held, want)
 	m.sequence++
 	m.sentAt = now
-	m.waiting = true
+	m.unanswered = true
 	return PermitAsk{Sequence: m.sequence, Hold: max(m.held, m.running), Want: want}
 }
 
-// Receive takes the answer to an ask; an answer to any but the last is void.
+// Receive applies the answer to a request. An answer to any but the last request
+// is ignored.
 func (m *PermitMeter) Receive(now time.Time, sequence uint64, total int, retryAfter time.Duration) {
-	if sequence != m.sequence || !m.waiting {
+	if sequence != m.sequence || !m.unanswered {
 		return
 	}
-	m.waiting = false
+	m.unanswered = false
 	m.held = total
 	m.leaseStart = m.sentAt
 	m.deniedUntil = time.Time{}
@@ -220,5 +230,5 @@
 	}
 }
 
-// Denied says how long the owner has put the meter off for; zero: it has not.
+// Denied returns how long the meter is to wait before it asks again, or zero.
 func (m *PermitMeter) Denied(now time.Time) time.Duration { return max(0, m.deniedUntil.Sub(now)) }
--- a/internal/core/quota/place_test.go
+++ b/internal/core/quota/place_test.go
@@ -11,15 +11,15 @@
 
 const tenantA = 7
 
-// exact is the plain reading of a limit: a bucket that holds the burst, and into
-// which the rate flows.
-type exact struct {
+// exactLimiter is the reference model of a limit: a token bucket with the limit's rate and
+// burst.
+type exactLimiter struct {
 	limit RateLimit
 	level float64
 	at    time.Time
 }
 
-func (e *exact) admit(now time.Time) bool {
+func (e *exactLimiter) admit(now time.Time) bool {
 	e.level = min(e.level+now.Sub(e.at).Seconds()*e.limit.PerSecond, e.limit.Burst)
 	e.at = now
 	if e.level < 1 {
@@ -29,8 +29,8 @@
 	return true
 }
 
-// mostIn gives the most of some moments that lie in any window.
-func mostIn(moments []time.Time, window time.Duration) int {
+// maxInWindow returns the maximum number of moments that lie in one window.
+func maxInWindow(moments []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for i, at := range moments {
 		for at.Sub(moments[first]) >= window {
@@ -41,9 +41,9 @@
 	return most
 }
 
-// TestPlaceAgainstAnExactBucket has one place count all requests: it admits as many as
-// an exact bucket with the same level at the start, and no more than the
-// limit and the margin allow in any window.
+// TestPlaceAgainstAnExactBucket sends all requests through one place. The place must admit
+// as many as a token bucket with the same initial level, and in any window no more than the
+// limit and the margin allow.
 func TestPlaceAgainstAnExactBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RateLimit{PerSecond: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(1, 200).Draw(t, "burst"))}
@@ -51,7 +51,7 @@
 		place := NewPlace(margin, epoch)
 		place.Advance(epoch, 1)
 		place.SetLimits(map[uint64]RateLimit{tenantA: limit})
-		plain := &exact{limit: limit, level: place.tenants[tenantA].level, at: epoch}
+		reference := &exactLimiter{limit: limit, level: place.tenants[tenantA].level, at: epoch}
 		var begun []time.Time
 		within := 0 // requests that the exact bucket admits
 		for step, now := 0, epoch; step < 12_000; step++ {
@@ -59,34 +59,34 @@
 			if step%10 == 0 {
 				place.Advance(now, 1)
 			}
-			// a demand of up to three times the limit, by turns of some seconds
+			// The demand changes every 2.5 s, between one and three times the limit.
 			demand := limit.PerSecond * float64(1+(step/2500+int(margin.Requests))%3)
 			if math.Floor(float64(step)*demand/1000) == math.Floor(float64(step-1)*demand/1000) {
 				continue
 			}
 			place.Advance(now, 1)
 			verdict := place.Reserve(tenantA)
-			if plain.admit(now) {
+			if reference.admit(now) {
 				within++
 			}
 			if verdict.Admitted {
 				place.Begin(tenantA)
 				begun = append(begun, now)
-			} else if verdict.RetryAfter <= 0 || verdict.RetryAfter > longestPlaceRetry {
-				t.Fatalf("refused, to come back after %s", verdict.RetryAfter)
+			} else if verdict.RetryAfter <= 0 || verdict.RetryAfter > maxPlaceRetry {
+				t.Fatalf("refused with RetryAfter %s", verdict.RetryAfter)
 			}
-			if len(begun) < within-1 { // one may be refused for a rounding
-				t.Fatalf("%d admitted, %d are within the limit", len(begun), within)
+			if len(begun) < within-1 { // rounding may cost one request
+				t.Fatalf("%d admitted, want at least %d, less one for rounding", len(begun), within)
 			}
 		}
 		bound := margin.allowed(limit) + margin.requests(limit)*(toleranceMargin+startMargin) + 1
-		if most := mostIn(begun, margin.Window); float64(most) > bound {
+		if most := maxInWindow(begun, margin.Window); float64(most) > bound {
 			t.Errorf("%d requests in a window, bound %.1f", most, bound)
 		}
 	})
 }
 
-// TestPlacesKeepTheLimitTogether divides the nodes over some places, each with far
+// TestPlacesKeepTheLimitTogether divides the nodes among several places, each with far
 // more demand than the limit.
 func TestPlacesKeepTheLimitTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -116,7 +116,7 @@
 			}
 		}
 		bound := margin.allowed(limit) + margin.requests(limit)*(toleranceMargin+shareMargin) + float64(len(places))
-		if most := mostIn(begun, margin.Window); float64(most) > bound {
+		if most := maxInWindow(begun, margin.Window); float64(most) > bound {
 			t.Errorf("%d requests in a window, bound %.1f, shares %v", most, bound, shares)
 		}
 	})
@@ -127,7 +127,7 @@
 	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 10, Burst: 10}})
 	place.Advance(epoch, 1)
 	place.Advance(epoch.Add(time.Hour), 1)
-	if verdict := place.Reserve(tenantA); verdict.Left > 10*longestFill.Seconds() {
+	if verdict := place.Reserve(tenantA); verdict.Left > 10*maxRefillInterval.Seconds() {
 		t.Errorf("got %+v", verdict)
 	}
 }
@@ -136,7 +136,7 @@
 	place := NewPlace(Margin{}, epoch)
 	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 1, Burst: 2}})
 	for i := range 40 {
-		place.Advance(epoch.Add(time.Duration(i)*longestFill), 1)
+		place.Advance(epoch.Add(time.Duration(i)*maxRefillInterval), 1)
 	}
 	left := func() float64 { return place.Reserve(tenantA).Left }
 	if got := left(); got != 2 { // reserved one
@@ -151,7 +151,7 @@
 		t.Errorf("left %v after one began", got)
 	}
 	if verdict := place.Reserve(tenantA); verdict.Admitted || verdict.RetryAfter != time.Second {
-		t.Errorf("the third of two: %+v", verdict)
+		t.Errorf("third request at a burst of two: %+v", verdict)
 	}
 	place.Drop(tenantA)
 	place.Undo(tenantA)
@@ -165,11 +165,11 @@
 	}
 	place.SetLimits(nil)
 	if !place.Reserve(tenantA).Admitted {
-		t.Error("a limit that is gone refuses")
+		t.Error("a tenant whose limit was removed is refused")
 	}
 }
 
-// TestLimitWithoutBurstLetsOneThroughAtATime has a rate alone.
+// TestLimitWithoutBurstLetsOneThroughAtATime checks a limit with a rate and no burst.
 func TestLimitWithoutBurstLetsOneThroughAtATime(t *testing.T) {
 	place := NewPlace(Margin{}, epoch)
 	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 5}})
@@ -183,12 +183,12 @@
 		}
 	}
 	if admitted < 48 || admitted > 51 {
-		t.Errorf("%d in 10 s at 5 a second", admitted)
+		t.Errorf("%d requests admitted in 10 s at 5 per second", admitted)
 	}
 }
 
-// TestDrawAloneLetsTheNodesPartThroughInTheMean has each of many nodes be alone, and
-// asked for more than its part.
+// TestDrawAloneLetsTheNodesPartThroughInTheMean isolates each of many nodes and gives each
+// more requests than its part of the limit.
 func TestDrawAloneLetsTheNodesPartThroughInTheMean(t *testing.T) {
 	const nodes, seconds = 60, 20
 	limit := RateLimit{PerSecond: 8, Burst: 8}
@@ -205,7 +205,7 @@
 		}
 	}
 	if want := limit.PerSecond * seconds; math.Abs(float64(admitted)-want) > want/3 {
-		t.Errorf("%d requests of %v", admitted, want)
+		t.Errorf("%d requests admitted, want about %v", admitted, want)
 	}
 	if place := NewLonePlace(Margin{}, epoch); !place.DrawAlone(tenantA, 0.9) {
 		t.Error("a tenant without a limit is refused")
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -16,13 +16,13 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// central is the twin: one limiter that every request asks at once.
-type central struct {
+// centralLimiter is the reference model: one limiter that decides on every request at once.
+type centralLimiter struct {
 	level float64
 	at    time.Time
 }
 
-func (c *central) admit(now time.Time, limit, cost float64, p Parameters) bool {
+func (c *centralLimiter) admit(now time.Time, limit, cost float64, p Parameters) bool {
 	c.level = min(c.level+now.Sub(c.at).Seconds()*limit, limit*p.Burst.Seconds())
 	c.at = now
 	if c.level < min(cost, limit*p.Burst.Seconds()) {
@@ -32,29 +32,29 @@
 	return true
 }
 
-// rateFleet carries asks and loans between meters and lenders over a network
-// with delay and loss, under views of the owner that may differ.
+// rateFleet simulates meters and lenders that exchange requests and loans over a network
+// with delay and loss, where nodes may disagree on the owner.
 type rateFleet struct {
-	p       Parameters
-	random  *rand.Rand
-	limit   float64
-	loss    float64
-	delay   time.Duration
-	meters  []RateMeter
-	lenders map[int]*RateLender
-	owners  []int // whom each node takes for the owner
-	pending []time.Time
-	mail    []letter
-	admits  []float64 // net cost admitted in each tick
-	acting  []int     // nodes that acted as owner in each tick
-	silent  bool
+	p            Parameters
+	random       *rand.Rand
+	limit        float64
+	loss         float64
+	delay        time.Duration
+	meters       []RateMeter
+	lenders      map[int]*RateLender
+	owners       []int // by node: the owner in its view
+	pending      []time.Time
+	inTransit    []rateMessage
+	admits       []float64 // net cost admitted in each tick
+	actingOwners []int     // number of nodes that acted as owner in each tick
+	silent       bool
 }
 
-type letter struct {
-	due      time.Time
-	from, to int
-	ask      *RateAsk
-	loan     *Loan
+type rateMessage struct {
+	arrivesAt time.Time
+	from, to  int
+	ask       *RateAsk
+	loan      *Loan
 }
 
 func newRateFleet(seed uint64, nodes int, limit float64, loss float64, delay time.Duration) *rateFleet {
@@ -70,18 +70,18 @@
 
 func (f *rateFleet) share() Share { return Share{Limit: f.limit, Nodes: len(f.owners)} }
 
-func (f *rateFleet) send(now time.Time, mail letter) {
-	if mail.from != mail.to && f.random.Float64() < f.loss {
+func (f *rateFleet) send(now time.Time, message rateMessage) {
+	if message.from != message.to && f.random.Float64() < f.loss {
 		return
 	}
-	mail.due = now
-	if mail.from != mail.to {
-		mail.due = now.Add(time.Duration(f.random.Float64() * float64(f.delay)))
+	message.arrivesAt = now
+	if message.from != message.to {
+		message.arrivesAt = now.Add(time.Duration(f.random.Float64() * float64(f.delay)))
 	}
-	f.mail = append(f.mail, mail)
+	f.inTransit = append(f.inTransit, message)
 }
 
-// step runs one tick: deliveries, then requests with these costs by node.
+// step runs one tick: it delivers messages, then handles requests with these costs by node.
 func (f *rateFleet) step(now time.Time, requests map[int][]float64) {
 	f.deliver(now)
 	admitted := 0.0
@@ -103,7 +103,7 @@
 			if f.pending[node].IsZero() && m.Denied(now) == 0 {
 				ask := m.Ask(cost)
 				f.pending[node] = now
-				f.send(now, letter{from: node, to: f.owners[node], ask: &ask})
+				f.send(now, rateMessage{from: node, to: f.owners[node], ask: &ask})
 			}
 		}
 	}
@@ -114,16 +114,16 @@
 			acting++
 		}
 	}
-	f.admits, f.acting = append(f.admits, admitted), append(f.acting, acting)
+	f.admits, f.actingOwners = append(f.admits, admitted), append(f.actingOwners, acting)
 }
 
 func (f *rateFleet) deliver(now time.Time) {
-	var later []letter
-	mail := f.mail
-	f.mail = nil
-	for _, l := range mail {
+	var later []rateMessage
+	sent := f.inTransit
+	f.inTransit = nil
+	for _, l := range sent {
 		switch {
-		case l.due.After(now):
+		case l.arrivesAt.After(now):
 			later = append(later, l)
 		case l.ask != nil && f.owners[l.to] == l.to:
 			lender := f.lenders[l.to]
@@ -133,17 +133,17 @@
 				f.lenders[l.to] = lender
 			}
 			loan := lender.Lend(now, f.limit, l.ask.Need, l.ask.Want, f.p)
-			f.send(now, letter{from: l.to, to: l.from, loan: &loan})
+			f.send(now, rateMessage{from: l.to, to: l.from, loan: &loan})
 		case l.loan != nil:
 			f.pending[l.to] = time.Time{}
 			f.meters[l.to].Receive(now, *l.loan, f.p)
 		}
 	}
-	f.mail = append(f.mail, later...)
+	f.inTransit = append(f.inTransit, later...)
 }
 
-// setOwner changes whom a node takes for the owner; one that stops being
-// owner in its own view drops its lender.
+// setOwner changes the owner in a node's view. A node that is no longer owner in its own view
+// drops its lender.
 func (f *rateFleet) setOwner(node, owner int) {
 	f.owners[node] = owner
 	if owner != node {
@@ -151,17 +151,17 @@
 	}
 }
 
-// check holds every window to the bound.
+// check compares the admitted cost of every window with the bound.
 func (f *rateFleet) check(t *rapid.T, largest float64) {
 	expiry := int(f.p.Expiry / tick)
 	for start := range f.admits {
 		sum, owners := 0.0, 1
 		for before := max(0, start-expiry); before < start; before++ {
-			owners = max(owners, f.acting[before])
+			owners = max(owners, f.actingOwners[before])
 		}
 		for end := start; end < len(f.admits); end++ {
 			sum += f.admits[end]
-			owners = max(owners, f.acting[end])
+			owners = max(owners, f.actingOwners[end])
 			window := time.Duration(end-start+1) * tick
 			bound := f.p.RateBound(f.limit, owners, window, largest)
 			if f.silent {
@@ -209,7 +209,7 @@
 		for _, skewed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d nodes skewed %v", nodes, skewed), func(t *testing.T) {
 				f := newRateFleet(3, nodes, 200, 0, 20*time.Millisecond)
-				twin := central{at: epoch}
+				reference := centralLimiter{at: epoch}
 				fleet, one, after := 0.0, 0.0, 100
 				for at := range 1300 {
 					now := epoch.Add(time.Duration(at+1) * tick)
@@ -220,7 +220,7 @@
 							node = f.random.IntN(max(1, nodes/10))
 						}
 						requests[node] = append(requests[node], 1)
-						if twin.admit(now, f.limit, 1, f.p) && at >= after {
+						if reference.admit(now, f.limit, 1, f.p) && at >= after {
 							one++
 						}
 					}
@@ -239,8 +239,8 @@
 	}
 }
 
-// permitFleet is a number of borrowers before one owner, and a network that
-// loses, delays, repeats and reorders what they say.
+// permitFleet simulates borrowers and one owner over a network that loses, delays, repeats
+// and reorders messages.
 type permitFleet struct {
 	p       Parameters
 	random  *rand.Rand
@@ -248,22 +248,22 @@
 	now     time.Time
 	lender  PermitLender
 	meters  []PermitMeter
-	asks    []permitLetter
-	replies []permitLetter
+	asks    []permitMessage
+	replies []permitMessage
 }
 
-type permitLetter struct {
+type permitMessage struct {
 	node, total int
 	ask         PermitAsk
 }
 
-// pick takes mostly one of the last letters, now and then any.
-func (f *permitFleet) pick(mail []permitLetter) permitLetter {
-	recent := min(len(mail), 3)
+// pick returns one of the last three messages, or with a probability of 1/5 any of them.
+func (f *permitFleet) pick(messages []permitMessage) permitMessage {
+	recent := min(len(messages), 3)
 	if f.random.IntN(5) == 0 {
-		recent = len(mail)
+		recent = len(messages)
 	}
-	return mail[len(mail)-1-f.random.IntN(recent)]
+	return messages[len(messages)-1-f.random.IntN(recent)]
 }
 
 func (f *permitFleet) step() {
@@ -271,7 +271,7 @@
 	m := &f.meters[node]
 	switch event := f.random.IntN(20); {
 	case event < 5:
-		f.asks = append(f.asks, permitLetter{node: node, ask: m.Ask(f.now, f.random.IntN(f.limit+1))})
+		f.asks = append(f.asks, permitMessage{node: node, ask: m.Ask(f.now, f.random.IntN(f.limit+1))})
 	case event < 10 && len(f.asks) > 0:
 		mail := f.pick(f.asks)
 		if total, ok := f.lender.Lend(f.now, identity.NodeID(fmt.Sprint(mail.node)), f.limit, mail.ask, f.p); ok {
@@ -350,7 +350,7 @@
 		total, _ := lender.Lend(now, "b", 16, ask, p)
 		other.Receive(now, ask.Sequence, total, 0)
 		if other.Held() > 16-step.left {
-			t.Errorf("after %s: the other holds %d beside %d", step.after, other.Held(), step.left)
+			t.Errorf("after %s: the other borrower holds %d while the silent one may use %d", step.after, other.Held(), step.left)
 		}
 	}
 }
@@ -362,7 +362,7 @@
 	m.Spend(100)
 	m.Settle(100, 150)
 	if ask := m.Ask(10); ask.Need != 60 {
-		t.Errorf("asks for %v, want the debt of 50 and 10", ask.Need)
+		t.Errorf("asks for %v credits, want 60: the debt of 50 and the cost of 10", ask.Need)
 	}
 	m.Receive(epoch, Loan{Credits: 60}, p)
 	if !m.Has(10) || m.Has(11) {
@@ -381,7 +381,7 @@
 		}
 		m.Advance(epoch.Add(p.Expiry), share, p)
 		if m.Has(1) {
-			t.Errorf("advanced each %s: credits outlive their expiry", turn)
+			t.Errorf("advanced every %s: credits are usable after their expiry", turn)
 		}
 	}
 }
