--- a/internal/core/quarantine/model_test.go
+++ b/internal/core/quarantine/model_test.go
@@ -77,8 +77,8 @@
 	isolated         int                   // node that others cannot reach until isolatedUntil
 	disturbedAt      [modelNodes]time.Time // when each node last restarted or was isolated
 
-	result     modelResult
-	guiltyRuns map[Digest][]guiltyRun // runs that crashed their engine
+	result       modelResult
+	crashingRuns map[Digest][]guiltyRun // runs that crashed their engine
 }
 
 // guiltyRun is a run that crashed its engine.
@@ -96,7 +96,7 @@
 
 func newModel(seed uint64, apart bool, newDetector func() detector) *model {
 	random := rand.New(rand.NewPCG(seed, 1))
-	m := &model{random: random, newDetector: newDetector, separateSuspects: apart, start: time.Unix(0, 0), guiltyRuns: make(map[Digest][]guiltyRun), waves: make(map[time.Time]bool), isolated: -1}
+	m := &model{random: random, newDetector: newDetector, separateSuspects: apart, start: time.Unix(0, 0), crashingRuns: make(map[Digest][]guiltyRun), waves: make(map[time.Time]bool), isolated: -1}
 	m.now = m.start
 	for range modelEngines {
 		m.engines = append(m.engines, m.newEngine())
@@ -130,7 +130,7 @@
 	}
 	for _, content := range m.guilty {
 		late := 0
-		if runs := m.guiltyRuns[content]; len(runs) > 3 {
+		if runs := m.crashingRuns[content]; len(runs) > 3 {
 			for _, run := range runs[3:] {
 				if run.undisturbed && run.sentAt.Sub(runs[2].endedAt) > agreementTime {
 					late++
@@ -289,7 +289,7 @@
 			left = append(left, request)
 		case request.guilty:
 			undisturbed := request.sentAt.Sub(m.disturbedAt[request.node]) > agreementTime
-			m.guiltyRuns[request.content] = append(m.guiltyRuns[request.content], guiltyRun{sentAt: request.sentAt, endedAt: m.now, undisturbed: undisturbed})
+			m.crashingRuns[request.content] = append(m.crashingRuns[request.content], guiltyRun{sentAt: request.sentAt, endedAt: m.now, undisturbed: undisturbed})
 			m.result.guiltyRuns++
 			m.crash(engine)
 			return
