--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -1,10 +1,10 @@
-// Package liveness finds dead nodes at a cost that does not grow with the fleet. Each node
-// sends heartbeats to a few others, its watchers, that all nodes work out alike from the list
-// of members. A watcher that misses them asks the other watchers, and has the node taken from
-// the list when they miss it too. The list itself is kept elsewhere, and what a wrong removal
-// does is undone there: the node finds itself missing and joins again.
+// Package liveness detects dead nodes at a cost per node that does not grow with the fleet.
+// Each node sends heartbeats to a few others, its watchers, which all nodes compute alike from
+// the member list. A watcher that misses the heartbeats asks the other watchers, and reports
+// the node as dead when none of them vouches for it. The member list is kept elsewhere, and so is
+// the remedy for a wrong removal: the node finds itself missing and joins again.
 //
-// Time is an argument; the package does no I/O and takes no lock.
+// The caller passes the time; the package does no I/O and takes no lock.
 package liveness
 
 import (
@@ -15,215 +15,224 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config says when a node is taken for dead.
+// Config holds the timeouts of failure detection.
 type Config struct {
-	// HeartbeatEvery is the pause between two heartbeats to each watcher.
+	// HeartbeatEvery is the interval between two heartbeats to each watcher.
 	HeartbeatEvery time.Duration
-	// SilentAfter is how long a node may be silent before it is suspected.
+	// SilentAfter is the time without a heartbeat after which a node is suspected.
 	SilentAfter time.Duration
-	// ConfirmFor is how long the other watchers may take to vouch for a suspected node.
+	// ConfirmFor is how long the other watchers have to vouch for a suspected node.
 	ConfirmFor time.Duration
 }
 
-// Watchers is how many nodes watch each. With three, a loss of half of a fleet leaves one node
-// in eight without a live watcher until its dead ones are removed, and a lost datagram in a
-// hundred keeps both others from vouching for a live node in one suspicion of 2,500.
-const Watchers = 3
+// WatchersPerNode is the number of nodes that watch each node. With three, the loss of half of a
+// fleet leaves one node in eight without a live watcher until its dead watchers are removed. At
+// a datagram loss of 1%, both other watchers fail to vouch for a live node in one suspicion of
+// 2,500.
+const WatchersPerNode = 3
 
-// deafShare is the part of SilentAfter for which a node may hear nothing at all before
-// it takes its own network for broken, and judges nobody by that time.
-const deafShare = 2
+// isolationDivisor sets the time, SilentAfter/isolationDivisor, after which a node that
+// receives nothing at all, or that was paused, assumes that the fault is its own. It then does
+// not count that time as the silence of other nodes.
+const isolationDivisor = 2
 
-// Suspicion is a silent node and those that may have heard it.
+// Suspicion names a silent node and the nodes to ask about it.
 type Suspicion struct {
 	ID     string
-	Others []string // the other watchers
+	Others []string // the other watchers of the node
 }
 
-// watched is a node that this one watches.
-type watched struct {
-	counted   time.Time // from when its silence counts
-	heard     time.Time // last, by a heartbeat; zero: never
-	others    []string
-	suspected time.Time // zero: it is not
+// watchedNode is the state of a node that this one watches.
+type watchedNode struct {
+	silentSince   time.Time // start of the time without a sign of life
+	lastHeartbeat time.Time // when the last heartbeat arrived; zero if none has
+	otherWatchers []string
+	suspectedAt   time.Time // zero if the node is not suspected
 }
 
-// Watch is one node's part: whom it watches, and who watches it. It is not safe for
-// concurrent use.
+// Watch is the failure detector of one node: the nodes that it watches, and those that watch
+// it. It is not safe for concurrent use.
 type Watch struct {
-	config   Config
-	self     string
-	watchers []string
-	watches  map[string]*watched
-	evidence time.Time // when this node last heard anything
-	ticked   time.Time
+	config      Config
+	self        string
+	watchers    []string
+	watched     map[string]*watchedNode
+	lastContact time.Time // when this node last received anything
+	tickedAt    time.Time
 }
 
-// New makes the part of a node, by the id of its life.
+// New returns the Watch of a node; self is the id of the node's incarnation.
 func New(config Config, self string, now time.Time) *Watch {
-	return &Watch{config: config, self: self, watches: make(map[string]*watched), evidence: now, ticked: now}
+	return &Watch{config: config, self: self, watched: make(map[string]*watchedNode), lastContact: now, tickedAt: now}
 }
 
-// SetMembers takes the list of members, this node among them or not. It passes over the list
-// once: 60 us at 1,000 members (BenchmarkSetMembers).
+// SetMembers replaces the member list, which may or may not include this node. It reads the
+// list once, which takes 60 us at 1,000 members (BenchmarkSetMembers).
 func (w *Watch) SetMembers(ids []string, now time.Time) {
-	near, self := neighbours(ids, w.self)
-	w.watchers = after(near, self)
-	watches := make(map[string]*watched)
-	for back := 1; back <= min(Watchers, len(near)-1); back++ {
+	near, self := neighbors(ids, w.self)
+	w.watchers = watchersOf(near, self)
+	watches := make(map[string]*watchedNode)
+	for back := 1; back <= min(WatchersPerNode, len(near)-1); back++ {
 		index := (self - back + len(near)) % len(near)
 		id := near[index].id
-		known := w.watches[id]
+		known := w.watched[id]
 		if known == nil {
-			known = &watched{counted: now}
+			known = &watchedNode{silentSince: now}
 		}
-		known.others = slices.DeleteFunc(after(near, index), func(other string) bool { return other == w.self })
+		known.otherWatchers = slices.DeleteFunc(watchersOf(near, index), func(other string) bool { return other == w.self })
 		watches[id] = known
 	}
-	w.watches = watches
+	w.watched = watches
 }
 
-// place is a member's place on the ring on which each is watched by those after it.
-type place struct {
+// ringPosition is a member's position on the hash ring. Each member is watched by those that
+// follow it on the ring.
+type ringPosition struct {
 	id   string
 	hash uint64
 }
 
-func placeOf(id string) place { return place{id: id, hash: xxhash.Sum64String(id)} }
+func ringPositionOf(id string) ringPosition {
+	return ringPosition{id: id, hash: xxhash.Sum64String(id)}
+}
 
-func compare(a, b place) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id)) }
+func comparePositions(a, b ringPosition) int {
+	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id))
+}
 
-// neighbours gives the part of the ring around a node: as many members before and after it
-// as watch each, or the whole ring where that is shorter, and the node's index there.
-func neighbours(ids []string, self string) (near []place, index int) {
-	own := placeOf(self)
-	before, behind := newNearest(), newNearest()
+// neighbors returns the part of the ring around a node, and the node's index in it. The part
+// has WatchersPerNode members on each side of the node, or is the whole ring if that is shorter.
+func neighbors(ids []string, self string) (near []ringPosition, index int) {
+	own := ringPositionOf(self)
+	preceding, following := newNearest(), newNearest()
 	count := 0
 	for _, id := range ids {
 		if id == self {
 			continue
 		}
 		count++
-		other := placeOf(id)
-		before.take(other, own.hash-other.hash)
-		behind.take(other, other.hash-own.hash)
+		other := ringPositionOf(id)
+		preceding.add(other, own.hash-other.hash)
+		following.add(other, other.hash-own.hash)
 	}
-	if count <= 2*Watchers { // the two sides meet
-		near = []place{own}
+	if count <= 2*WatchersPerNode { // the two sides overlap or meet
+		near = []ringPosition{own}
 		for _, id := range ids {
 			if id != self {
-				near = append(near, placeOf(id))
+				near = append(near, ringPositionOf(id))
 			}
 		}
-		slices.SortFunc(near, compare)
+		slices.SortFunc(near, comparePositions)
 		return near, slices.Index(near, own)
 	}
-	near = before.list
+	near = preceding.list
 	slices.Reverse(near)
 	index = len(near)
-	return append(append(near, own), behind.list...), index
+	return append(append(near, own), following.list...), index
 }
 
-// nearest keeps the members nearest to a node on one side of the ring, the nearest first.
+// nearest collects the members nearest to a node on one side of the ring, the nearest first.
 type nearest struct {
-	list      []place
+	list      []ringPosition
 	distances []uint64
 }
 
 func newNearest() *nearest { return &nearest{} }
 
-func (n *nearest) take(other place, distance uint64) {
+func (n *nearest) add(other ringPosition, distance uint64) {
 	at, _ := slices.BinarySearch(n.distances, distance)
-	if at >= Watchers {
+	if at >= WatchersPerNode {
 		return
 	}
 	n.list = slices.Insert(n.list, at, other)
 	n.distances = slices.Insert(n.distances, at, distance)
-	if len(n.list) > Watchers {
-		n.list, n.distances = n.list[:Watchers], n.distances[:Watchers]
+	if len(n.list) > WatchersPerNode {
+		n.list, n.distances = n.list[:WatchersPerNode], n.distances[:WatchersPerNode]
 	}
 }
 
-// after gives those that watch the member at an index.
-func after(near []place, index int) []string {
+// watchersOf returns the watchers of the member at an index.
+func watchersOf(near []ringPosition, index int) []string {
 	var ids []string
-	for forward := 1; forward <= min(Watchers, len(near)-1); forward++ {
+	for forward := 1; forward <= min(WatchersPerNode, len(near)-1); forward++ {
 		ids = append(ids, near[(index+forward)%len(near)].id)
 	}
 	return ids
 }
 
-// Watchers gives the nodes that this one sends its heartbeats to.
+// Watchers returns the nodes that this one sends its heartbeats to.
 func (w *Watch) Watchers() []string { return w.watchers }
 
-// Hear takes a heartbeat.
+// Hear records a heartbeat of a node.
 func (w *Watch) Hear(id string, now time.Time) {
 	w.HearAnything(now)
-	if known := w.watches[id]; known != nil {
-		known.heard, known.counted, known.suspected = now, now, time.Time{}
+	if known := w.watched[id]; known != nil {
+		known.lastHeartbeat, known.silentSince, known.suspectedAt = now, now, time.Time{}
 	}
 }
 
-// HearAnything takes note that this node's network works: a message of another node came, or
-// an answer of the store.
+// HearAnything records that this node's network works, because a message of another node or an
+// answer of the store arrived.
 func (w *Watch) HearAnything(at time.Time) {
-	if at.After(w.evidence) {
-		if at.Sub(w.evidence) > w.config.SilentAfter/deafShare {
-			w.restart(at) // what was missed meanwhile is nobody's silence
+	if at.After(w.lastContact) {
+		if at.Sub(w.lastContact) > w.config.SilentAfter/isolationDivisor {
+			w.resetSilence(at) // heartbeats missed in the meantime count against no node
 		}
-		w.evidence = at
+		w.lastContact = at
 	}
 }
 
-// Heard gives how long ago a heartbeat of a node came, for another watcher.
+// Heard returns how long ago the last heartbeat of a node arrived, to answer another watcher's
+// question; heard is false if none has arrived.
 func (w *Watch) Heard(id string, now time.Time) (ago time.Duration, heard bool) {
-	known := w.watches[id]
-	if known == nil || known.heard.IsZero() {
+	known := w.watched[id]
+	if known == nil || known.lastHeartbeat.IsZero() {
 		return 0, false
 	}
-	return now.Sub(known.heard), true
+	return now.Sub(known.lastHeartbeat), true
 }
 
-// Vouch takes another watcher's word that it has heard a node some time ago.
+// Vouch applies another watcher's report that it received a heartbeat of a node some time ago.
 func (w *Watch) Vouch(id string, ago time.Duration, now time.Time) {
 	w.HearAnything(now)
-	known := w.watches[id]
+	known := w.watched[id]
 	if known == nil || ago >= w.config.SilentAfter {
 		return
 	}
-	if heard := now.Add(-ago); heard.After(known.counted) {
-		known.counted = heard
+	if heard := now.Add(-ago); heard.After(known.silentSince) {
+		known.silentSince = heard
 	}
-	known.suspected = time.Time{}
+	known.suspectedAt = time.Time{}
 }
 
-// Tick gives the nodes that have become silent, which the others are to be asked about, and
-// those that nobody vouched for in time: they are dead as far as can be known.
+// Tick returns the nodes that are newly suspected, about which their other watchers are to be
+// asked, and the nodes that no watcher vouched for in time, which are presumed dead. A dead
+// node is returned again after each ConfirmFor until SetMembers removes it.
 func (w *Watch) Tick(now time.Time) (suspicions []Suspicion, dead []string) {
-	if now.Sub(w.ticked) > w.config.SilentAfter/deafShare {
-		w.restart(now) // this node itself stood still
+	if now.Sub(w.tickedAt) > w.config.SilentAfter/isolationDivisor {
+		w.resetSilence(now) // this node itself was paused
 	}
-	w.ticked = now
-	if now.Sub(w.evidence) > w.config.SilentAfter/deafShare {
+	w.tickedAt = now
+	if now.Sub(w.lastContact) > w.config.SilentAfter/isolationDivisor {
 		return nil, nil
 	}
-	for id, known := range w.watches {
+	for id, known := range w.watched {
 		switch {
-		case now.Sub(known.counted) < w.config.SilentAfter:
-		case known.suspected.IsZero():
-			known.suspected = now
-			suspicions = append(suspicions, Suspicion{ID: id, Others: known.others})
-		case now.Sub(known.suspected) >= w.config.ConfirmFor:
-			known.suspected = now // until its removal is known it is told again
+		case now.Sub(known.silentSince) < w.config.SilentAfter:
+		case known.suspectedAt.IsZero():
+			known.suspectedAt = now
+			suspicions = append(suspicions, Suspicion{ID: id, Others: known.otherWatchers})
+		case now.Sub(known.suspectedAt) >= w.config.ConfirmFor:
+			known.suspectedAt = now // reported again until its removal is known
 			dead = append(dead, id)
 		}
 	}
 	return suspicions, dead
 }
 
-// restart has the silence of all that are watched count from now on.
-func (w *Watch) restart(now time.Time) {
-	for _, known := range w.watches {
-		known.counted, known.suspected = now, time.Time{}
+// resetSilence restarts the silence of all watched nodes at the given time.
+func (w *Watch) resetSilence(now time.Time) {
+	for _, known := range w.watched {
+		known.silentSince, known.suspectedAt = now, time.Time{}
 	}
 }
--- a/internal/core/liveness/liveness_test.go
+++ b/internal/core/liveness/liveness_test.go
@@ -10,24 +10,25 @@
 	"pgregory.net/rapid"
 )
 
-// naiveWatchers works out who watches a node on the whole, sorted ring.
-func naiveWatchers(ids []string, node string) []string {
-	ring := ringOf(ids)
-	at := slices.IndexFunc(ring, func(p place) bool { return p.id == node })
-	return after(ring, at)
+// referenceWatchers is the reference model: it computes the watchers of a node on the whole,
+// sorted ring.
+func referenceWatchers(ids []string, node string) []string {
+	ring := fullRing(ids)
+	at := slices.IndexFunc(ring, func(p ringPosition) bool { return p.id == node })
+	return watchersOf(ring, at)
 }
 
-func ringOf(ids []string) []place {
-	var ring []place
+func fullRing(ids []string) []ringPosition {
+	var ring []ringPosition
 	for _, id := range ids {
-		ring = append(ring, placeOf(id))
+		ring = append(ring, ringPositionOf(id))
 	}
-	slices.SortFunc(ring, compare)
+	slices.SortFunc(ring, comparePositions)
 	return ring
 }
 
-// TestWatchersAreThoseOfTheWholeRing compares what each node works out of its surroundings
-// with the whole ring: who watches it, whom it watches, and who else does.
+// TestWatchersAreThoseOfTheWholeRing compares what each node computes from its neighbors with
+// the whole ring: its watchers, the nodes that it watches, and their other watchers.
 func TestWatchersAreThoseOfTheWholeRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 40).Draw(t, "nodes")
@@ -39,12 +40,12 @@
 		for _, self := range ids {
 			watch := New(testConfig, self, now)
 			watch.SetMembers(ids, now)
-			if diff := cmp.Diff(naiveWatchers(ids, self), watch.Watchers()); diff != "" {
+			if diff := cmp.Diff(referenceWatchers(ids, self), watch.Watchers()); diff != "" {
 				t.Fatalf("%d nodes, watchers of %s: %s", count, self, diff)
 			}
 			for _, other := range ids {
-				expected := naiveWatchers(ids, other)
-				known := watch.watches[other]
+				expected := referenceWatchers(ids, other)
+				known := watch.watched[other]
 				if watches := slices.Contains(expected, self); watches != (known != nil) {
 					t.Fatalf("%d nodes: %s watches %s: %v, want %v", count, self, other, known != nil, watches)
 				}
@@ -52,8 +53,8 @@
 					continue
 				}
 				expected = slices.DeleteFunc(expected, func(id string) bool { return id == self })
-				if diff := cmp.Diff(expected, known.others); diff != "" {
-					t.Fatalf("%d nodes: who else watches %s: %s", count, other, diff)
+				if diff := cmp.Diff(expected, known.otherWatchers); diff != "" {
+					t.Fatalf("%d nodes: other watchers of %s: %s", count, other, diff)
 				}
 			}
 		}
@@ -71,18 +72,18 @@
 		suspicions, found := watch.Tick(now)
 		for _, suspicion := range suspicions {
 			if !slices.Equal(suspicion.Others, []string{"c"}) {
-				t.Errorf("asked about %s: %v", suspicion.ID, suspicion.Others)
+				t.Errorf("suspicion of %s names the watchers %v, want c", suspicion.ID, suspicion.Others)
 			}
 			watch.Vouch(suspicion.ID, 100*time.Millisecond, now)
 		}
 		dead = append(dead, found...)
 	}
 	if len(dead) > 0 {
-		t.Errorf("taken for dead: %v", dead)
+		t.Errorf("presumed dead: %v", dead)
 	}
 }
 
-// BenchmarkSetMembers takes a new list of members.
+// BenchmarkSetMembers measures a change of the member list.
 func BenchmarkSetMembers(b *testing.B) {
 	for _, nodes := range []int{100, 1000, 2000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
--- a/internal/core/liveness/message.go
+++ b/internal/core/liveness/message.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Kind says what a Message is.
+// Kind is the kind of a Message.
 type Kind uint8
 
 // The kinds of messages.
 const (
 	Heartbeat Kind = iota + 1
-	Question       // whether the receiver has heard a node
-	Voucher        // the answer: it has
+	Question       // asks whether the receiver has received a heartbeat of a node
+	Voucher        // answers that it has
 )
 
-// Message is what nodes tell each other of who is alive.
+// Message is a message of failure detection between two nodes.
 type Message struct {
 	Kind Kind
-	From string        // the sender, by the id of its life
-	Node string        // that a Question or a Voucher is about
-	Ago  time.Duration // of a Voucher: since the node was heard
+	From string        // id of the sender's incarnation
+	Node string        // the node that a Question or a Voucher is about
+	Ago  time.Duration // in a Voucher: time since the node's last heartbeat
 }
--- a/internal/core/liveness/simulation_test.go
+++ b/internal/core/liveness/simulation_test.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// The pause between heartbeats used to grow with the fleet, since each reached every node: a node
-// that died among 985 was noticed after 62 s, when all that it had to finish within 18 s was
-// long overdue. Here fleets of 20 to 2,000 nodes lose some of theirs at one moment. Each loss
-// has to be certain within 4 s where a node in twenty dies, no live node may be removed, and
-// what a node sends and hears a second must not grow with the fleet.
+// The simulation guards against a detection time that grows with the fleet. When each heartbeat
+// reached every node, the interval between heartbeats grew with the fleet: a node that died among
+// 985 was noticed after 62 s, while its work was due within 18 s. Here fleets of 20 to 2,000 nodes
+// lose some nodes at one moment. Each loss must be detected within 4 s when one node in twenty
+// dies, no live node may be removed, and the message rate of a node must not grow with the fleet.
 
 var testConfig = Config{HeartbeatEvery: 500 * time.Millisecond, SilentAfter: 2500 * time.Millisecond, ConfirmFor: 400 * time.Millisecond}
 
 const (
-	step     = 50 * time.Millisecond
-	toldIn   = 300 * time.Millisecond // until a removal has reached all nodes
-	lossRate = 0.01                   // of datagrams
+	step             = 50 * time.Millisecond
+	propagationDelay = 300 * time.Millisecond // time until all nodes know of a removal
+	lossRate         = 0.01                   // of datagrams
 )
 
-// simulation is a fleet in virtual time. Messages arrive at the next step, or never.
+// simulation is a fleet in virtual time. A message arrives at the next step, or is lost.
 type simulation struct {
-	now     time.Time
-	random  *rand.Rand
-	watches map[string]*Watch
-	alive   map[string]bool
-	members []string
-	removed map[string]time.Time
-	inbox   map[string][]Message
-	sent    int
-	frozen  map[string]bool // they neither hear nor tell
-	told    int             // removals that all nodes know of
-	joined  map[string]bool // nodes that know the members
+	now           time.Time
+	random        *rand.Rand
+	watches       map[string]*Watch
+	alive         map[string]bool
+	members       []string
+	removed       map[string]time.Time
+	inbox         map[string][]Message
+	sent          int
+	frozen        map[string]bool // nodes that neither receive nor send
+	knownRemovals int             // number of removals that all nodes know of
+	upToDate      map[string]bool // nodes that have the current member list
 }
 
 func newSimulation(nodes int, seed uint64) *simulation {
 	s := &simulation{
 		now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewPCG(seed, 1)), watches: make(map[string]*Watch), alive: make(map[string]bool),
-		removed: make(map[string]time.Time), inbox: make(map[string][]Message), frozen: make(map[string]bool), joined: make(map[string]bool),
+		removed: make(map[string]time.Time), inbox: make(map[string][]Message), frozen: make(map[string]bool), upToDate: make(map[string]bool),
 	}
 	for i := range nodes {
 		id := fmt.Sprintf("node-%d", i)
@@ -57,11 +57,11 @@
 	}
 }
 
-// known gives the members as all nodes know them by now.
+// known returns the members as all nodes know them at this time.
 func (s *simulation) known() []string {
 	var list []string
 	for _, id := range s.members {
-		if at, gone := s.removed[id]; !gone || s.now.Sub(at) < toldIn {
+		if at, gone := s.removed[id]; !gone || s.now.Sub(at) < propagationDelay {
 			list = append(list, id)
 		}
 	}
@@ -73,27 +73,27 @@
 	arrived := s.inbox
 	s.inbox = make(map[string][]Message)
 	known := s.known()
-	if gone := len(s.members) - len(known); gone != s.told {
-		s.told = gone
-		clear(s.joined)
+	if gone := len(s.members) - len(known); gone != s.knownRemovals {
+		s.knownRemovals = gone
+		clear(s.upToDate)
 	}
-	beat := s.now.UnixMilli()%testConfig.HeartbeatEvery.Milliseconds() == 0
+	heartbeatDue := s.now.UnixMilli()%testConfig.HeartbeatEvery.Milliseconds() == 0
 	for _, id := range s.members {
 		watch := s.watches[id]
 		if !s.alive[id] || s.frozen[id] {
 			continue
 		}
-		if !s.joined[id] {
-			s.joined[id] = true
+		if !s.upToDate[id] {
+			s.upToDate[id] = true
 			watch.SetMembers(known, s.now)
 		}
 		for _, message := range arrived[id] {
-			s.hear(id, watch, message)
+			s.deliver(id, watch, message)
 		}
 		if s.now.UnixMilli()%1000 == 0 {
-			watch.HearAnything(s.now) // the store answers, also those that hear no other node
+			watch.HearAnything(s.now) // the store answers nodes that receive no messages, too
 		}
-		if beat {
+		if heartbeatDue {
 			for _, watcher := range watch.Watchers() {
 				s.send(watcher, Message{Kind: Heartbeat, From: id})
 			}
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *simulation) hear(id string, watch *Watch, message Message) {
+func (s *simulation) deliver(id string, watch *Watch, message Message) {
 	switch message.Kind {
 	case Heartbeat:
 		watch.Hear(message.From, s.now)
@@ -132,7 +132,7 @@
 	}
 }
 
-// kill ends a share of the nodes, and gives them.
+// kill ends a share of the nodes and returns their ids.
 func (s *simulation) kill(share float64) []string {
 	var killed []string
 	for _, id := range s.members {
@@ -167,7 +167,7 @@
 			for _, id := range killed {
 				at, gone := s.removed[id]
 				if !gone {
-					t.Errorf("%d nodes, %v lost: %s was never missed", nodes, test.share, id)
+					t.Errorf("%d nodes, %v lost: the loss of %s was not detected", nodes, test.share, id)
 					continue
 				}
 				worst = max(worst, at.Sub(lostAt))
@@ -177,23 +177,23 @@
 					t.Errorf("%d nodes: %s is alive and was removed", nodes, id)
 				}
 			}
-			t.Logf("%d nodes, %v lost: the last of %d was certain after %v", nodes, test.share, len(killed), worst)
+			t.Logf("%d nodes, %v lost: the last of %d losses was detected after %v", nodes, test.share, len(killed), worst)
 			if worst > test.within {
-				t.Errorf("%d nodes, %v lost: the last was certain after %v", nodes, test.share, worst)
+				t.Errorf("%d nodes, %v lost: the last loss was detected after %v", nodes, test.share, worst)
 			}
 		}
 	}
 }
 
-// A node that stood still for some seconds, or whose network did, hears no heartbeats of that
-// time. It must not have those removed that it watches.
+// A node that was paused for some seconds, or whose network was down, has missed the heartbeats
+// of that time. It must not report the nodes that it watches as dead.
 func TestNodeThatStoodStillRemovesNobody(t *testing.T) {
 	s := newSimulation(50, 3)
 	s.run(5 * time.Second)
 	for _, id := range s.members[:10] {
 		s.frozen[id] = true
 	}
-	s.run(2 * time.Second) // shorter than it takes to be missed
+	s.run(2 * time.Second) // shorter than SilentAfter
 	clear(s.frozen)
 	s.run(5 * time.Second)
 	if len(s.removed) > 0 {
@@ -207,7 +207,7 @@
 	s.run(5 * time.Second)
 	for id := range s.removed {
 		if !s.isOneOf(id, s.members[:10]) {
-			t.Errorf("%s never stood still, and was removed", id)
+			t.Errorf("%s was removed and was never paused", id)
 		}
 	}
 }
