--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -1,19 +1,20 @@
-// Package lease is the lease on a shard as one node sees it: a state machine
-// without I/O or clock.
+// Package lease implements one node's view of the lease on a shard: a state
+// machine without I/O or clock.
 //
-// A shard has one record (Record), which changes only when the shard changes
-// hands. It names its holder's session; a session has one record that its node
-// rewrites to stay alive, whatever number of shards refer to it.
+// A shard has one record (Record), which changes only when the holder changes.
+// It names the holder's session. A session has one record, which its node
+// rewrites to renew the session, however many shards refer to it.
 //
-// Safety rests on compares alone: every write for a shard compares the version
-// of the shard's record, and a claim changes that version. Time decides only
-// when a claim may be tried. The session of a holder that the membership lists
-// as live lapses for a watcher that has seen the same version of its record for
-// the time to live: a watcher that cannot read sees nothing lapse, so after an
-// outage of the store every live holder has a whole time to live in which to
-// renew. The session of a holder that is not listed lapses as well when the
-// record's own time of renewal is that old; clocks that differ cost an early or
-// late claim, never a second writer.
+// Safety depends only on compare-and-set writes: every write for a shard
+// compares the version of the shard's record, and a claim changes that version.
+// Time only decides when a claim may be tried. The session of a holder that the
+// membership lists as live expires for an observer once the observer has seen
+// the same version of its record for the time to live. An observer that cannot
+// read the store sees no session expire, so after an outage of the store every
+// live holder has a whole time to live in which to renew. The session of a
+// holder that is not listed also expires when the renewal time in its record is
+// older than the time to live. Clock differences cause an early or late claim,
+// never a second writer.
 package lease
 
 import (
@@ -24,10 +25,10 @@
 
 // Record is the stored state of a shard's lease.
 type Record struct {
-	// Session is the holder's session; empty when the shard was given up.
+	// Session is the holder's session; empty when the shard is not held.
 	Session string          `json:"session"`
 	Node    identity.NodeID `json:"node"`
-	// Epoch rises by one with each claim.
+	// Epoch increases by one with each claim.
 	Epoch uint64 `json:"epoch"`
 }
 
@@ -37,7 +38,7 @@
 	RenewedAt time.Time       `json:"renewed_at"`
 }
 
-// State is where a shard's lease stands for this node.
+// State is the state of a shard's lease on this node.
 type State uint8
 
 // The states.
@@ -45,7 +46,7 @@
 	Idle    State = iota // not held, not wanted
 	Seeking              // wanted, not held
 	Held
-	Leaving // held, and to be given up once its work is flushed
+	Leaving // held, and to be released once its work is flushed
 )
 
 // Versioned is a lease record as read from the store.
@@ -54,20 +55,20 @@
 	Version uint64
 }
 
-// Action is what the caller is to do next.
+// Action is the caller's next step.
 type Action uint8
 
 // The actions.
 const (
 	Nothing     Action = iota
 	ReadSession        // read the holder's session record and call SessionRead
-	Claim              // commit ClaimRecord, with the compares of Compares
-	AskHolder          // ask the live holder to hand the shard over, and do as for ReadSession
-	Flush              // stop the shard's work, commit what is finished, call Flushed
-	Release            // commit ReleaseRecord by compare on the shard's version
+	Claim              // commit ClaimRecord, compared on the shard's version and on SessionFence
+	AskHolder          // ask the live holder to hand the shard over, then proceed as for ReadSession
+	Flush              // stop the shard's work, commit finished results and call Flushed
+	Release            // commit ReleaseRecord, compared on the shard's version
 )
 
-// Machine is one shard's lease on one node.
+// Machine is the state machine of one shard's lease on one node.
 type Machine struct {
 	Node    identity.NodeID
 	Session string
@@ -75,25 +76,27 @@
 	TimeToLive time.Duration
 
 	state      State
-	seen       Versioned
+	lastSeen   Versioned
 	holderLive bool
-	watched    watch
+	watched    sessionWatch
 }
 
-// watch is what is known of another node's session.
-type watch struct {
+// sessionWatch records which version of another node's session was seen, and since
+// when.
+type sessionWatch struct {
 	session string
 	version uint64
 	since   time.Time
 }
 
-// State gives the state.
+// State returns the state.
 func (m *Machine) State() State { return m.state }
 
-// Lease gives the shard's record as last seen; while Held, its version is the fence.
-func (m *Machine) Lease() Versioned { return m.seen }
+// Lease returns the shard's record as last seen. While Held, its version is the
+// fencing token.
+func (m *Machine) Lease() Versioned { return m.lastSeen }
 
-// Want says whether this node is the one to hold the shard.
+// Want sets whether this node should hold the shard.
 func (m *Machine) Want(wanted bool) Action {
 	switch {
 	case wanted && m.state == Idle:
@@ -104,7 +107,7 @@
 	return Nothing
 }
 
-// HandOver starts giving the shard up.
+// HandOver starts the release of a held shard.
 func (m *Machine) HandOver() Action {
 	if m.state != Held {
 		return Nothing
@@ -113,7 +116,7 @@
 	return Flush
 }
 
-// Flushed says that the shard's work has stopped and its outcomes are committed.
+// Flushed records that the shard's work has stopped and its outcomes are committed.
 func (m *Machine) Flushed() Action {
 	if m.state != Leaving {
 		return Nothing
@@ -121,17 +124,17 @@
 	return Release
 }
 
-// Released says that the release was committed, or that the lease was lost.
+// Released records that the release was committed, or that the lease was lost.
 func (m *Machine) Released() { m.state = Idle }
 
-// ShardRead takes the shard's record. holderLive says whether the membership
-// lists the holder's node as live.
+// ShardRead processes the shard's record as read from the store. holderLive is
+// true when the membership lists the holder's node as live.
 func (m *Machine) ShardRead(read Versioned, holderLive bool) Action {
-	m.seen, m.holderLive = read, holderLive && read.Record.Node != m.Node
+	m.lastSeen, m.holderLive = read, holderLive && read.Record.Node != m.Node
 	switch m.state {
 	case Held, Leaving:
 		if read.Record.Session != m.Session {
-			m.lost()
+			m.setLost()
 		}
 		return Nothing
 	case Idle:
@@ -141,7 +144,7 @@
 	case read.Record.Session == "":
 		return Claim
 	case read.Record.Session == m.Session:
-		// A claim whose answer was lost had taken effect.
+		// An earlier claim took effect, and its answer was lost.
 		m.state = Held
 		return Nothing
 	case m.holderLive:
@@ -151,18 +154,18 @@
 	}
 }
 
-// SessionRead takes the holder's session record and its version (zero: absent,
-// its node has ended the session).
+// SessionRead processes the holder's session record and its version. A version of
+// zero means that the record is absent because the session has ended.
 func (m *Machine) SessionRead(session Session, version uint64, now time.Time) Action {
 	if m.state != Seeking {
 		return Nothing
 	}
 	if version == 0 {
-		m.watched = watch{session: m.seen.Record.Session}
+		m.watched = sessionWatch{session: m.lastSeen.Record.Session}
 		return Claim
 	}
-	if m.watched.session != m.seen.Record.Session || m.watched.version != version {
-		m.watched = watch{session: m.seen.Record.Session, version: version, since: now}
+	if m.watched.session != m.lastSeen.Record.Session || m.watched.version != version {
+		m.watched = sessionWatch{session: m.lastSeen.Record.Session, version: version, since: now}
 	}
 	unchanged := now.Sub(m.watched.since) >= m.TimeToLive
 	expired := !m.holderLive && now.Sub(session.RenewedAt) >= m.TimeToLive
@@ -172,40 +175,40 @@
 	return Nothing
 }
 
-// ClaimRecord is the record that a claim writes.
+// ClaimRecord returns the record that a claim writes.
 func (m *Machine) ClaimRecord() Record {
-	return Record{Session: m.Session, Node: m.Node, Epoch: m.seen.Record.Epoch + 1}
+	return Record{Session: m.Session, Node: m.Node, Epoch: m.lastSeen.Record.Epoch + 1}
 }
 
-// ReleaseRecord is the record that a release writes.
-func (m *Machine) ReleaseRecord() Record { return Record{Epoch: m.seen.Record.Epoch} }
+// ReleaseRecord returns the record that a release writes.
+func (m *Machine) ReleaseRecord() Record { return Record{Epoch: m.lastSeen.Record.Epoch} }
 
-// SessionFence gives the session record, and its version, that a claim
-// compares besides the shard's; false when the shard was free.
+// SessionFence returns the session record and the version that a claim compares
+// in addition to the shard's; needed is false when the shard was free.
 func (m *Machine) SessionFence() (session string, version uint64, needed bool) {
-	if m.seen.Record.Session == "" {
+	if m.lastSeen.Record.Session == "" {
 		return "", 0, false
 	}
-	return m.seen.Record.Session, m.watched.version, true
+	return m.lastSeen.Record.Session, m.watched.version, true
 }
 
-// Claimed says that the claim took effect with this version.
+// Claimed records that the claim took effect with this version.
 func (m *Machine) Claimed(version uint64) {
 	if m.state != Seeking {
 		return
 	}
-	m.seen = Versioned{Record: m.ClaimRecord(), Version: version}
+	m.lastSeen = Versioned{Record: m.ClaimRecord(), Version: version}
 	m.state = Held
 }
 
-// Lost says that a compare on the shard's version failed.
+// Lost records that a compare on the shard's version failed.
 func (m *Machine) Lost() {
 	if m.state == Held || m.state == Leaving {
-		m.lost()
+		m.setLost()
 	}
 }
 
-func (m *Machine) lost() {
+func (m *Machine) setLost() {
 	if m.state == Held {
 		m.state = Seeking
 		return
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -13,27 +13,27 @@
 
 const timeToLive = 7 * time.Second
 
-// fleet is some nodes' machines for one shard over one store, with sessions
-// that are renewed, or not, as rapid likes.
+// fleet simulates the machines of several nodes for one shard over one store.
+// Which sessions are renewed, and when, is drawn by rapid.
 type fleet struct {
 	now      time.Time
 	version  uint64
 	shard    Versioned
-	sessions map[string]stored
+	sessions map[string]storedSession
 	nodes    []*node
 }
 
-type stored struct {
+type storedSession struct {
 	session Session
 	version uint64
 }
 
 type node struct {
-	machine Machine
-	lives   int
-	// The naive twin of the watch: all that the node has read of sessions.
+	machine      Machine
+	incarnations int
+	// reads is the reference model of sessionWatch: all session reads of the node.
 	reads []read
-	live  bool // as others' membership lists say
+	live  bool // whether the membership of other nodes lists this one as live
 }
 
 type read struct {
@@ -46,10 +46,10 @@
 	return f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")]
 }
 
-func (f *fleet) begin(n *node, index int) {
-	n.lives++
-	n.reads = nil // a new process remembers nothing
-	n.machine = Machine{Node: identity.NodeID(fmt.Sprint(index)), Session: fmt.Sprintf("%d.%d", index, n.lives), TimeToLive: timeToLive}
+func (f *fleet) restart(n *node, index int) {
+	n.incarnations++
+	n.reads = nil // a new process has no state
+	n.machine = Machine{Node: identity.NodeID(fmt.Sprint(index)), Session: fmt.Sprintf("%d.%d", index, n.incarnations), TimeToLive: timeToLive}
 	n.machine.Want(true)
 	n.live = true
 	f.renew(n)
@@ -57,11 +57,11 @@
 
 func (f *fleet) renew(n *node) {
 	f.version++
-	f.sessions[n.machine.Session] = stored{Session{Node: n.machine.Node, RenewedAt: f.now}, f.version}
+	f.sessions[n.machine.Session] = storedSession{Session{Node: n.machine.Node, RenewedAt: f.now}, f.version}
 }
 
-// naiveLapsed reads the rule off the list of reads.
-func (n *node) naiveLapsed(session string, current stored, holderLive bool, now time.Time) bool {
+// referenceExpired applies the rule for expiry to the list of reads.
+func (n *node) referenceExpired(session string, current storedSession, holderLive bool, now time.Time) bool {
 	if current.version == 0 {
 		return true
 	}
@@ -72,9 +72,10 @@
 	return now.Sub(since) >= timeToLive || !holderLive && now.Sub(current.session.RenewedAt) >= timeToLive
 }
 
-// look is one check of the shard by a node that wants it; late says how long
-// its claim is on the way, during which others act.
-func (f *fleet) look(t *rapid.T, n *node) (claim *Record, shard, session uint64, ended string) {
+// checkShard runs one check of the shard by a node that wants it. It returns the
+// claim to commit, if any, with the versions of the shard and of the expired
+// session that the commit compares.
+func (f *fleet) checkShard(t *rapid.T, n *node) (claim *Record, shard, session uint64, ended string) {
 	holder := f.shard.Record.Session
 	holderLive := false
 	for _, other := range f.nodes {
@@ -85,14 +86,14 @@
 	action := n.machine.ShardRead(f.shard, holderLive)
 	if action == ReadSession || action == AskHolder {
 		if (action == AskHolder) != holderLive {
-			t.Fatalf("action %d with a live holder: %v", action, holderLive)
+			t.Fatalf("action %d with holderLive %v", action, holderLive)
 		}
 		current := f.sessions[holder]
-		want := n.naiveLapsed(holder, current, holderLive, f.now)
+		want := n.referenceExpired(holder, current, holderLive, f.now)
 		n.reads = append(n.reads, read{holder, current.version, f.now})
 		action = n.machine.SessionRead(current.session, current.version, f.now)
 		if (action == Claim) != want {
-			t.Fatalf("claims: %v, want %v", action == Claim, want)
+			t.Fatalf("claims the shard: %v, want %v", action == Claim, want)
 		}
 	}
 	if action != Claim {
@@ -103,7 +104,8 @@
 	return &record, f.shard.Version, session, ended
 }
 
-// write is a holder's write for the shard: it takes effect by its fence alone.
+// write is a holder's write for the shard. Only its fencing token decides whether
+// it takes effect.
 func (f *fleet) write(t *rapid.T, n *node) {
 	if n.machine.State() != Held && n.machine.State() != Leaving {
 		return
@@ -122,7 +124,7 @@
 	if n.machine.State() != Seeking {
 		return
 	}
-	record, shard, session, ended := f.look(t, n)
+	record, shard, session, ended := f.checkShard(t, n)
 	if record == nil {
 		return
 	}
@@ -163,10 +165,10 @@
 
 func TestLeasesAreFencedWhateverTheTiming(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{now: time.Unix(1000, 0), sessions: map[string]stored{}}
+		f := &fleet{now: time.Unix(1000, 0), sessions: map[string]storedSession{}}
 		for index := range 3 {
 			f.nodes = append(f.nodes, &node{})
-			f.begin(f.nodes[index], index)
+			f.restart(f.nodes[index], index)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"time passes": func(t *rapid.T) {
@@ -182,7 +184,7 @@
 			"membership": func(t *rapid.T) { f.draw(t).live = rapid.Bool().Draw(t, "live") },
 			"restart": func(t *rapid.T) {
 				index := rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")
-				f.begin(f.nodes[index], index)
+				f.restart(f.nodes[index], index)
 			},
 			"": func(t *rapid.T) {
 				holders := 0
@@ -192,7 +194,7 @@
 					}
 				}
 				if holders > 1 {
-					t.Fatalf("%d nodes hold the shard by its present version", holders)
+					t.Fatalf("%d nodes hold the shard at its current version", holders)
 				}
 			},
 		})
