--- a/internal/core/tenant/tenant.go
+++ b/internal/core/tenant/tenant.go
@@ -1,5 +1,5 @@
-// Package tenant knows the tenants of a configuration and finds the one that
-// holds a key. It keeps digests of keys only, so that no key can be read back
+// Package tenant holds the tenants of a configuration and finds the tenant that
+// owns a key. It stores only digests of keys, so that no key can be read back
 // from it, and it does no I/O.
 package tenant
 
@@ -9,59 +9,59 @@
 	"fmt"
 )
 
-// Limit is how many requests a tenant may have run over all nodes.
+// Limit bounds the rate of a tenant's requests over all nodes.
 type Limit struct {
-	PerSecond float64 // 0: no limit
+	PerSecond float64 // requests per second; 0 means no limit
 	Burst     float64 // requests on top of PerSecond
 }
 
-// Limited says whether there is a limit.
+// Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
 // Tenant is one customer of the fleet.
 type Tenant struct {
 	Name string
-	// Priority goes before a route's in every queue; 0 is the highest.
+	// Priority takes precedence over a route's priority in every queue; 0 is the
+	// highest.
 	Priority int
 	Limit    Limit
 }
 
-// Definition is a tenant as an operator's document defines it.
+// Definition is a tenant as defined in an operator's document.
 type Definition struct {
 	Tenant
 	Keys []string
 }
 
-// keyDigest stands for a key. A lookup by digest takes a time that tells nothing
-// of the keys that are known: who asks cannot choose the digest.
+// keyDigest identifies a key. The time of a lookup by digest reveals nothing about
+// the known keys, because a caller cannot choose the digest.
 type keyDigest [sha256.Size]byte
 
-// Directory holds the tenants of one version of the configuration. It does not
-// change once made.
+// Directory holds the tenants of one version of the configuration. It is immutable.
 type Directory struct {
 	byKey  map[keyDigest]*Tenant
 	byName map[string]*Tenant
 }
 
-// Problem is a part of a definition that cannot hold as it stands.
+// Problem describes an invalid part of a definition.
 type Problem struct {
 	Tenant string
-	Text   string // what is wrong, and what holds instead; no key in clear
+	Text   string // what is wrong and what applies instead, without a key in clear text
 }
 
 // Error implements error.
 func (p Problem) Error() string { return fmt.Sprintf("tenant %q: %s", p.Tenant, p.Text) }
 
-// NewDirectory makes the directory of some definitions. What cannot hold is left
-// out and told as problems: an empty key is nobody's, a key of two tenants is
-// nobody's either, a negative limit is none, and of two definitions of one name
-// the first one's priority and limit hold, with the keys of both.
+// NewDirectory returns the directory of the definitions. Invalid parts are left out
+// and returned as problems: an empty key and a key of two tenants belong to no tenant,
+// a negative limit counts as no limit, and two definitions of one name give a tenant
+// with the priority and limit of the first and the keys of both.
 func NewDirectory(definitions []Definition) (*Directory, []Problem) {
-	made := &Directory{byKey: make(map[keyDigest]*Tenant), byName: make(map[string]*Tenant, len(definitions))}
+	directory := &Directory{byKey: make(map[keyDigest]*Tenant), byName: make(map[string]*Tenant, len(definitions))}
 	var problems []Problem
-	shared := make(map[keyDigest]bool)
+	sharedKeys := make(map[keyDigest]bool)
 	for _, definition := range definitions {
-		known := made.byName[definition.Name]
+		known := directory.byName[definition.Name]
 		if known != nil {
 			problems = append(problems, Problem{definition.Name, "defined twice; the first priority and limit hold, with the keys of both"})
 		} else {
@@ -71,7 +71,7 @@
 				tenant.Limit = Limit{}
 			}
 			known = &tenant
-			made.byName[definition.Name] = known
+			directory.byName[definition.Name] = known
 		}
 		for _, key := range definition.Keys {
 			if key == "" {
@@ -79,19 +79,19 @@
 				continue
 			}
 			digest := digestOf(key)
-			if holder := made.byKey[digest]; shared[digest] || (holder != nil && holder != known) {
+			if holder := directory.byKey[digest]; sharedKeys[digest] || (holder != nil && holder != known) {
 				problems = append(problems, Problem{definition.Name, "the key " + Mask(key) + " is another tenant's too; nobody holds it"})
-				shared[digest] = true
-				delete(made.byKey, digest)
+				sharedKeys[digest] = true
+				delete(directory.byKey, digest)
 				continue
 			}
-			made.byKey[digest] = known
+			directory.byKey[digest] = known
 		}
 	}
-	return made, problems
+	return directory, problems
 }
 
-// Len counts the tenants. A nil directory has none.
+// Len returns the number of tenants. A nil directory has none.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
@@ -99,7 +99,8 @@
 	return len(d.byName)
 }
 
-// ByKey gives the tenant that holds a key. It allocates nothing.
+// ByKey returns the tenant that owns a key. It does not allocate for keys of at most
+// maxStackKeyBytes.
 func (d *Directory) ByKey(key string) (*Tenant, bool) {
 	if d == nil || key == "" {
 		return nil, false
@@ -108,7 +109,7 @@
 	return found, known
 }
 
-// ByName gives a tenant by its name.
+// ByName returns the tenant with a name.
 func (d *Directory) ByName(name string) (*Tenant, bool) {
 	if d == nil {
 		return nil, false
@@ -117,7 +118,7 @@
 	return found, known
 }
 
-// Each calls a function for each tenant, in no order.
+// Each calls a function for each tenant, in no particular order.
 func (d *Directory) Each(do func(*Tenant)) {
 	if d == nil {
 		return
@@ -127,23 +128,24 @@
 	}
 }
 
-// longestKey is how many bytes of a key are copied to be digested without
-// allocating; longer keys cost an allocation.
-const longestKey = 128
+// maxStackKeyBytes is the maximum length of a key that is hashed from a buffer on the
+// stack; longer keys cost an allocation.
+const maxStackKeyBytes = 128
 
 func digestOf(key string) keyDigest {
-	if len(key) > longestKey {
+	if len(key) > maxStackKeyBytes {
 		return sha256.Sum256([]byte(key))
 	}
-	var content [longestKey]byte
+	var content [maxStackKeyBytes]byte
 	return sha256.Sum256(content[:copy(content[:], key)])
 }
 
-// maskBytes of a key's digest stand for it in logs: enough to tell the keys of
-// an operator apart, too few to find a key by.
+// maskBytes is the number of digest bytes that identify a key in logs. They are enough
+// to distinguish the keys of an operator and too few to find a key.
 const maskBytes = 4
 
-// Mask gives what a key is called in logs and errors; empty for no key.
+// Mask returns the name of a key for logs and errors, or an empty string for an empty
+// key.
 func Mask(key string) string {
 	if key == "" {
 		return ""
--- a/internal/core/tenant/tenant_test.go
+++ b/internal/core/tenant/tenant_test.go
@@ -10,9 +10,9 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// naiveHolder is the plain reading: the one tenant whose definitions list the
-// key; nobody when there are two, or none.
-func naiveHolder(definitions []Definition, key string) string {
+// referenceHolder is the reference model of ByKey. It returns the name of the tenant
+// whose definitions list the key, or an empty string unless there is exactly one.
+func referenceHolder(definitions []Definition, key string) string {
 	holders := make(map[string]bool)
 	for _, definition := range definitions {
 		for _, own := range definition.Keys {
@@ -45,7 +45,7 @@
 			if holder, found := directory.ByKey(key); found {
 				got = holder.Name
 			}
-			if want := naiveHolder(definitions, key); got != want {
+			if want := referenceHolder(definitions, key); got != want {
 				t.Fatalf("key %q: holder %q, want %q in %v", key, got, want, definitions)
 			}
 		}
@@ -65,7 +65,7 @@
 		}
 	}
 	if strings.Contains(text, "secret") {
-		t.Errorf("a key in clear: %s", text)
+		t.Errorf("a problem contains a key in clear text: %s", text)
 	}
 	one, _ := directory.ByName("one")
 	two, _ := directory.ByKey("secret-3")
@@ -77,12 +77,12 @@
 func TestNoDirectoryKnowsNobody(t *testing.T) {
 	var none *Directory
 	if _, found := none.ByKey("a"); found || none.Len() != 0 {
-		t.Error("a directory that is not there knows a key")
+		t.Error("a nil directory has a key or a tenant")
 	}
 	if _, found := none.ByName("a"); found {
-		t.Error("a directory that is not there knows a name")
+		t.Error("a nil directory has a name")
 	}
-	none.Each(func(*Tenant) { t.Error("a directory that is not there has a tenant") })
+	none.Each(func(*Tenant) { t.Error("a nil directory has a tenant") })
 }
 
 func TestByKeyAllocatesNothing(t *testing.T) {
