--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -1,15 +1,15 @@
-// Package admission orders online requests that wait for an engine: a
-// weighted fair queue by row, bounded in length and by each request's deadline.
-// Batch work never enters it.
+// Package admission orders online requests that wait for an engine. It is a
+// weighted fair queue by row, bounded in length; callers remove a request at its
+// deadline. Batch work never enters it.
 //
 // The discipline is start-time fair queueing. A request gets a start tag, the
 // larger of the virtual time and its row's last finish tag; its finish tag is
 // the start tag plus cost over weight. The lowest start tag is served first, and
 // the virtual time is the start tag of the request served last. For any two rows
-// that stay backlogged over an interval, the work served for them, each divided
-// by the row's weight, differs by at most c1/w1 + c2/w2, with c the
-// row's largest cost: no row falls behind by more than one request of its own and
-// one of the other's.
+// that stay backlogged over an interval, the work served for each, divided by the
+// row's weight, differs by at most c1/w1 + c2/w2, where c is the row's largest
+// cost. No row falls behind by more than one request of its own and one of the
+// other's.
 package admission
 
 import (
@@ -23,12 +23,12 @@
 type Ticket struct {
 	Row      identity.RowID
 	Weight   int     // at least 1
-	Cost     float64 // in any one unit for the whole queue; above zero
+	Cost     float64 // above zero, in the same unit for the whole queue
 	Deadline time.Time
 
 	start, finish float64
 	sequence      uint64
-	position      int // in the heap; -1: not queued
+	position      int // in the heap; -1 after removal
 }
 
 // Queue is a bounded weighted fair queue. Its zero value is not usable.
@@ -40,21 +40,21 @@
 	waiting     ticketHeap
 }
 
-// NewQueue makes a queue of at most limit tickets.
+// NewQueue returns a queue that holds at most limit tickets.
 func NewQueue(limit int) *Queue {
 	return &Queue{limit: limit, finish: make(map[identity.RowID]float64)}
 }
 
-// Len is the number of tickets waiting.
+// Len returns the number of waiting tickets.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Push queues a ticket; false when the queue is full.
+// Push queues a ticket. It returns false when the queue is full.
 func (q *Queue) Push(ticket *Ticket) bool {
 	if len(q.waiting) >= q.limit {
 		return false
 	}
 	if len(q.waiting) == 0 {
-		// Nothing is backlogged: what rows had before counts no more.
+		// No row is backlogged, so earlier finish tags no longer count.
 		clear(q.finish)
 	}
 	ticket.start = max(q.virtualTime, q.finish[ticket.Row])
@@ -66,7 +66,7 @@
 	return true
 }
 
-// Peek gives the ticket that is to be served next, or nil.
+// Peek returns the ticket to be served next, or nil if the queue is empty.
 func (q *Queue) Peek() *Ticket {
 	if len(q.waiting) == 0 {
 		return nil
@@ -74,13 +74,14 @@
 	return q.waiting[0]
 }
 
-// Serve takes a waiting ticket out as served.
+// Serve removes a waiting ticket as served and advances the virtual time.
 func (q *Queue) Serve(ticket *Ticket) {
 	q.virtualTime = max(q.virtualTime, ticket.start)
 	q.Remove(ticket)
 }
 
-// Remove takes a ticket out unserved; a ticket not in the queue is left alone.
+// Remove removes a ticket without serving it. A ticket that is not in the queue is
+// ignored.
 func (q *Queue) Remove(ticket *Ticket) {
 	if ticket.position < 0 || ticket.position >= len(q.waiting) || q.waiting[ticket.position] != ticket {
 		return
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -12,29 +12,29 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// naiveQueue is the discipline by plain loops over an unsorted list.
-type naiveQueue struct {
-	waiting     []*naiveTicket
+// referenceQueue is the reference model: the same discipline with loops over an unsorted list.
+type referenceQueue struct {
+	waiting     []*referenceTicket
 	virtualTime float64
 	finish      map[identity.RowID]float64
 }
 
-type naiveTicket struct {
+type referenceTicket struct {
 	ticket *admission.Ticket
 	start  float64
 }
 
-func (n *naiveQueue) push(ticket *admission.Ticket) {
+func (n *referenceQueue) push(ticket *admission.Ticket) {
 	if len(n.waiting) == 0 {
 		n.finish = map[identity.RowID]float64{}
 	}
 	start := max(n.virtualTime, n.finish[ticket.Row])
 	n.finish[ticket.Row] = start + ticket.Cost/float64(ticket.Weight)
-	n.waiting = append(n.waiting, &naiveTicket{ticket, start})
+	n.waiting = append(n.waiting, &referenceTicket{ticket, start})
 }
 
-func (n *naiveQueue) next() *naiveTicket {
-	var best *naiveTicket
+func (n *referenceQueue) next() *referenceTicket {
+	var best *referenceTicket
 	for _, candidate := range n.waiting {
 		if best == nil || candidate.start < best.start {
 			best = candidate
@@ -43,14 +43,14 @@
 	return best
 }
 
-func (n *naiveQueue) remove(ticket *admission.Ticket) {
-	n.waiting = slices.DeleteFunc(n.waiting, func(other *naiveTicket) bool { return other.ticket == ticket })
+func (n *referenceQueue) remove(ticket *admission.Ticket) {
+	n.waiting = slices.DeleteFunc(n.waiting, func(other *referenceTicket) bool { return other.ticket == ticket })
 }
 
-func TestQueueAgreesWithNaiveTwin(t *testing.T) {
+func TestQueueAgreesWithReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := admission.NewQueue(20)
-		naive := &naiveQueue{}
+		reference := &referenceQueue{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -59,53 +59,53 @@
 					Weight: rapid.IntRange(1, 5).Draw(t, "weight"), Cost: float64(rapid.IntRange(1, 50).Draw(t, "cost")),
 				}
 				pushed := queue.Push(ticket)
-				if pushed != (len(naive.waiting) < 20) {
-					t.Fatalf("pushed: %v with %d waiting", pushed, len(naive.waiting))
+				if pushed != (len(reference.waiting) < 20) {
+					t.Fatalf("pushed: %v with %d waiting", pushed, len(reference.waiting))
 				}
 				if pushed {
-					naive.push(ticket)
+					reference.push(ticket)
 				}
 			case 2:
-				want, got := naive.next(), queue.Peek()
+				want, got := reference.next(), queue.Peek()
 				if (want == nil) != (got == nil) || (want != nil && want.ticket != got) {
-					t.Fatalf("next is %+v, naive says %+v", got, want)
+					t.Fatalf("next ticket is %+v, reference model has %+v", got, want)
 				}
 				if got != nil {
 					queue.Serve(got)
-					naive.virtualTime = max(naive.virtualTime, want.start)
-					naive.remove(got)
+					reference.virtualTime = max(reference.virtualTime, want.start)
+					reference.remove(got)
 				}
 			case 3:
-				if len(naive.waiting) > 0 {
-					gone := naive.waiting[rapid.IntRange(0, len(naive.waiting)-1).Draw(t, "gone")].ticket
+				if len(reference.waiting) > 0 {
+					gone := reference.waiting[rapid.IntRange(0, len(reference.waiting)-1).Draw(t, "gone")].ticket
 					queue.Remove(gone)
 					queue.Remove(gone) // a second time changes nothing
-					naive.remove(gone)
+					reference.remove(gone)
 				}
 			}
-			if queue.Len() != len(naive.waiting) {
-				t.Fatalf("%d waiting, naive says %d", queue.Len(), len(naive.waiting))
+			if queue.Len() != len(reference.waiting) {
+				t.Fatalf("%d waiting, reference model has %d", queue.Len(), len(reference.waiting))
 			}
 		}
 	})
 }
 
-// TestFairnessBound: over any interval in which two rows stay backlogged, the
-// work served by weight differs by at most c1/w1 + c2/w2.
+// TestFairnessBound checks that over any interval in which two rows stay backlogged, the work
+// served for each, divided by its weight, differs by at most c1/w1 + c2/w2.
 func TestFairnessBound(t *testing.T) {
-	const most = 50.0
+	const maxCost = 50.0
 	rapid.Check(t, func(t *rapid.T) {
 		weights := [2]int{rapid.IntRange(1, 10).Draw(t, "w1"), rapid.IntRange(1, 10).Draw(t, "w2")}
 		queue := admission.NewQueue(1000)
 		push := func(row int) {
-			queue.Push(&admission.Ticket{Row: identity.RowID(strconv.Itoa(row)), Weight: weights[row], Cost: float64(rapid.IntRange(1, most).Draw(t, "cost"))})
+			queue.Push(&admission.Ticket{Row: identity.RowID(strconv.Itoa(row)), Weight: weights[row], Cost: float64(rapid.IntRange(1, maxCost).Draw(t, "cost"))})
 		}
 		for range 3 {
 			push(0)
 			push(1)
 		}
-		bound := most/float64(weights[0]) + most/float64(weights[1])
-		var low, high, difference float64 // of the running difference: any interval is a difference of two points
+		bound := maxCost/float64(weights[0]) + maxCost/float64(weights[1])
+		var low, high, difference float64 // extremes of the running difference; an interval is the difference of two of its points
 		for range 200 {
 			next := queue.Peek()
 			queue.Serve(next)
