--- a/internal/core/policy/change.go
+++ b/internal/core/policy/change.go
@@ -2,20 +2,21 @@
 
 import "ringstream.example/ringstream/internal/core/identity"
 
-// Change is one accepted edit: what one row became at Row.Revision. Each
+// Change is one accepted edit: the content of one row from Row.Revision on. Each
 // table revision from 1 up belongs to exactly one change.
 type Change struct {
-	Row Row // for a deleted row, ID and Revision
-	// Deleted says that the row was removed at this revision.
+	Row Row // for a deleted row, only ID and Revision are set
+	// Deleted is true when the row was removed at this revision.
 	Deleted bool
 }
 
-// Revision is the table revision that the change made.
+// Revision returns the table revision that the change created.
 func (c Change) Revision() uint64 { return c.Row.Revision }
 
-// CheckEdit says whether an edit of a row, made against the revision in
-// edited.Revision (0: the row must not exist), may be committed on this table.
-// The table must hold every change up to the revision that the commit compares.
+// CheckEdit reports whether an edit of a row may be committed on this table. The
+// edit was made against the revision in edited.Revision, where 0 means that the
+// row must not exist. The table must hold every change up to the revision that the
+// commit compares.
 func (t *Table) CheckEdit(edited Row, deleted bool) EditCheck {
 	current, exists := t.Row(edited.ID)
 	if current.Revision != edited.Revision || (deleted && !exists) {
@@ -34,17 +35,18 @@
 	return EditCheck{Current: current}
 }
 
-// EditCheck is the answer of CheckEdit; with neither Stale nor Invalid set the
-// edit may be committed.
+// EditCheck is the result of CheckEdit. The edit may be committed when neither
+// Stale nor Invalid is set.
 type EditCheck struct {
-	Current Row // the row as it is; zero when absent
-	// Stale: the row has changed, or is not there.
+	Current Row // the current row; zero when absent
+	// Stale is true when the row has changed since the edit's revision, or when a
+	// row to be deleted does not exist.
 	Stale bool
 	// Invalid is a *FieldError.
 	Invalid error
 }
 
-// matching gives the row that has exactly this match.
+// matching returns the row that has exactly this match.
 func (t *Table) matching(match Match) (identity.RowID, bool) {
 	entry, ok := t.index[matchShard(match)][match]
 	if !ok {
--- a/internal/core/policy/table.go
+++ b/internal/core/policy/table.go
@@ -10,21 +10,21 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// shardCount is the number of parts that a table's maps are split into. A
-// change copies the two or three parts that it touches and the two arrays of
-// pointers, so that its cost does not grow with the table's rows until these
-// outnumber the shards by far.
+// shardCount is the number of shards that each of a table's maps is split into. A
+// change copies the two or three shards that it modifies and the two arrays of
+// shards, so its cost does not grow with the number of rows until there are many
+// more rows than shards.
 const shardCount = 256
 
-// Table is an immutable copy of all rows. Apply and Merge give a new table
-// that shares what did not change, so that readers need no lock.
+// Table is an immutable snapshot of all rows. Apply and Merge return a new table
+// that shares the unchanged shards, so readers need no lock.
 //
 // A table holds every change up to its Revision, and may hold later ones that
-// came out of order. A change of a revision that the table holds is ignored,
-// and per row only a higher revision is taken: no order of arrival and no
-// repetition makes a row go back. A deleted row leaves a tombstone only until
-// the table's revision has reached it; from then on the revision itself keeps
-// older changes of that row out.
+// arrived out of order. A change with a revision that the table holds is ignored,
+// and a row is replaced only by a higher revision, so that no order of arrival and
+// no repetition reverts a row. A deleted row leaves a tombstone until the table's
+// revision has reached the deletion; from then on the revision itself rejects older
+// changes of that row.
 type Table struct {
 	revision uint64
 	// ahead holds the revisions above revision that were applied, ascending.
@@ -34,22 +34,22 @@
 	// specificity counts the rows of each of the eight combinations of
 	// wildcards, so that Lookup skips those that no row uses.
 	specificity [8]int
-	count       int // rows, tombstones not counted
+	count       int // number of rows without tombstones
 	digest      uint64
 }
 
-// NewTable builds a table that is complete up to a revision. Rows are taken as
-// valid.
+// NewTable returns a table that is complete up to a revision. It does not validate
+// the rows.
 func NewTable(revision uint64, rows []Row) *Table {
 	return new(Table).Merge(revision, rows)
 }
 
-// Revision is the highest revision up to which the table holds every change;
-// it only rises.
+// Revision returns the highest revision up to which the table holds every change.
+// It never decreases.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Highest is the highest revision that the table has a change of; above
-// Revision when changes between are missing.
+// Highest returns the highest revision of which the table holds a change. It is
+// above Revision when changes in between are missing.
 func (t *Table) Highest() uint64 {
 	if len(t.ahead) > 0 {
 		return t.ahead[len(t.ahead)-1]
@@ -57,16 +57,16 @@
 	return t.revision
 }
 
-// Len is the number of rows.
+// Len returns the number of rows.
 func (t *Table) Len() int { return t.count }
 
-// Digest is a sum over the ids and revisions of all rows: two tables of the
-// same Revision that hold nothing beyond it have the same rows when their
-// digests are equal.
+// Digest returns a checksum over the ids and revisions of all rows. Two tables with
+// the same Revision that hold no later changes have the same rows when their digests
+// are equal.
 func (t *Table) Digest() uint64 { return t.digest }
 
-// Lookup gives the row that governs work of this tenant, model and kind: the
-// most specific match, tenant before model before kind. It does not allocate.
+// Lookup returns the row that governs work of this tenant, model and kind: the most
+// specific match, as Match describes. It does not allocate.
 func (t *Table) Lookup(tenant, model string, kind Kind) (Row, bool) {
 	for bits := range 8 {
 		if t.specificity[bits] == 0 {
@@ -89,7 +89,7 @@
 	return Row{}, false
 }
 
-// Row gives a row by id.
+// Row returns the row with an id.
 func (t *Table) Row(id identity.RowID) (Row, bool) {
 	entry, ok := t.rows[idShard(id)][id]
 	if !ok || entry.Deleted {
@@ -98,7 +98,7 @@
 	return entry.Row, true
 }
 
-// Rows gives all rows, sorted by id.
+// Rows returns all rows, sorted by id.
 func (t *Table) Rows() []Row {
 	rows := make([]Row, 0, t.count)
 	for _, shard := range t.rows {
@@ -112,7 +112,7 @@
 	return rows
 }
 
-// Page gives up to limit rows with ids after the one given, sorted by id, and
+// Page returns up to limit rows with ids after the given one, sorted by id, and
 // whether they are the last.
 func (t *Table) Page(after identity.RowID, limit int) (rows []Row, last bool) {
 	all := t.Rows()
@@ -129,8 +129,8 @@
 	return all[:limit], false
 }
 
-// Apply gives the table with a change, or the same table when it holds the
-// change already.
+// Apply returns the table with a change applied, or the same table when it already
+// holds the change.
 func (t *Table) Apply(change Change) *Table {
 	revision := change.Revision()
 	if revision <= t.revision {
@@ -148,9 +148,9 @@
 	return &next
 }
 
-// Merge gives the table with another's complete rows at a revision: rows that
-// are missing there and have no later change here are gone. Rows may be newer
-// than the revision, as when they were read while edits went on.
+// Merge returns the table merged with the complete rows of another table at a
+// revision. Rows that are missing there and have no later change here are removed.
+// Rows may be newer than the revision, for example if they were read during edits.
 func (t *Table) Merge(revision uint64, rows []Row) *Table {
 	if revision < t.revision || (revision == t.revision && revision > 0) {
 		return t
@@ -174,7 +174,7 @@
 	return &next
 }
 
-// editor changes a table that no one else sees yet, copying each shard once.
+// editor modifies a table that is not yet shared. It copies each shard once.
 type editor struct {
 	table       *Table
 	copiedRows  [shardCount]bool
@@ -206,8 +206,8 @@
 	return maps.Clone(original)
 }
 
-// put takes a change when its row has none as new. Between an out-of-order
-// pair two rows can have one match for a while: the newer row has the index.
+// put applies a change unless its row has one that is as new. While changes are
+// missing, two rows can have the same match; the newer row is then in the index.
 func (e *editor) put(change Change) {
 	id := change.Row.ID
 	held, exists := e.table.rows[idShard(id)][id]
@@ -234,7 +234,7 @@
 	}
 }
 
-// remove takes a row's entry out of the counts and the index.
+// remove removes a row's entry from the counts and the index.
 func (e *editor) remove(entry *Change) {
 	if entry.Deleted {
 		return
@@ -248,8 +248,8 @@
 	}
 }
 
-// advance raises the revision over the changes that now follow it without a
-// gap, and drops the tombstones that it passes.
+// advance raises the revision over the changes that follow it without a gap, and
+// removes the tombstones up to the new revision in the copied shards.
 func (e *editor) advance() {
 	t := e.table
 	for len(t.ahead) > 0 && t.ahead[0] <= t.revision+1 {
@@ -265,7 +265,7 @@
 	}
 }
 
-// touchedRows gives the shards that were copied: tombstones elsewhere wait
+// touchedRows returns the shards that were copied. Tombstones in other shards stay
 // until the next change of their shard.
 func (e *editor) touchedRows() []int {
 	var shards []int
@@ -277,7 +277,8 @@
 	return shards
 }
 
-// wildcards numbers a match by its wildcards as Lookup does.
+// wildcards returns the combination of wildcards in a match as the bits that Lookup
+// uses.
 func wildcards(match Match) int {
 	bits := 0
 	if match.Tenant == Any {
@@ -304,7 +305,7 @@
 	return int(hash % shardCount)
 }
 
-// rowDigest mixes a row's id and revision.
+// rowDigest returns a hash of a row's id and revision.
 func rowDigest(row Row) uint64 {
 	const mixer = 0x9E3779B97F4A7C15
 	hash := xxhash.Sum64String(string(row.ID)) ^ row.Revision*mixer
--- a/internal/core/policy/table_test.go
+++ b/internal/core/policy/table_test.go
@@ -12,10 +12,11 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// naiveTable is the twin: all changes in order of revision, then plain loops.
-type naiveTable struct{ rows map[identity.RowID]Row }
+// referenceTable is the reference model: it applies all changes in order of revision and looks
+// rows up with loops.
+type referenceTable struct{ rows map[identity.RowID]Row }
 
-func naive(changes []Change) naiveTable {
+func newReference(changes []Change) referenceTable {
 	rows := map[identity.RowID]Row{}
 	for _, change := range changes {
 		if change.Deleted {
@@ -24,10 +25,10 @@
 			rows[change.Row.ID] = change.Row
 		}
 	}
-	return naiveTable{rows}
+	return referenceTable{rows}
 }
 
-func (n naiveTable) list() []Row {
+func (n referenceTable) list() []Row {
 	rows := []Row{}
 	for _, row := range n.rows {
 		rows = append(rows, row)
@@ -36,7 +37,7 @@
 	return rows
 }
 
-func (n naiveTable) lookup(tenant, model string, kind Kind) (Row, bool) {
+func (n referenceTable) lookup(tenant, model string, kind Kind) (Row, bool) {
 	best, found := Row{}, false
 	for _, row := range n.rows {
 		m := row.Match
@@ -48,7 +49,7 @@
 	return best, found
 }
 
-// drawHistory makes a history of accepted edits with unique matches.
+// drawHistory draws a history of accepted edits with unique matches.
 func drawHistory(t *rapid.T, length int) []Change {
 	var changes []Change
 	table := NewTable(0, nil)
@@ -94,17 +95,17 @@
 			}
 			before := table.Revision()
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
-				upTo := naive(changes[:at])
-				table = table.Merge(uint64(at), upTo.list())
+				snapshot := newReference(changes[:at])
+				table = table.Merge(uint64(at), snapshot.list())
 			} else {
 				table = table.Apply(changes[at])
 			}
 			if table.Revision() < before {
-				t.Fatalf("revision fell from %d to %d", before, table.Revision())
+				t.Fatalf("revision decreased from %d to %d", before, table.Revision())
 			}
 			for _, row := range table.Rows() {
 				if row.Revision < held[row.ID] {
-					t.Fatalf("row %s went back from %d to %d", row.ID, held[row.ID], row.Revision)
+					t.Fatalf("row %s reverted from revision %d to %d", row.ID, held[row.ID], row.Revision)
 				}
 				held[row.ID] = row.Revision
 			}
@@ -112,17 +113,17 @@
 		for _, change := range changes {
 			table = table.Apply(change)
 		}
-		compareWithNaive(t, table, changes)
+		compareWithReference(t, table, changes)
 	})
 }
 
-func compareWithNaive(t *rapid.T, table *Table, changes []Change) {
-	twin := naive(changes)
+func compareWithReference(t *rapid.T, table *Table, changes []Change) {
+	reference := newReference(changes)
 	if table.Revision() != uint64(len(changes)) || table.Highest() != table.Revision() {
 		t.Fatalf("revision %d, highest %d after %d changes", table.Revision(), table.Highest(), len(changes))
 	}
-	if diff := cmp.Diff(twin.list(), byRevision(table.Rows())); diff != "" {
-		t.Fatalf("rows (-naive +table):\n%s", diff)
+	if diff := cmp.Diff(reference.list(), byRevision(table.Rows())); diff != "" {
+		t.Fatalf("rows (-reference +table):\n%s", diff)
 	}
 	if fresh := NewTable(table.Revision(), table.Rows()); fresh.Digest() != table.Digest() || fresh.Len() != table.Len() {
 		t.Fatalf("digest %x of %d rows, fresh %x of %d", table.Digest(), table.Len(), fresh.Digest(), fresh.Len())
@@ -130,10 +131,10 @@
 	for _, tenant := range []string{"a", "b", "c"} {
 		for _, model := range []string{"m", "n"} {
 			for _, kind := range []Kind{KindOnline, KindBatch} {
-				want, wantOK := twin.lookup(tenant, model, kind)
+				want, wantOK := reference.lookup(tenant, model, kind)
 				got, ok := table.Lookup(tenant, model, kind)
 				if ok != wantOK || got != want {
-					t.Fatalf("lookup %s %s %s: %v %v, naive %v %v", tenant, model, kind, got, ok, want, wantOK)
+					t.Fatalf("lookup %s %s %s: %v %v, reference model has %v %v", tenant, model, kind, got, ok, want, wantOK)
 				}
 			}
 		}
@@ -177,7 +178,7 @@
 	first.Revision = 1
 	table := NewTable(1, []Row{first})
 	if check := table.CheckEdit(testRow("second"), false); check.Invalid == nil {
-		t.Error("a second row took the match of the first")
+		t.Error("a second row with the match of the first was accepted")
 	}
 	if check := table.CheckEdit(testRow("first"), false); !check.Stale || check.Current.Revision != 1 {
 		t.Errorf("create of an existing row: %+v", check)
--- a/internal/core/policy/validate.go
+++ b/internal/core/policy/validate.go
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// The bounds of a row's fields.
+// Bounds of a row's fields.
 const (
 	MinWeight = 1
 	MaxWeight = 1000
-	// maxNameLength bounds ids, pools, and the literals of a match, in bytes.
+	// maxNameLength is the maximum length of ids, pools and the literals of a match,
+	// in bytes.
 	maxNameLength = 128
 )
 
@@ -21,20 +22,20 @@
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/@-]*$`)
 )
 
-// FieldError says which field of a row is wrong and what is allowed.
+// FieldError reports an invalid field of a row and the values that are allowed.
 type FieldError struct {
-	Field   string // as in JSON, "limits.concurrency"
+	Field   string // the path in JSON, such as "limits.concurrency"
 	Value   any
 	Allowed string
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %v is not allowed, want %s", e.Field, e.Value, e.Allowed)
 }
 
-// Validate checks a row by itself; a table checks it against others with
-// CheckEdit. The first wrong field is a *FieldError.
+// Validate checks a row by itself; CheckEdit checks it against the other rows of a
+// table. It returns a *FieldError for the first invalid field.
 func (r Row) Validate() error {
 	checks := []func(Row) *FieldError{
 		checkID, checkMatch, checkWeight, checkShare, checkClass, checkPool,
@@ -118,9 +119,9 @@
 }
 
 func quote(value string) string {
-	const longest = 40
-	if len(value) > longest {
-		value = strings.ToValidUTF8(value[:longest], "") + "..."
+	const maxQuotedBytes = 40
+	if len(value) > maxQuotedBytes {
+		value = strings.ToValidUTF8(value[:maxQuotedBytes], "") + "..."
 	}
 	return fmt.Sprintf("%q", value)
 }
