--- a/internal/core/chatprompt/chatprompt.go
+++ b/internal/core/chatprompt/chatprompt.go
@@ -1,5 +1,5 @@
-// Package chatprompt joins the messages of a chat into the one prompt text
-// that an engine takes. The form is the same for every model.
+// Package chatprompt joins the messages of a chat into the single prompt text
+// that an engine accepts. The format is the same for every model.
 package chatprompt
 
 import "strings"
@@ -9,22 +9,22 @@
 	Role, Content string
 }
 
-// The markers of the joined form.
+// Markers of the prompt format.
 const (
 	roleOpen  = "<|"
 	roleClose = "|>\n"
 	turnEnd   = "\n"
-	// brokenOpen stands for roleOpen inside a content, so that no content can
-	// pass for a message of another role.
-	brokenOpen = "< |"
+	// escapedRoleOpen replaces roleOpen inside a content, so that no content can imitate
+	// a message of another role.
+	escapedRoleOpen = "< |"
 )
 
-// Join gives the prompt; it ends where the assistant's answer begins.
+// Join returns the prompt, which ends where the assistant's answer begins.
 func Join(messages []Message) string {
 	var prompt strings.Builder
 	for _, message := range messages {
 		prompt.WriteString(roleOpen + message.Role + roleClose)
-		prompt.WriteString(strings.ReplaceAll(message.Content, roleOpen, brokenOpen))
+		prompt.WriteString(strings.ReplaceAll(message.Content, roleOpen, escapedRoleOpen))
 		prompt.WriteString(turnEnd)
 	}
 	prompt.WriteString(roleOpen + "assistant" + roleClose)
--- a/internal/core/health/health.go
+++ b/internal/core/health/health.go
@@ -1,47 +1,48 @@
-// Package health decides whether an engine gets work, from what its polls and
-// its streams show. An engine that does not answer, or accepts work and gives
-// no tokens, is ejected; it is probed back with one request at a time.
+// Package health decides from polls and streams whether an engine gets work. An engine
+// that does not answer, or accepts work and produces no tokens, is ejected. After a hold
+// time it is probed with one request at a time.
 package health
 
 import "time"
 
-// State is what an engine may be given.
+// State is the health of an engine.
 type State uint8
 
 // The states.
 const (
 	Healthy State = iota
-	Ejected       // nothing
-	Probing       // one request at a time, until one gives a token
+	Ejected       // gets no work
+	Probing       // gets one request at a time until one produces a token
 )
 
 const (
 	failuresToEject = 2
-	firstHold       = time.Second
-	longestHold     = 30 * time.Second
+	minHold         = time.Second
+	maxHold         = 30 * time.Second
 )
 
 // Machine is the state of one engine's health. Its zero value is Healthy.
 type Machine struct {
-	state    State
-	failures int
-	hold     time.Duration
-	until    time.Time
+	state     State
+	failures  int
+	hold      time.Duration
+	heldUntil time.Time
 }
 
-// State gives the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Answered takes a sign of life that is no proof of work: a load report.
+// Answered records a load report, which shows that the engine answers but not that it
+// does its work.
 func (m *Machine) Answered(now time.Time) State {
 	m.failures = 0
-	if m.state == Ejected && !now.Before(m.until) {
+	if m.state == Ejected && !now.Before(m.heldUntil) {
 		m.state = Probing
 	}
 	return m.state
 }
 
-// Worked takes a token of a stream: the engine does its work.
+// Worked records a token of a stream, which shows that the engine does its work.
 func (m *Machine) Worked() State {
 	m.failures = 0
 	if m.state != Ejected {
@@ -51,7 +52,7 @@
 	return m.state
 }
 
-// Unreachable takes a call that got no answer at all.
+// Unreachable records a call that got no answer.
 func (m *Machine) Unreachable(now time.Time) State {
 	m.failures++
 	if m.failures >= failuresToEject || m.state == Probing {
@@ -60,19 +61,19 @@
 	return m.state
 }
 
-// Hung takes a stream that stood still for longer than its limit.
+// Hung records a stream that produced no token within its timeout.
 func (m *Machine) Hung(now time.Time) State {
 	m.eject(now)
 	return m.state
 }
 
-// eject holds the engine back; each ejection that follows on a failed probe
-// doubles the hold.
+// eject ejects the engine for the hold time. The hold doubles with each ejection, up
+// to maxHold, until a token resets it.
 func (m *Machine) eject(now time.Time) {
-	if m.state == Ejected && now.Before(m.until) {
+	if m.state == Ejected && now.Before(m.heldUntil) {
 		return
 	}
-	m.hold = min(max(2*m.hold, firstHold), longestHold)
+	m.hold = min(max(2*m.hold, minHold), maxHold)
 	m.state = Ejected
-	m.until = now.Add(m.hold)
+	m.heldUntil = now.Add(m.hold)
 }
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -30,7 +30,7 @@
 	expect("answers after the second hold", machine.Answered(now), health.Probing)
 	expect("the probe works", machine.Worked(), health.Healthy)
 	expect("hung", machine.Hung(now), health.Ejected)
-	expect("the hold began anew", machine.Answered(now.Add(time.Second)), health.Probing)
+	expect("the hold was reset", machine.Answered(now.Add(time.Second)), health.Probing)
 }
 
 func TestHoldIsBounded(t *testing.T) {
--- a/internal/core/identity/identity.go
+++ b/internal/core/identity/identity.go
@@ -1,39 +1,39 @@
-// Package identity declares the identifier types that every layer shares.
-// Identifiers are opaque strings: no package parses one that it did not make.
+// Package identity declares the identifier types that all layers share.
+// Identifiers are opaque strings: no package parses one that it did not create.
 package identity
 
-// NodeID names one ringstream node for the life of one process.
+// NodeID identifies one ringstream node for the lifetime of one process.
 type NodeID string
 
-// EngineID names one model engine, as the platform's machine list gives it.
+// EngineID identifies one model engine, as listed in the platform's machine list.
 type EngineID string
 
-// RequestID names one caller's request; it is in every log line and answer.
+// RequestID identifies one caller's request. It is in every log line and answer.
 type RequestID string
 
-// AttemptID names one dispatch of one request to one engine. An answer is
-// taken only by the attempt that asked for it.
+// AttemptID identifies one dispatch of one request to one engine. An answer is
+// accepted only by the attempt that requested it.
 type AttemptID string
 
-// Incarnation names one life of an engine's process; a restart makes another.
-// Empty: the engine does not say.
+// Incarnation identifies one run of an engine's process; a restart creates a new
+// one. It is empty if the engine does not report it.
 type Incarnation string
 
-// Intent names an attempt before it is sent. It is recorded durably for
-// requests that are not repeatable: whoever finds it later may join the
-// attempt, or learn from the engine that it never ran, but never sends it.
+// Intent describes an attempt before it is sent. It is recorded durably for
+// requests that are not repeatable: a node that finds it later may join the attempt,
+// or learn from the engine that it never ran, but must not send it.
 type Intent struct {
 	Attempt AttemptID `json:"attempt"`
 	Engine  EngineID  `json:"engine"`
-	// Incarnation is the engine's when the attempt was about to be sent.
+	// Incarnation is that of the engine just before the attempt was sent.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
 }
 
-// JobID names one accepted batch job.
+// JobID identifies one accepted batch job.
 type JobID string
 
-// TenantID names the team on whose behalf a request runs.
+// TenantID identifies the team on whose behalf a request runs.
 type TenantID string
 
-// RowID names one row of the class table.
+// RowID identifies one row of the class table.
 type RowID string
--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -1,29 +1,32 @@
-// Package outcome declares how a request can end. Outcomes are values; an
-// error never stands in for one.
+// Package outcome declares how a request can end. Outcomes are values and are
+// never represented by an error.
 package outcome
 
 import "time"
 
-// Kind says what is known of a request's run.
+// Kind states what is known about the execution of a request.
 type Kind uint8
 
-// The kinds. Only Completed and Refused may be claimed as what they say.
+// The kinds. Only Completed and Refused may be reported as certain.
 const (
-	// Unknown: sent to an engine, and no word since. The request may have run.
+	// Unknown means that the request was sent to an engine and no answer came. It may
+	// have run.
 	Unknown Kind = iota
-	// Completed: the whole answer was received.
+	// Completed means that the whole answer was received.
 	Completed
-	// Refused: provably not run (never sent, or the engine said so).
+	// Refused means that the request provably did not run: it was never sent, or the
+	// engine reported that it did not run it.
 	Refused
-	// Failed: it ran, and an engine reported that it cannot complete.
+	// Failed means that the request ran and an engine reported that it cannot complete.
 	Failed
-	// Cancelled: stopped on behalf of the caller or of an operator.
+	// Cancelled means that the request was stopped for the caller or an operator.
 	Cancelled
-	// Preempted: batch work that gave way; the tokens so far are kept.
+	// Preempted means that batch work was stopped in favor of online work; the tokens
+	// so far are kept.
 	Preempted
 )
 
-// String gives the stable label used in answers, logs and metrics.
+// String returns the stable label used in answers, logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Completed:
@@ -41,18 +44,19 @@
 	}
 }
 
-// Outcome is the end of one request as its caller is told.
+// Outcome is the result of one request as reported to its caller.
 type Outcome struct {
 	Kind Kind
-	// Code is a stable machine-readable reason, empty when Completed.
+	// Code is a stable machine-readable reason; empty when Completed.
 	Code string
-	// Reason is for people.
+	// Reason is a human-readable reason.
 	Reason string
-	// RetryAfter is when a refused caller may come back; zero says nothing.
+	// RetryAfter is the time after which a refused caller may retry; zero if unknown.
 	RetryAfter time.Duration
-	// FinishReason is the engine's own ("stop", "length") when Completed.
+	// FinishReason is the reason reported by the engine ("stop", "length") when
+	// Completed.
 	FinishReason string
-	// PromptTokens and OutputTokens count what the engine processed.
+	// PromptTokens and OutputTokens are the numbers of tokens that the engine processed.
 	PromptTokens, OutputTokens int
 	// Tokens holds the output so far, for Preempted and Completed batch items.
 	Tokens []string
--- a/internal/core/site/site_test.go
+++ b/internal/core/site/site_test.go
@@ -9,8 +9,8 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// naive walks the keys between the old and the new share one by one.
-func naive(keys []string, from, to float64) (moved map[string]bool) {
+// keysBetween is the reference model: it returns the keys whose position lies in [from, to).
+func keysBetween(keys []string, from, to float64) (moved map[string]bool) {
 	moved = map[string]bool{}
 	for _, key := range keys {
 		position := Position(key)
@@ -27,14 +27,14 @@
 		a := rapid.Float64Range(0, 1).Draw(t, "a")
 		b := rapid.Float64Range(0, 1).Draw(t, "b")
 		low, high := min(a, b), max(a, b)
-		between := naive(keys, low, high)
+		between := keysBetween(keys, low, high)
 		for _, key := range keys {
 			before, after := Choose(key, low), Choose(key, high)
 			if (before != after) != between[key] {
 				t.Fatalf("key %q: %v at %v, %v at %v", key, before, low, after, high)
 			}
 			if before == Here && after == Other {
-				t.Fatalf("key %q left when the share rose", key)
+				t.Fatalf("key %q moved to the other site when the share was raised", key)
 			}
 		}
 	})
--- a/internal/core/storeclock/storeclock.go
+++ b/internal/core/storeclock/storeclock.go
@@ -1,51 +1,54 @@
-// Package storeclock says when, on this node's clock, an answer of the store was made: never
-// later than it truly was, as long as both clocks run alike. It needs no synchronized clocks, only that both run alike: an
-// answer that names the store's time T was made after its call was sent, so the store's time
-// T was not before that moment here. The call that took least time gives the tightest bound.
-// It does no I/O and reads no clock.
+// Package storeclock computes a lower bound, on this node's clock, of the time at which the
+// store made an answer. The bound is never later than the true time. The clocks need not be
+// synchronized, but must run at the same rate: an answer that names the store's time T was made
+// after its call was sent, so the store's clock showed T no earlier than that moment. The call
+// whose answer was made soonest after it was sent gives the tightest bound. The package does no
+// I/O and reads no clock.
 package storeclock
 
 import "time"
 
 const (
-	// window is how long a call's bound is used at least; clocks that differ by 100 parts in
-	// a million drift apart by 6 ms in two windows.
+	// window is the minimum time for which a call's bound is used. Clocks whose rates differ by
+	// 100 ppm drift apart by 6 ms in two windows.
 	window = 30 * time.Second
-	// grain is the resolution that the store's clock may have been rounded down to.
-	grain = time.Millisecond
+	// resolution is the unit that the store's time may have been rounded down to.
+	resolution = time.Millisecond
 )
 
-// Clock is a bound of the store's clock. The zero value knows nothing. It is not safe for
+// Clock holds a bound of the store's clock. The zero value has no bound. It is not safe for
 // concurrent use.
 type Clock struct {
-	// origin is the latest moment, on this node's clock, that the store's clock can have
-	// shown zero before; previous is that of the window before.
-	origin, previous time.Time
-	begun            time.Time // of the window
+	// origin is the best bound of the current window: the store's clock showed zero no earlier
+	// than this moment on this node's clock. previousOrigin is that of the window before.
+	origin, previousOrigin time.Time
+	windowStart            time.Time // start of the current window
 }
 
-// Observe takes an answer that names the store's time, by the moment its call was sent.
+// Observe updates the bound from an answer that names the store's time; sent is when its call
+// was sent.
 func (c *Clock) Observe(sent time.Time, storeAt time.Duration) {
-	if sent.Sub(c.begun) > 2*window {
-		c.origin = time.Time{} // what was seen that long ago has drifted too far
+	if sent.Sub(c.windowStart) > 2*window {
+		c.origin = time.Time{} // the clocks may have drifted too far since
 	}
-	if c.begun.IsZero() || sent.Sub(c.begun) > window {
-		c.previous, c.origin, c.begun = c.origin, time.Time{}, sent
+	if c.windowStart.IsZero() || sent.Sub(c.windowStart) > window {
+		c.previousOrigin, c.origin, c.windowStart = c.origin, time.Time{}, sent
 	}
 	if origin := sent.Add(-storeAt); origin.After(c.origin) {
 		c.origin = origin
 	}
 }
 
-// MadeAt gives the moment before which an answer that names a time of the store was
-// certainly not made: of a call that was sent and answered at given moments.
+// MadeAt returns the earliest moment at which an answer that names a time of the store can have
+// been made; sent and answered are when its call was sent and answered. Without a usable bound
+// it returns sent.
 func (c *Clock) MadeAt(sent, answered time.Time, storeAt time.Duration) time.Time {
 	origin := c.origin
-	if c.previous.After(origin) {
-		origin = c.previous
+	if c.previousOrigin.After(origin) {
+		origin = c.previousOrigin
 	}
-	made := origin.Add(storeAt - grain)
-	if made.After(answered) { // the store's clock has stepped back, or another store answers
+	made := origin.Add(storeAt - resolution)
+	if made.After(answered) { // the store's clock was set back, or another store answers
 		c.Forget()
 		return sent
 	}
@@ -55,14 +58,14 @@
 	return made
 }
 
-// Suspended corrects the bound after this node's clock stood still for some time.
+// Suspended corrects the bound after this node's clock was stopped for the time of gap.
 func (c *Clock) Suspended(gap time.Duration) {
-	for _, moment := range []*time.Time{&c.origin, &c.previous} {
+	for _, moment := range []*time.Time{&c.origin, &c.previousOrigin} {
 		if !moment.IsZero() {
 			*moment = moment.Add(-gap)
 		}
 	}
 }
 
-// Forget drops all bounds.
+// Forget removes all bounds.
 func (c *Clock) Forget() { *c = Clock{} }
--- a/internal/core/storeclock/storeclock_test.go
+++ b/internal/core/storeclock/storeclock_test.go
@@ -7,15 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestMomentIsNeverLaterThanTheTruth draws calls of all lengths, answers made at any moment
-// within them, and suspensions: the moment given is never after the true one, and not
-// before the call; with one quick call before, it is as close as that call was quick.
+// TestMomentIsNeverLaterThanTheTruth draws calls of all durations, answers made at any moment
+// within them, and suspensions. The returned moment must not be after the true one nor before
+// the call. It may be early by no more than the shortest recent time from the start of a call
+// to its answer.
 func TestMomentIsNeverLaterThanTheTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var clock Clock
 		start := time.Unix(1_700_000_000, 0)
 		ahead := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "store's clock ahead"))
-		now, store := start, ahead // this node's clock, and the store's
+		now, store := start, ahead // this node's clock, and the store's offset from it
 		quickest := time.Duration(1<<62 - 1)
 		var quickAt time.Time
 		for range rapid.IntRange(1, 40).Draw(t, "calls") {
@@ -35,8 +36,8 @@
 			if got.After(made) || got.Before(sent) {
 				t.Fatalf("sent %v, made %v, got %v", sent, made, got)
 			}
-			if sent.Sub(quickAt) < window && made.Sub(got) > quickest+2*grain {
-				t.Fatalf("a call made within %v was seen, and the moment is %v early", quickest, made.Sub(got))
+			if sent.Sub(quickAt) < window && made.Sub(got) > quickest+2*resolution {
+				t.Fatalf("an answer was made within %v of its call, but the moment is %v early", quickest, made.Sub(got))
 			}
 			if before < quickest || sent.Sub(quickAt) >= window {
 				quickest, quickAt = before, sent
@@ -46,7 +47,8 @@
 	})
 }
 
-// TestStoreWhoseClockStepsBackIsNotBelieved has another store answer, whose clock began anew.
+// TestStoreWhoseClockStepsBackIsNotBelieved has another store answer, whose clock differs from
+// that of the first.
 func TestStoreWhoseClockStepsBackIsNotBelieved(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	var clock Clock
@@ -66,7 +68,7 @@
 	}
 }
 
-// BenchmarkMadeAt measures what each answer of the store costs more.
+// BenchmarkMadeAt measures the overhead for each answer of the store.
 func BenchmarkMadeAt(b *testing.B) {
 	var clock Clock
 	now := time.Now()
--- a/internal/core/subset/subset.go
+++ b/internal/core/subset/subset.go
@@ -1,7 +1,7 @@
-// Package subset chooses which nodes dispatch to which engines, so that no
-// node hears from the whole fleet. Every node computes the same answer from
-// the same member list; while lists differ, an engine has a dispatcher more or less, which
-// costs speed only, since dispatching takes no lease.
+// Package subset chooses which nodes dispatch to which engines, so that no node
+// communicates with the whole fleet. Every node computes the same result from the
+// same member list. While lists differ, an engine has one dispatcher more or less;
+// this affects only performance, since dispatching needs no lease.
 package subset
 
 import (
@@ -13,7 +13,7 @@
 )
 
 const (
-	// enginesPerNode is how many engines a node should choose among.
+	// enginesPerNode is the number of engines that a node should choose among.
 	enginesPerNode = 36
 	minReplicas    = 2
 	maxReplicas    = 3
@@ -22,7 +22,7 @@
 	smallFleet = 64
 )
 
-// Replicas gives how many nodes dispatch to each engine.
+// Replicas returns the number of nodes that dispatch to each engine.
 func Replicas(nodes, engines int) int {
 	if engines <= smallFleet {
 		return nodes
@@ -31,7 +31,7 @@
 	return min(max(wanted, minReplicas), maxReplicas, nodes)
 }
 
-// Chooser answers which nodes dispatch to an engine, for one member list.
+// Chooser chooses the nodes that dispatch to an engine, for one member list.
 type Chooser struct {
 	replicas int
 	zones    map[string][]identity.NodeID
@@ -39,7 +39,7 @@
 	all      []identity.NodeID
 }
 
-// NewChooser makes a chooser over the members that may dispatch.
+// NewChooser returns a chooser for the members that may dispatch.
 func NewChooser(live []membership.Member, engines int) *Chooser {
 	chooser := &Chooser{
 		zones:   make(map[string][]identity.NodeID),
@@ -54,10 +54,10 @@
 	return chooser
 }
 
-// All says whether every node dispatches to every engine.
+// All reports whether every node dispatches to every engine.
 func (c *Chooser) All() bool { return c.replicas >= len(c.all) }
 
-// Dispatchers gives the nodes that dispatch to an engine, best first: nodes of
+// Dispatchers returns the nodes that dispatch to an engine, the best first: nodes of
 // its zone, then of its region, then any.
 func (c *Chooser) Dispatchers(engine identity.EngineID, zone, region string) []identity.NodeID {
 	if c.All() {
@@ -73,7 +73,7 @@
 	return chosen
 }
 
-// widen adds nodes of a wider group until there are enough.
+// widen adds nodes of a larger group until there are enough replicas.
 func (c *Chooser) widen(chosen []identity.NodeID, engine identity.EngineID, group []identity.NodeID) []identity.NodeID {
 	for _, node := range rendezvous.Top(string(engine), group, c.replicas+len(chosen)) {
 		if len(chosen) == c.replicas {
--- a/internal/core/subset/subset_test.go
+++ b/internal/core/subset/subset_test.go
@@ -9,7 +9,7 @@
 	"ringstream.example/ringstream/internal/core/subset"
 )
 
-// fleet makes nodes spread over zones, zones spread over regions.
+// fleet returns nodes spread over zones, with the zones spread over regions.
 func fleet(nodes, zones int) []membership.Member {
 	members := make([]membership.Member, nodes)
 	for i := range members {
@@ -61,7 +61,7 @@
 		lost := dispatchers[0] == members[0].ID || dispatchers[1] == members[0].ID
 		same := dispatchers[0] == after[engine][0] && dispatchers[1] == after[engine][1]
 		if !lost && !same {
-			t.Fatalf("engine %d moved from %v to %v without cause", engine, dispatchers, after[engine])
+			t.Fatalf("engine %d moved from %v to %v, though both its dispatchers remain", engine, dispatchers, after[engine])
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	_, byEngine := place(subset.NewChooser(members, 12000), 12000, 18)
 	for engine, dispatchers := range byEngine {
 		if len(dispatchers) != 2 {
-			t.Fatalf("engine %d has %d dispatchers", engine, len(dispatchers))
+			t.Fatalf("engine %d has %d dispatchers, want 2", engine, len(dispatchers))
 		}
 	}
 }
