--- a/internal/core/membership/detector.go
+++ b/internal/core/membership/detector.go
@@ -9,73 +9,73 @@
 )
 
 const (
-	// fewLinks is the number of links from which on the silence of most of
-	// them at once is taken as this node's own fault.
-	fewLinks = 4
-	// correlatedSuspects is the number of suspects in a region at once that
-	// makes every zone probe the region's other members.
-	correlatedSuspects = 2
-	// suspectSettled is how long a suspicion stands before it counts for a
-	// probing: most false ones have been denied by then.
-	suspectSettled = 300 * time.Millisecond
-	// probePause is the least time between two probings of a region; it doubles
-	// up to longestProbePause while probings follow each other.
-	probePause        = 5 * time.Second
-	longestProbePause = time.Minute
-	// expiryPause is the time between two searches for old tombstones.
-	expiryPause = time.Minute
-	// seedsAtOnce is how many seeds a node without links tries in a round.
+	// isolationMinNeighbours is the minimum number of neighbours with which this
+	// node attributes the silence of more than half of them to a fault of its own.
+	isolationMinNeighbours = 4
+	// regionProbeMinSuspects is the number of simultaneous suspects in a region
+	// at which every zone probes the region's other members.
+	regionProbeMinSuspects = 2
+	// suspicionSettleTime is how long a suspicion lasts before it counts toward
+	// regionProbeMinSuspects. Most false suspicions are refuted by then.
+	suspicionSettleTime = 300 * time.Millisecond
+	// minProbeInterval is the minimum time between two probe rounds of a region. It
+	// doubles up to maxProbeInterval while rounds follow each other closely.
+	minProbeInterval = 5 * time.Second
+	maxProbeInterval = time.Minute
+	// tombstoneScanInterval is the time between two scans for expired tombstones.
+	tombstoneScanInterval = time.Minute
+	// seedsAtOnce is how many addresses a node without links dials in one round.
 	seedsAtOnce = 3
 )
 
-// tick lets time pass.
+// tick runs all time-based checks.
 func (m *Machine) tick() {
 	gap := m.now.Sub(m.lastTick)
 	m.lastTick = m.now
 	if gap > m.config.PauseNoticed {
-		m.forgive(gap)
+		m.restartTimeouts(gap)
 	}
-	if m.rewired {
-		m.rewire()
+	if m.overlayStale {
+		m.updateNeighbours()
 	}
 	m.watchLinks()
 	m.watchNeighbours()
-	if m.suspects > 0 {
+	if m.suspectCount > 0 {
 		m.expireSuspicions()
 		m.probeRegions()
 	}
 	if !m.now.Before(m.nextRetry) {
-		m.retry()
+		m.retryUnreachable()
 	}
 	if !m.now.Before(m.nextExpiry) {
 		m.expireTombstones()
 	}
 }
 
-// forgive gives all links and suspects time again after a pause of this node:
-// what was not heard meanwhile proves nothing.
-func (m *Machine) forgive(gap time.Duration) {
+// restartTimeouts restarts the timeouts of all links, neighbours and suspicions
+// after a pause of this node, since silence during the pause proves nothing.
+func (m *Machine) restartTimeouts(gap time.Duration) {
 	for _, link := range m.links {
-		link.lastHeard = m.now
+		link.lastReceived = m.now
 	}
 	for _, neighbour := range m.neighbours {
-		neighbour.since = m.now
+		neighbour.silentSince = m.now
 	}
 	for _, record := range m.ordered {
-		if !record.deadAt.IsZero() {
-			record.deadAt = m.now.Add(m.config.DeadAfter)
+		if !record.suspicionDeadline.IsZero() {
+			record.suspicionDeadline = m.now.Add(m.config.DeadAfter)
 		}
 	}
 	m.emit(Paused{Seconds: gap.Seconds()})
 }
 
-// watchLinks sends heartbeats and closes silent and unwanted links.
+// watchLinks sends heartbeats and closes silent or unwanted links.
 func (m *Machine) watchLinks() {
 	for _, id := range m.linkIDs() {
 		link := m.links[id]
 		wanted := m.neighbours[id] != nil
 		switch {
-		case m.now.Sub(link.lastHeard) >= m.config.SuspectAfter:
+		case m.now.Sub(link.lastReceived) >= m.config.SuspectAfter:
 			m.emit(Disconnect{ID: id})
 		case !wanted && link.unwanted && m.now.Sub(link.since) >= m.config.UnwantedFor:
 			m.emit(Disconnect{ID: id})
@@ -89,8 +89,9 @@
 	m.send(to, Heartbeat{Unwanted: m.neighbours[to] == nil, Digest: m.digest})
 }
 
-// watchNeighbours connects to neighbours without a link and accuses those that
-// have been silent for too long.
+// watchNeighbours connects to neighbours without a link and accuses those whose
+// silence exceeds their timeout. The timeout is doubled while this node seems
+// isolated.
 func (m *Machine) watchNeighbours() {
 	silent := 0
 	for id, neighbour := range m.neighbours {
@@ -98,14 +99,14 @@
 			silent++
 		}
 	}
-	isolated := len(m.neighbours) >= fewLinks && 2*silent > len(m.neighbours)
+	isolated := len(m.neighbours) >= isolationMinNeighbours && 2*silent > len(m.neighbours)
 	for _, id := range sortedKeys(m.neighbours) {
 		neighbour := m.neighbours[id]
-		patience := neighbour.patience
+		timeout := neighbour.suspectTimeout
 		if isolated {
-			patience *= 2
+			timeout *= 2
 		}
-		if m.silence(id, neighbour) >= patience && m.now.Sub(neighbour.accused) >= patience {
+		if m.silence(id, neighbour) >= timeout && m.now.Sub(neighbour.accusedAt) >= timeout {
 			m.accuseNeighbour(id, neighbour)
 		}
 		if m.links[id] == nil && !neighbour.dialing && !m.now.Before(neighbour.nextDial) {
@@ -115,57 +116,57 @@
 	}
 }
 
-// silence is how long nothing has been heard of a neighbour.
+// silence returns the time since the last message from a neighbour.
 func (m *Machine) silence(id identity.NodeID, neighbour *neighbour) time.Duration {
 	if link := m.links[id]; link != nil {
-		return m.now.Sub(link.lastHeard)
+		return m.now.Sub(link.lastReceived)
 	}
-	return m.now.Sub(neighbour.since)
+	return m.now.Sub(neighbour.silentSince)
 }
 
-// accuseNeighbour suspects a neighbour, and waits longer before it does so
-// again: if the neighbour lives, only this link is bad.
+// accuseNeighbour suspects a neighbour and doubles its timeout, because if the
+// neighbour is alive, only this link is faulty.
 func (m *Machine) accuseNeighbour(id identity.NodeID, neighbour *neighbour) {
-	neighbour.accused = m.now
-	neighbour.patience = min(2*neighbour.patience, m.config.LongestAccusing)
+	neighbour.accusedAt = m.now
+	neighbour.suspectTimeout = min(2*neighbour.suspectTimeout, m.config.LongestAccusing)
 	m.accuse(id, "silence")
 }
 
 func (m *Machine) accuse(id identity.NodeID, reason string) {
 	known := m.records[id]
-	if known == nil || known.member.State == Dead || !known.deadAt.IsZero() {
+	if known == nil || known.member.State == Dead || !known.suspicionDeadline.IsZero() {
 		return
 	}
 	m.emit(Accused{ID: id, Reason: reason})
-	m.suspect(known)
+	m.startSuspicion(known)
 }
 
-// expireSuspicions takes suspects as dead that did not deny it in time.
+// expireSuspicions marks the suspects dead that did not refute the suspicion in time.
 func (m *Machine) expireSuspicions() {
 	for _, record := range m.ordered {
-		if !record.deadAt.IsZero() && !m.now.Before(record.deadAt) {
-			m.kill(record, record.member.State == Leaving)
+		if !record.suspicionDeadline.IsZero() && !m.now.Before(record.suspicionDeadline) {
+			m.markDead(record, record.member.State == Leaving)
 		}
 	}
 }
 
-// probeRegions looks for a common fault: with several suspects in a region at
-// once, each zone asks that region's other members directly, one prober each.
-// So the loss of a zone, or a cut between regions, is known in one round also
-// of members that have no neighbour on this side of it.
+// probeRegions detects correlated failures. If a region has several suspects at
+// the same time, each zone probes the region's other members directly, with one
+// prober for each member. The loss of a zone or a partition between regions is
+// thus detected in one round, also for members without a neighbour on this side.
 func (m *Machine) probeRegions() {
 	suspects := map[string]int{}
 	for _, record := range m.ordered {
-		if !record.deadAt.IsZero() && record.deadAt.Sub(m.now) <= m.config.DeadAfter-suspectSettled {
+		if !record.suspicionDeadline.IsZero() && record.suspicionDeadline.Sub(m.now) <= m.config.DeadAfter-suspicionSettleTime {
 			suspects[record.member.Region]++
 		}
 	}
 	var probers []identity.NodeID
 	for region, count := range suspects {
-		if count < correlatedSuspects || !m.probed[region].due(m.now) {
+		if count < regionProbeMinSuspects || !m.regionProbes[region].due(m.now) {
 			continue
 		}
-		m.probed[region] = m.probed[region].next(m.now)
+		m.regionProbes[region] = m.regionProbes[region].next(m.now)
 		if probers == nil {
 			probers = m.zoneProbers()
 		}
@@ -173,45 +174,47 @@
 	}
 }
 
-// probing is when a region was last probed.
-type probing struct {
-	at    time.Time
-	pause time.Duration // before the next
+// probeBackoff records when a region was last probed.
+type probeBackoff struct {
+	lastProbe time.Time
+	interval  time.Duration // minimum time before the next round
 }
 
-func (p probing) due(now time.Time) bool { return now.Sub(p.at) >= p.pause }
+func (p probeBackoff) due(now time.Time) bool { return now.Sub(p.lastProbe) >= p.interval }
 
-// next notes a probing; one soon after the last doubles the pause, so that an
-// overloaded fleet does not probe itself into more suspicions.
-func (p probing) next(now time.Time) probing {
-	pause := probePause
-	if p.pause > 0 && now.Sub(p.at) < 2*p.pause {
-		pause = min(2*p.pause, longestProbePause)
+// next returns the state after a probe round at now. A round soon after the last
+// one doubles the interval, so that probes do not cause more suspicions in an
+// overloaded fleet.
+func (p probeBackoff) next(now time.Time) probeBackoff {
+	interval := minProbeInterval
+	if p.interval > 0 && now.Sub(p.lastProbe) < 2*p.interval {
+		interval = min(2*p.interval, maxProbeInterval)
 	}
-	return probing{at: now, pause: pause}
+	return probeBackoff{lastProbe: now, interval: interval}
 }
 
-// zoneProbers gives the members of this node's zone that are not suspected.
+// zoneProbers returns the members of this node's zone that are neither dead nor suspected.
 func (m *Machine) zoneProbers() []identity.NodeID {
 	own := &m.self.member
 	var probers []identity.NodeID
 	for _, record := range m.ordered {
-		if record.member.State != Dead && record.deadAt.IsZero() && sameRing(zoneRing, own, &record.member) {
+		if record.member.State != Dead && record.suspicionDeadline.IsZero() && sameRing(zoneRing, own, &record.member) {
 			probers = append(probers, record.member.ID)
 		}
 	}
 	return probers
 }
 
-// probeRegion probes the members of a region that fall to this node.
+// probeRegion probes the members of a region that are assigned to this node by
+// rendezvous hashing among the probers of its zone.
 func (m *Machine) probeRegion(region string, probers []identity.NodeID) {
 	for _, record := range m.ordered {
 		id := record.member.ID
-		if record.member.Region != region || record == m.self || record.member.State == Dead || !record.deadAt.IsZero() {
+		if record.member.Region != region || record == m.self || record.member.State == Dead || !record.suspicionDeadline.IsZero() {
 			continue
 		}
 		if m.links[id] != nil {
-			continue // its silence is noticed on the link
+			continue // the link's timeout covers it
 		}
 		if owner, _ := rendezvous.Owner(string(id), probers); owner == m.self.member.ID {
 			m.emit(Probe{ID: id, Address: record.member.PeerAddress})
@@ -219,35 +222,36 @@
 	}
 }
 
-// retry tries to reach one node that this one takes as dead or does not know.
-// A node without any link tries several.
-func (m *Machine) retry() {
+// retryUnreachable dials one node that is recorded as dead or is unknown. A node
+// without links dials several.
+func (m *Machine) retryUnreachable() {
 	pause, attempts := m.config.RetryDeadEvery, 1
 	if len(m.links) == 0 {
 		pause, attempts = m.config.RedialEvery, seedsAtOnce
 	}
 	m.nextRetry = m.now.Add(pause)
-	candidates := m.lost()
+	candidates := m.retryCandidates()
 	for range min(attempts, len(candidates)) {
 		m.retries++
 		m.emit(candidates[int(m.retries%uint64(len(candidates)))])
 	}
 }
 
-// lost gives what retry chooses from, in an order that differs between nodes.
-func (m *Machine) lost() []Connect {
+// retryCandidates returns the connections that retryUnreachable chooses from. The
+// order differs between nodes.
+func (m *Machine) retryCandidates() []Connect {
 	var candidates []Connect
 	listed := map[string]bool{}
 	for _, record := range m.ordered {
 		id := record.member.ID
-		if record.member.State != Dead || record.gone || m.holders[record.member.PeerAddress] != id {
+		if record.member.State != Dead || record.gone || m.addressOwners[record.member.PeerAddress] != id {
 			continue
 		}
 		listed[record.member.PeerAddress] = true
 		candidates = append(candidates, Connect{ID: id, Address: record.member.PeerAddress})
 	}
 	for _, address := range append(append([]string{}, m.seeds...), m.hints...) {
-		holder := m.records[m.holders[address]]
+		holder := m.records[m.addressOwners[address]]
 		if listed[address] || (holder != nil && holder.member.State != Dead) {
 			continue
 		}
@@ -255,30 +259,30 @@
 		candidates = append(candidates, Connect{Address: address})
 	}
 	if len(candidates) > 1 {
-		offset := int(m.self.places[globalRing] % uint64(len(candidates)))
+		offset := int(m.self.ringPositions[globalRing] % uint64(len(candidates)))
 		candidates = append(candidates[offset:], candidates[:offset]...)
 	}
 	return candidates
 }
 
-// expireTombstones forgets members that have been dead for long.
+// expireTombstones removes the members whose tombstones have expired.
 func (m *Machine) expireTombstones() {
-	m.nextExpiry = m.now.Add(expiryPause)
+	m.nextExpiry = m.now.Add(tombstoneScanInterval)
 	m.ordered = slices.DeleteFunc(m.ordered, func(tombstone *record) bool {
-		if !m.expired(tombstone) {
+		if !m.tombstoneExpired(tombstone) {
 			return false
 		}
 		id, address := tombstone.member.ID, tombstone.member.PeerAddress
-		if m.holders[address] == id {
-			delete(m.holders, address)
+		if m.addressOwners[address] == id {
+			delete(m.addressOwners, address)
 		}
 		delete(m.records, id)
-		m.moved = true
+		m.viewChanged = true
 		return true
 	})
 }
 
-func (m *Machine) expired(tombstone *record) bool {
+func (m *Machine) tombstoneExpired(tombstone *record) bool {
 	keep := m.config.TombstoneFor
 	if tombstone.gone {
 		keep = m.config.LeftTombstone
--- a/internal/core/membership/events.go
+++ b/internal/core/membership/events.go
@@ -5,7 +5,7 @@
 // Event is one input of the Machine.
 type Event interface{ event() }
 
-// Tick lets time pass. The time itself is an argument of Step.
+// Tick triggers the time-based checks. The current time is an argument of Step.
 type Tick struct{}
 
 // Received is a message that arrived on a link.
@@ -14,16 +14,17 @@
 	Message Message
 }
 
-// LinkUp says that a link to a node works, after an exchange of identities.
+// LinkUp reports that a link to a node is established and that both ends have
+// exchanged their identities.
 type LinkUp struct {
-	Peer   Member // as the node itself gave it
+	Peer   Member // the record that the peer itself sent
 	Dialed bool   // this node opened the link
 }
 
-// LinkDown says that a link broke or was closed.
+// LinkDown reports that a link broke or was closed.
 type LinkDown struct{ Peer identity.NodeID }
 
-// DialFailed says that a Connect effect gave no link.
+// DialFailed reports that a Connect effect did not lead to a link.
 type DialFailed struct {
 	Expected identity.NodeID // empty when the address is a seed or a hint
 	Address  string
@@ -37,14 +38,15 @@
 	Answered bool
 }
 
-// Hinted gives peer addresses from the platform's machine list. They are only
-// addresses to try: no member lives or dies by the list.
+// Hinted carries peer addresses from the platform's machine list. They are only
+// addresses to dial. The list does not change the state of any member.
 type Hinted struct{ Addresses []string }
 
-// LeaveAnnounced starts this node's planned stop: it gets no new work.
+// LeaveAnnounced starts this node's planned stop. The node gets no new work.
 type LeaveAnnounced struct{}
 
-// Stopped ends this node's planned stop: it is gone.
+// Stopped ends this node's planned stop. The node announces its death, and the
+// machine ignores all later events.
 type Stopped struct{}
 
 func (Tick) event()           {}
@@ -57,27 +59,27 @@
 func (LeaveAnnounced) event() {}
 func (Stopped) event()        {}
 
-// Message is what machines send to each other on links.
+// Message is a message between the machines of two nodes on a link.
 type Message interface{ message() }
 
-// Heartbeat says that the sender lives. Any other traffic on a link says so too.
+// Heartbeat shows that the sender is alive. Any other message on the link does so too.
 type Heartbeat struct {
-	// Unwanted says that the sender's overlay does not have this link.
+	// Unwanted is true if the sender's overlay does not include this link.
 	Unwanted bool
-	// Digest is the sender's digest of the members that it takes as not dead.
+	// Digest is the digest of the members that are not dead in the sender's list.
 	Digest uint64
 }
 
-// Deltas are changes of members. A node passes on what changed its own list,
-// so that each change crosses a link once.
+// Deltas carries changed members. A node forwards only changes that changed its
+// own list, so that each change crosses a link once.
 type Deltas struct{ Members []Member }
 
-// Sync is a whole member list, tombstones included.
+// Sync carries a full member list, including tombstones.
 type Sync struct {
 	Members []Member
-	// Gone names the dead among them that left or were replaced.
+	// Gone lists the dead members that left or were replaced.
 	Gone  []identity.NodeID
-	Reply bool // the sender wants the receiver's list
+	Reply bool // the sender requests the receiver's list
 }
 
 func (Heartbeat) message() {}
@@ -87,48 +89,49 @@
 // Effect is one output of the Machine.
 type Effect interface{ effect() }
 
-// Send asks for a message to be sent on a link.
+// Send requests that a message be sent on a link.
 type Send struct {
 	To      identity.NodeID
 	Message Message
 }
 
-// Connect asks for a link. It ends in LinkUp or DialFailed.
+// Connect requests a link. It results in LinkUp or DialFailed.
 type Connect struct {
-	ID      identity.NodeID // empty: whoever answers
+	ID      identity.NodeID // empty: any node that answers
 	Address string
 }
 
-// Disconnect asks for a link to be closed.
+// Disconnect requests that a link be closed.
 type Disconnect struct{ ID identity.NodeID }
 
-// Probe asks whether a node answers at its address. It ends in ProbeDone.
+// Probe requests a check whether a node answers at its address. It results in ProbeDone.
 type Probe struct {
 	ID      identity.NodeID
 	Address string
 }
 
-// ViewChanged carries the new view; at most one a step.
+// ViewChanged carries the new view. A step has at most one.
 type ViewChanged struct{ View View }
 
-// MemberChanged tells of one member's change, for logs and counters.
+// MemberChanged reports the state change of one member, for logs and counters.
 type MemberChanged struct {
 	Member Member
-	Known  bool // false: the member is new here
+	Known  bool // false: the member was unknown before
 	Before State
 }
 
-// Refuted tells that this node was suspected or held dead, and denied it.
+// Refuted reports that other nodes suspected this node or recorded it as dead,
+// and that it refuted this with a higher incarnation.
 type Refuted struct{ Incarnation uint64 }
 
-// Accused tells that this node suspects a member on its own evidence.
+// Accused reports that this node suspects a member on its own evidence.
 type Accused struct {
 	ID     identity.NodeID
 	Reason string // "silence" or "probe"
 }
 
-// Paused tells that this node's own clock jumped: it was paused, and gives all
-// its links time to be heard again.
+// Paused reports a gap between two ticks: this node was paused and has restarted
+// the timeouts of its links.
 type Paused struct{ Seconds float64 }
 
 func (Send) effect()          {}
--- a/internal/core/membership/links.go
+++ b/internal/core/membership/links.go
@@ -8,9 +8,9 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// linkUp takes in a working link. The node's own word is direct evidence that
-// it lives, unless it is held dead at this incarnation: then the difference of
-// the digests makes it hear of that, and it denies it.
+// linkUp registers an established link. The peer's own record is direct evidence
+// that it is alive, unless it is recorded as dead at the same incarnation. In that
+// case the differing digests lead to a Sync, and the peer refutes its death.
 func (m *Machine) linkUp(event LinkUp) {
 	id := event.Peer.ID
 	if id == m.self.member.ID {
@@ -18,30 +18,31 @@
 		return
 	}
 	known := m.records[id]
-	eager := len(m.links) == 0 || (known != nil && known.member.State == Dead)
-	m.links[id] = &link{since: m.now, lastHeard: m.now, lastSent: m.now, eager: eager}
+	syncImmediately := len(m.links) == 0 || (known != nil && known.member.State == Dead)
+	m.links[id] = &link{since: m.now, lastReceived: m.now, lastSent: m.now, syncImmediately: syncImmediately}
 	if neighbour := m.neighbours[id]; neighbour != nil {
 		neighbour.dialing = false
 	}
 	m.merge(event.Peer)
-	m.replaced(event.Peer.PeerAddress, id)
+	m.markReplaced(event.Peer.PeerAddress, id)
 	m.heartbeat(id)
 }
 
-// replaced takes whoever else is held at an address as gone: the node that
-// answered there is the evidence.
-func (m *Machine) replaced(address string, id identity.NodeID) {
-	holder := m.records[m.holders[address]]
+// markReplaced marks any other member recorded at an address as replaced, since
+// the node with the given id answered there.
+func (m *Machine) markReplaced(address string, id identity.NodeID) {
+	holder := m.records[m.addressOwners[address]]
 	if holder == nil || holder.member.ID == id || holder == m.self {
 		return
 	}
-	m.kill(holder, true)
+	m.markDead(holder, true)
 	if current := m.records[id]; current != nil && current.member.State != Dead {
-		m.holders[address] = id
+		m.addressOwners[address] = id
 	}
 }
 
-// linkDown takes note of a broken link; its silence counts from the last word.
+// linkDown removes a broken link. The neighbour's silence counts from the last
+// message received on it.
 func (m *Machine) linkDown(id identity.NodeID) {
 	link := m.links[id]
 	delete(m.links, id)
@@ -50,13 +51,14 @@
 		return
 	}
 	if m.now.Sub(link.since) >= m.config.LongestAccusing {
-		neighbour.patience = m.config.SuspectAfter
+		neighbour.suspectTimeout = m.config.SuspectAfter
 	}
-	neighbour.since = link.lastHeard
+	neighbour.silentSince = link.lastReceived
 	neighbour.nextDial = m.now
 }
 
-// dialFailed plans the next attempt at a neighbour.
+// dialFailed schedules the next connection attempt to a neighbour. If another
+// node answered at the address, the expected node is marked as replaced.
 func (m *Machine) dialFailed(event DialFailed) {
 	if neighbour := m.neighbours[event.Expected]; neighbour != nil {
 		neighbour.dialing = false
@@ -66,14 +68,14 @@
 		return
 	}
 	if known := m.records[event.Expected]; known != nil && known != m.self {
-		m.kill(known, true)
+		m.markDead(known, true)
 	}
 }
 
-// rewire computes the neighbours anew. Links outside the overlay are closed
-// later, when both ends agree that they are not wanted.
-func (m *Machine) rewire() {
-	m.rewired = false
+// updateNeighbours recomputes the overlay neighbours. Links outside the overlay
+// are closed later, once neither end wants them.
+func (m *Machine) updateNeighbours() {
+	m.overlayStale = false
 	wanted := neighbours(m.self, m.ordered)
 	for id := range m.neighbours {
 		if !slices.Contains(wanted, id) {
@@ -84,29 +86,32 @@
 		if m.neighbours[id] != nil {
 			continue
 		}
-		added := &neighbour{since: m.now, nextDial: m.now, patience: m.config.SuspectAfter}
+		added := &neighbour{silentSince: m.now, nextDial: m.now, suspectTimeout: m.config.SuspectAfter}
 		if id < m.self.member.ID {
-			// The lower id dials; the higher one helps out when it does not.
+			// The node with the lower id dials. The other one dials only if no
+			// link comes up within a heartbeat interval.
 			added.nextDial = m.now.Add(m.config.HeartbeatEvery)
 		}
 		m.neighbours[id] = added
 	}
 }
 
-// compareDigest asks for a whole list when the lists of both ends of a link
-// differ: at once on a first link and on one to a node that was held dead, else
-// when they have differed for a while, at rest.
+// compareDigest requests a full synchronization when the digests of both ends of
+// a link differ. It does so immediately on a link that was this node's only one
+// when it came up, and on a link to a node that was recorded as dead. Otherwise it
+// waits until the digests have differed, and this node's digest has not changed,
+// for two heartbeat intervals.
 func (m *Machine) compareDigest(id identity.NodeID, link *link, digest uint64) {
 	if digest == m.digest {
-		link.differs = time.Time{}
+		link.differsSince = time.Time{}
 		return
 	}
-	if link.differs.IsZero() {
-		link.differs = m.now
+	if link.differsSince.IsZero() {
+		link.differsSince = m.now
 	}
 	rest := 2 * m.config.HeartbeatEvery
-	atRest := m.now.Sub(link.differs) >= rest && m.now.Sub(m.changedAt) >= rest
-	first := link.eager && link.syncedAt.IsZero()
+	atRest := m.now.Sub(link.differsSince) >= rest && m.now.Sub(m.digestChangedAt) >= rest
+	first := link.syncImmediately && link.syncedAt.IsZero()
 	if first || (atRest && m.now.Sub(link.syncedAt) >= m.config.SyncEvery) {
 		m.sendSync(id, true)
 	}
--- a/internal/core/membership/machine.go
+++ b/internal/core/membership/machine.go
@@ -11,10 +11,11 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// viewPause is the least time between two views, but for those of ticks.
-const viewPause = 100 * time.Millisecond
+// minViewInterval is the minimum time between two ViewChanged effects. Views
+// emitted on a Tick are exempt.
+const minViewInterval = 100 * time.Millisecond
 
-// Config holds the failure detector's times.
+// Config holds the timeouts and intervals of the failure detector.
 type Config struct {
 	HeartbeatEvery  time.Duration `koanf:"heartbeat_every" usage:"longest silence of this node on a link"`
 	SuspectAfter    time.Duration `koanf:"suspect_after" usage:"silence on a link after which its other end is suspected"`
@@ -29,7 +30,7 @@
 	LongestAccusing time.Duration `koanf:"longest_accusing" usage:"longest pause between two accusations over one bad link"`
 }
 
-// DefaultConfig gives times by which a dead node is known everywhere within 5 s.
+// DefaultConfig returns settings with which every node learns of a dead node within 5 s.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatEvery:  700 * time.Millisecond,
@@ -46,7 +47,7 @@
 	}
 }
 
-// Validate checks the settings; its error names the key.
+// Validate checks the settings. The error names the invalid key.
 func (c Config) Validate() error {
 	for _, setting := range []struct {
 		key   string
@@ -74,113 +75,118 @@
 	return nil
 }
 
-// record is what the machine holds of one member.
+// record is the machine's state of one member.
 type record struct {
-	member Member
-	places [ringCount]uint64
-	// deadAt is when a suspicion turns into death; zero: not suspected.
-	deadAt time.Time
-	// diedAt is when the member was taken as dead here.
+	member        Member
+	ringPositions [ringCount]uint64
+	// suspicionDeadline is when a suspected member is marked dead. It is zero
+	// while the member is not suspected.
+	suspicionDeadline time.Time
+	// diedAt is when this node marked the member dead.
 	diedAt time.Time
-	// gone says that the node left or was replaced: it is not tried again.
+	// gone is true if the node left or was replaced. It is not dialed again.
 	gone bool
 }
 
-// link is a working connection to a node.
+// link is an established connection to a node.
 type link struct {
-	since     time.Time
-	lastHeard time.Time
-	lastSent  time.Time
-	unwanted  bool      // the other end's overlay does not have it
-	eager     bool      // lists are compared at once, not at rest
-	differs   time.Time // since when the digests have differed; zero: equal
-	syncedAt  time.Time
+	since           time.Time
+	lastReceived    time.Time
+	lastSent        time.Time
+	unwanted        bool      // the other end's overlay does not include it
+	syncImmediately bool      // member lists are synchronized without waiting for them to settle
+	differsSince    time.Time // when the digests began to differ; zero while they are equal
+	syncedAt        time.Time
 }
 
-// neighbour is the watch over one overlay neighbour.
+// neighbour is the monitoring state of one overlay neighbour.
 type neighbour struct {
-	since    time.Time // when it became a neighbour, or its last link broke
-	nextDial time.Time
-	dialing  bool
-	// patience is the silence that is suspected; it doubles with each
-	// accusation that the neighbour denied.
-	patience time.Duration
-	accused  time.Time
+	silentSince time.Time // when it became a neighbour, or was last heard on a link that broke
+	nextDial    time.Time
+	dialing     bool
+	// suspectTimeout is the silence after which the neighbour is suspected. It
+	// doubles with each accusation, up to LongestAccusing.
+	suspectTimeout time.Duration
+	accusedAt      time.Time
 }
 
-// Machine is the failure detector and member list of one node. It is used by
-// one goroutine at a time.
+// Machine is the failure detector and member list of one node. It is not safe
+// for concurrent use.
 type Machine struct {
 	config  Config
 	self    *record
 	seeds   []string
 	hints   []string
 	records map[identity.NodeID]*record
-	ordered []*record // the records by id
-	// holders maps a peer address to the member, not dead, that has it.
-	holders    map[string]identity.NodeID
-	links      map[identity.NodeID]*link
-	neighbours map[identity.NodeID]*neighbour
-	suspects   int // records with a deadAt
-	digest     uint64
-	changedAt  time.Time // of the digest
-	lastTick   time.Time
-	nextRetry  time.Time
-	nextExpiry time.Time
-	retries    uint64
-	probed     map[string]probing // by region
-	viewedAt   time.Time
-	stopped    bool
-	moved      bool // the view has changed since it was last given out
-	rewired    bool // the overlay may have changed since it was last computed
+	ordered []*record // the records, sorted by id
+	// addressOwners maps a peer address to the member that has it. A dead member
+	// keeps its entry until another member claims the address or its tombstone
+	// expires.
+	addressOwners   map[string]identity.NodeID
+	links           map[identity.NodeID]*link
+	neighbours      map[identity.NodeID]*neighbour
+	suspectCount    int // records with a suspicionDeadline
+	digest          uint64
+	digestChangedAt time.Time // when the digest last changed
+	lastTick        time.Time
+	nextRetry       time.Time
+	nextExpiry      time.Time
+	retries         uint64
+	regionProbes    map[string]probeBackoff // keyed by region
+	viewEmittedAt   time.Time
+	stopped         bool
+	viewChanged     bool // the view has changed since the last ViewChanged effect
+	overlayStale    bool // the overlay may have changed since it was last computed
 
-	// Of the running step:
-	now     time.Time
-	effects []Effect
-	changed map[identity.NodeID]bool // to be flooded
+	// State of the current step:
+	now            time.Time
+	effects        []Effect
+	changedMembers map[identity.NodeID]bool // members to flood
 }
 
-// New gives the machine of a node that knows only itself and its seeds. The
+// New returns the machine of a node that knows only itself and its seeds. The
 // incarnation of self is its start time in milliseconds, so that a node
-// restarted under an address overrides its predecessor there.
+// restarted at an address overrides its predecessor there.
 func New(config Config, self Member, seeds []string, now time.Time) *Machine {
 	machine := &Machine{
-		config:     config,
-		self:       &record{member: self, places: positions(self.ID)},
-		seeds:      seeds,
-		records:    map[identity.NodeID]*record{},
-		holders:    map[string]identity.NodeID{self.PeerAddress: self.ID},
-		links:      map[identity.NodeID]*link{},
-		neighbours: map[identity.NodeID]*neighbour{},
-		probed:     map[string]probing{},
-		changed:    map[identity.NodeID]bool{},
-		lastTick:   now,
-		changedAt:  now,
+		config:          config,
+		self:            &record{member: self, ringPositions: positions(self.ID)},
+		seeds:           seeds,
+		records:         map[identity.NodeID]*record{},
+		addressOwners:   map[string]identity.NodeID{self.PeerAddress: self.ID},
+		links:           map[identity.NodeID]*link{},
+		neighbours:      map[identity.NodeID]*neighbour{},
+		regionProbes:    map[string]probeBackoff{},
+		changedMembers:  map[identity.NodeID]bool{},
+		lastTick:        now,
+		digestChangedAt: now,
 	}
 	machine.insert(machine.self)
 	machine.digest = memberHash(&self)
 	return machine
 }
 
-// Step takes one event and gives its effects, in order. A change of the view
-// is given out at once, but many in quick succession at the next tick.
+// Step applies one event and returns its effects in order. A change of the view
+// is emitted immediately, unless the previous view was emitted less than
+// minViewInterval ago; then it is emitted at the next Tick or later event.
 func (m *Machine) Step(now time.Time, event Event) []Effect {
 	m.now, m.effects = now, nil
-	clear(m.changed)
+	clear(m.changedMembers)
 	if m.stopped {
 		return nil
 	}
 	source := m.handle(event)
 	m.flood(source)
 	_, ticked := event.(Tick)
-	if m.moved && (ticked || now.Sub(m.viewedAt) >= viewPause) {
-		m.moved, m.viewedAt = false, now
+	if m.viewChanged && (ticked || now.Sub(m.viewEmittedAt) >= minViewInterval) {
+		m.viewChanged, m.viewEmittedAt = false, now
 		m.emit(ViewChanged{View: m.View()})
 	}
 	return m.effects
 }
 
-// handle takes an event and names the link that it came by, if any.
+// handle applies an event and returns the node on whose link it arrived, or an
+// empty id if it did not arrive on a link.
 func (m *Machine) handle(event Event) identity.NodeID {
 	switch event := event.(type) {
 	case Tick:
@@ -210,20 +216,20 @@
 	return ""
 }
 
-// announce gives this node another state at a new incarnation.
+// announce sets the state of this node and increments its incarnation.
 func (m *Machine) announce(state State) {
 	if m.self.member.State >= state {
 		return
 	}
-	m.unhash(m.self)
+	m.removeFromDigest(m.self)
 	m.self.member.State = state
 	m.self.member.Incarnation++
-	m.rehash(m.self)
-	m.changed[m.self.member.ID] = true
-	m.moved = true
+	m.addToDigest(m.self)
+	m.changedMembers[m.self.member.ID] = true
+	m.viewChanged = true
 }
 
-// View gives the member list: all but those that left or were replaced.
+// View returns the member list without the members that left or were replaced.
 func (m *Machine) View() View {
 	members := make([]Member, 0, len(m.ordered))
 	for _, record := range m.ordered {
@@ -234,7 +240,7 @@
 	return View{Self: m.self.member.ID, Members: members}
 }
 
-// insert adds a record.
+// insert adds a record and keeps ordered sorted.
 func (m *Machine) insert(added *record) {
 	m.records[added.member.ID] = added
 	at, _ := slices.BinarySearchFunc(m.ordered, added.member.ID, func(r *record, id identity.NodeID) int {
@@ -243,18 +249,19 @@
 	m.ordered = slices.Insert(m.ordered, at, added)
 }
 
-// Spare says whether neither end's overlay has a link: nothing is flooded on it.
+// Spare reports whether there is a link to the node that neither end's overlay
+// includes. Nothing is flooded on such a link.
 func (m *Machine) Spare(id identity.NodeID) bool {
 	link := m.links[id]
 	return link != nil && link.unwanted && m.neighbours[id] == nil
 }
 
-// Self gives this node's own record, as it is told to others.
+// Self returns this node's own record as other nodes receive it.
 func (m *Machine) Self() Member { return m.self.member }
 
 func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
 
-// send sends a message on a link and notes that the link was used.
+// send emits a Send effect for a link and records when the link was used.
 func (m *Machine) send(to identity.NodeID, message Message) {
 	if link := m.links[to]; link != nil {
 		link.lastSent = m.now
@@ -262,13 +269,14 @@
 	}
 }
 
-// flood passes on what changed in this step to all links but its source.
+// flood sends the members that changed in this step on all links except the
+// source's link and spare links.
 func (m *Machine) flood(source identity.NodeID) {
-	if len(m.changed) == 0 || len(m.links) == 0 {
+	if len(m.changedMembers) == 0 || len(m.links) == 0 {
 		return
 	}
-	deltas := make([]Member, 0, len(m.changed))
-	for id := range m.changed {
+	deltas := make([]Member, 0, len(m.changedMembers))
+	for id := range m.changedMembers {
 		deltas = append(deltas, m.delta(m.records[id]))
 	}
 	slices.SortFunc(deltas, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -277,13 +285,15 @@
 			m.send(id, Deltas{Members: deltas})
 		}
 	}
-	clear(m.changed)
+	clear(m.changedMembers)
 }
 
-// delta gives a record as it is flooded: addresses only where they can be news.
+// delta returns a record as it is flooded. A suspect or dead member is sent
+// without its addresses, zone and region, since a receiver has them if it knows
+// the member.
 func (m *Machine) delta(record *record) Member {
 	member := record.member
-	if !record.deadAt.IsZero() && member.State < Dead {
+	if !record.suspicionDeadline.IsZero() && member.State < Dead {
 		member.State = Suspect
 	}
 	if member.State == Suspect || member.State == Dead {
@@ -292,7 +302,7 @@
 	return member
 }
 
-// linkIDs gives the ids of the links in a fixed order.
+// linkIDs returns the ids of the linked nodes in ascending order.
 func (m *Machine) linkIDs() []identity.NodeID {
 	ids := make([]identity.NodeID, 0, len(m.links))
 	for id := range m.links {
@@ -302,8 +312,9 @@
 	return ids
 }
 
-// memberHash is a member's part in the digest. Suspicion does not count: it is
-// short, and would make every list differ for its time.
+// memberHash returns a member's contribution to the digest. A suspicion does not
+// change the hash: it is short, and the digests of all nodes would differ for as
+// long as it lasts. A dead member contributes nothing.
 func memberHash(member *Member) uint64 {
 	if member.State == Dead {
 		return 0
@@ -322,11 +333,11 @@
 	return digest.Sum64()
 }
 
-// unhash takes a record out of the digest, before a change of it.
-func (m *Machine) unhash(record *record) { m.digest ^= memberHash(&record.member) }
+// removeFromDigest removes a record from the digest before the record changes.
+func (m *Machine) removeFromDigest(record *record) { m.digest ^= memberHash(&record.member) }
 
-// rehash puts a record back into the digest, after a change of it.
-func (m *Machine) rehash(record *record) {
+// addToDigest adds a record to the digest after the record has changed.
+func (m *Machine) addToDigest(record *record) {
 	m.digest ^= memberHash(&record.member)
-	m.changedAt = m.now
+	m.digestChangedAt = m.now
 }
--- a/internal/core/membership/machine_test.go
+++ b/internal/core/membership/machine_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-const knownWithin = 5 * time.Second
+const detectionLimit = 5 * time.Second
 
 func TestFleetForms(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(t, 1)
 	nodes := sim.fleet(40, 12)
-	sim.agree(nodes)
-	sim.noFalseSuspicion()
+	sim.expectSameView(nodes)
+	sim.expectNoFalseSuspicion()
 	for _, node := range nodes {
 		if len(node.links) > 2*ringCount {
 			t.Errorf("%s has %d links", node.member.ID, len(node.links))
@@ -28,11 +28,11 @@
 		victim := nodes[7]
 		sim.kill(victim)
 		at := sim.now
-		sim.run(knownWithin)
+		sim.run(detectionLimit)
 		rest := append(append([]*simulatedNode{}, nodes[:7]...), nodes[8:]...)
-		sim.knownDeadWithin(knownWithin, at, rest, []*simulatedNode{victim})
-		sim.noFalseSuspicion()
-		sim.agree(rest)
+		sim.expectDeadWithin(detectionLimit, at, rest, []*simulatedNode{victim})
+		sim.expectNoFalseSuspicion()
+		sim.expectSameView(rest)
 	}
 }
 
@@ -60,29 +60,29 @@
 		sim.kill(node)
 	}
 	at := sim.now
-	sim.run(knownWithin)
-	sim.knownDeadWithin(knownWithin, at, rest, lost)
-	sim.noFalseSuspicion()
-	sim.agree(rest)
+	sim.run(detectionLimit)
+	sim.expectDeadWithin(detectionLimit, at, rest, lost)
+	sim.expectNoFalseSuspicion()
+	sim.expectSameView(rest)
 }
 
-func TestRegionApartForAnHourRejoins(t *testing.T) {
+func TestPartitionedRegionRejoins(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(t, 3)
 	nodes := sim.fleet(27, 9)
 	apart, rest := inZone(nodes, "region-1")
-	sim.cut = func(from, to *simulatedNode) bool {
+	sim.drops = func(from, to *simulatedNode) bool {
 		return (from.member.Region == "region-1") != (to.member.Region == "region-1")
 	}
 	at := sim.now
 	sim.run(time.Hour)
-	sim.knownDeadWithin(knownWithin, at, rest, apart)
-	sim.knownDeadWithin(knownWithin, at, apart, rest)
-	sim.agree(apart)
-	sim.agree(rest)
-	sim.cut = func(_, _ *simulatedNode) bool { return false }
+	sim.expectDeadWithin(detectionLimit, at, rest, apart)
+	sim.expectDeadWithin(detectionLimit, at, apart, rest)
+	sim.expectSameView(apart)
+	sim.expectSameView(rest)
+	sim.drops = func(_, _ *simulatedNode) bool { return false }
 	sim.run(15 * time.Second)
-	sim.agree(nodes)
+	sim.expectSameView(nodes)
 }
 
 func TestPlannedStopIsKnownAtOnce(t *testing.T) {
@@ -92,9 +92,9 @@
 	sim.step(nodes[3], LeaveAnnounced{})
 	sim.run(200 * time.Millisecond)
 	rest := append(append([]*simulatedNode{}, nodes[:3]...), nodes[4:]...)
-	sim.agree(rest)
+	sim.expectSameView(rest)
 	if member, _ := nodes[0].view.Member(nodes[3].member.ID); member.State != Leaving {
-		t.Errorf("announced leaving, seen as %d", member.State)
+		t.Errorf("the leaving node has state %s, want leaving", member.State)
 	}
 	sim.step(nodes[3], Stopped{})
 	sim.run(200 * time.Millisecond)
@@ -104,7 +104,7 @@
 	}
 	sim.run(time.Minute)
 	if len(sim.accused) != 0 {
-		t.Errorf("a planned stop led to suspicion: %v", sim.accused)
+		t.Errorf("a planned stop caused suspicions: %v", sim.accused)
 	}
 }
 
@@ -118,9 +118,9 @@
 	nodes[5] = sim.start("node-again", 5, old.member.PeerAddress, "10.0.0.0:7000")
 	at := sim.now
 	sim.run(2 * time.Second)
-	sim.agree(nodes)
+	sim.expectSameView(nodes)
 	rest := append(append([]*simulatedNode{}, nodes[:5]...), nodes[6:]...)
-	sim.knownDeadWithin(2*time.Second, at, rest, []*simulatedNode{old})
+	sim.expectDeadWithin(2*time.Second, at, rest, []*simulatedNode{old})
 }
 
 func TestPausedNodeComesBack(t *testing.T) {
@@ -129,12 +129,12 @@
 	nodes := sim.fleet(24, 6)
 	nodes[9].paused = true
 	at := sim.now
-	sim.run(knownWithin)
-	sim.knownDeadWithin(knownWithin, at, nodes[:9], nodes[9:10])
+	sim.run(detectionLimit)
+	sim.expectDeadWithin(detectionLimit, at, nodes[:9], nodes[9:10])
 	before := len(sim.accused)
 	nodes[9].paused = false
 	sim.run(15 * time.Second)
-	sim.agree(nodes)
+	sim.expectSameView(nodes)
 	for _, accused := range sim.accused[before:] {
 		t.Errorf("%s suspected after the pause", accused.ID)
 	}
@@ -151,33 +151,33 @@
 			to = sim.nodes[id]
 		}
 	}
-	sim.cut = func(a, b *simulatedNode) bool { return a == from && b == to }
+	sim.drops = func(a, b *simulatedNode) bool { return a == from && b == to }
 	sim.run(10 * time.Minute)
-	sim.agree(nodes)
+	sim.expectSameView(nodes)
 	if len(sim.accused) > 40 {
-		t.Errorf("one bad link led to %d suspicions in ten minutes", len(sim.accused))
+		t.Errorf("one bad link caused %d suspicions in ten minutes, want at most 40", len(sim.accused))
 	}
 	for _, node := range nodes {
 		if len(node.deadSince) != 0 {
-			t.Errorf("%s holds %v dead", node.member.ID, node.deadSince)
+			t.Errorf("%s has recorded members as dead: %v", node.member.ID, node.deadSince)
 		}
 	}
 }
 
-func TestNodeNobodyHears(t *testing.T) {
+func TestNodeWhoseMessagesAreAllLost(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(t, 8)
 	nodes := sim.fleet(24, 6)
 	mute := nodes[4]
-	sim.cut = func(from, _ *simulatedNode) bool { return from == mute }
+	sim.drops = func(from, _ *simulatedNode) bool { return from == mute }
 	at := sim.now
 	sim.run(10 * time.Second)
 	rest := append(append([]*simulatedNode{}, nodes[:4]...), nodes[5:]...)
-	sim.agree(rest)
-	sim.knownDeadWithin(knownWithin, at, rest, nodes[4:5])
-	sim.cut = func(_, _ *simulatedNode) bool { return false }
+	sim.expectSameView(rest)
+	sim.expectDeadWithin(detectionLimit, at, rest, nodes[4:5])
+	sim.drops = func(_, _ *simulatedNode) bool { return false }
 	sim.run(15 * time.Second)
-	sim.agree(nodes)
+	sim.expectSameView(nodes)
 }
 
 func TestQuietHourUnderDelay(t *testing.T) {
@@ -191,6 +191,6 @@
 	}
 	nodes := sim.fleet(20, 6)
 	sim.run(time.Hour)
-	sim.noFalseSuspicion()
-	sim.agree(nodes)
+	sim.expectNoFalseSuspicion()
+	sim.expectSameView(nodes)
 }
--- a/internal/core/membership/member.go
+++ b/internal/core/membership/member.go
@@ -1,24 +1,24 @@
-// Package membership is the failure detector and the member list of one node:
-// a state machine without I/O, clock or goroutine.
+// Package membership implements the failure detector and the member list of one
+// node as a state machine. It does no I/O, reads no clock and starts no goroutine.
 package membership
 
 import "ringstream.example/ringstream/internal/core/identity"
 
-// State is what a node holds of a member.
+// State is the state of a member as recorded by a node.
 type State uint8
 
 // The states, in the order in which they override each other at one incarnation.
 const (
 	Alive State = iota
 	Suspect
-	Leaving // announced; gets no new work
+	Leaving // announced its planned stop; gets no new work
 	Dead
 )
 
 // Member is one node as others see it.
 type Member struct {
 	ID identity.NodeID
-	// PeerAddress and GatewayAddress are host:port, the host an IP number.
+	// PeerAddress and GatewayAddress are host:port; the host is an IP address.
 	PeerAddress    string
 	GatewayAddress string
 	Zone, Region   string
@@ -32,7 +32,8 @@
 	Members []Member
 }
 
-// Live gives the members that may be given new work: Alive and Suspect, self included.
+// Live returns the members that may get new work: those in state Alive or
+// Suspect, including this node.
 func (v View) Live() []Member {
 	live := make([]Member, 0, len(v.Members))
 	for _, member := range v.Members {
@@ -43,7 +44,7 @@
 	return live
 }
 
-// Member finds a member by id.
+// Member returns the member with the given id, and whether the view has it.
 func (v View) Member(id identity.NodeID) (Member, bool) {
 	for _, member := range v.Members {
 		if member.ID == id {
@@ -53,7 +54,7 @@
 	return Member{}, false
 }
 
-// String gives the state's name, for logs and operators.
+// String returns the state's name for logs and operators.
 func (s State) String() string {
 	switch s {
 	case Alive:
--- a/internal/core/membership/merge.go
+++ b/internal/core/membership/merge.go
@@ -7,13 +7,13 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// received takes a message from a link.
+// received handles a message that arrived on a link.
 func (m *Machine) received(event Received) {
 	link := m.links[event.From]
 	if link == nil {
 		return
 	}
-	link.lastHeard = m.now
+	link.lastReceived = m.now
 	switch message := event.Message.(type) {
 	case Heartbeat:
 		link.unwanted = message.Unwanted
@@ -27,8 +27,9 @@
 	}
 }
 
-// sync merges a whole list. A member that the other side holds dead and this
-// one alive is suspected: if it lives, it hears of it and denies it.
+// sync merges a full member list. A member that is dead in the list and not dead
+// here at the same incarnation becomes suspected instead of dead, unless it left
+// or was replaced. If it is alive, the suspicion reaches it and it refutes it.
 func (m *Machine) sync(from identity.NodeID, message Sync) {
 	for _, member := range message.Members {
 		known := m.records[member.ID]
@@ -46,7 +47,7 @@
 	}
 }
 
-// sendSync sends the whole list.
+// sendSync sends the full member list.
 func (m *Machine) sendSync(to identity.NodeID, reply bool) {
 	list := Sync{Members: make([]Member, 0, len(m.ordered)), Reply: reply}
 	for _, record := range m.ordered {
@@ -59,160 +60,165 @@
 	m.send(to, list)
 }
 
-// merge takes what another node says of a member. The higher incarnation
-// counts; at one incarnation, the state that is later in the order of State.
-func (m *Machine) merge(said Member) {
-	if said.ID == m.self.member.ID {
-		m.refute(said)
+// merge applies a member update from another node. The higher incarnation wins.
+// At equal incarnations the state with the higher value of State wins.
+func (m *Machine) merge(update Member) {
+	if update.ID == m.self.member.ID {
+		m.refute(update)
 		return
 	}
-	known := m.records[said.ID]
+	known := m.records[update.ID]
 	switch {
 	case known == nil:
-		m.add(said)
-	case said.Incarnation < known.member.Incarnation:
-	case said.Incarnation > known.member.Incarnation:
-		m.override(known, said)
-	case said.State == Suspect:
-		m.suspect(known)
-	case said.State > known.member.State:
-		m.override(known, said)
+		m.add(update)
+	case update.Incarnation < known.member.Incarnation:
+	case update.Incarnation > known.member.Incarnation:
+		m.override(known, update)
+	case update.State == Suspect:
+		m.startSuspicion(known)
+	case update.State > known.member.State:
+		m.override(known, update)
 	}
 }
 
-// refute denies a suspicion or death of this node at a higher incarnation.
-func (m *Machine) refute(said Member) {
+// refute raises this node's incarnation above that of an update that declares this
+// node suspect or dead at its current or a higher incarnation, or that has a
+// higher incarnation in any state. A stopped node does not refute its death.
+func (m *Machine) refute(update Member) {
 	own := &m.self.member
-	if said.State != Suspect && said.State != Dead && said.Incarnation <= own.Incarnation {
+	if update.State != Suspect && update.State != Dead && update.Incarnation <= own.Incarnation {
 		return
 	}
-	if said.Incarnation < own.Incarnation || own.State == Dead {
+	if update.Incarnation < own.Incarnation || own.State == Dead {
 		return
 	}
-	m.unhash(m.self)
-	own.Incarnation = said.Incarnation + 1
-	m.rehash(m.self)
-	m.changed[own.ID] = true
-	m.moved = true
+	m.removeFromDigest(m.self)
+	own.Incarnation = update.Incarnation + 1
+	m.addToDigest(m.self)
+	m.changedMembers[own.ID] = true
+	m.viewChanged = true
 	m.emit(Refuted{Incarnation: own.Incarnation})
 }
 
-// add takes in a member that was not known.
-func (m *Machine) add(said Member) {
-	if said.PeerAddress == "" {
-		return // a change of a node never heard of: the digests will differ
+// add inserts a member that was unknown.
+func (m *Machine) add(update Member) {
+	if update.PeerAddress == "" {
+		return // a delta of an unknown node; the differing digests lead to a Sync
 	}
-	added := &record{member: said, places: positions(said.ID)}
+	added := &record{member: update, ringPositions: positions(update.ID)}
 	m.insert(added)
-	if said.State == Dead {
+	if update.State == Dead {
 		added.diedAt = m.now
-		if _, held := m.holders[said.PeerAddress]; !held {
-			m.holders[said.PeerAddress] = said.ID
+		if _, held := m.addressOwners[update.PeerAddress]; !held {
+			m.addressOwners[update.PeerAddress] = update.ID
 		}
 		return
 	}
-	if said.State == Suspect {
+	if update.State == Suspect {
 		added.member.State = Alive
 	}
-	m.rehash(added)
-	m.changed[said.ID] = true
-	m.moved, m.rewired = true, true
+	m.addToDigest(added)
+	m.changedMembers[update.ID] = true
+	m.viewChanged, m.overlayStale = true, true
 	m.emit(MemberChanged{Member: added.member})
-	if said.State == Suspect {
-		m.suspect(added)
+	if update.State == Suspect {
+		m.startSuspicion(added)
 	}
 	m.claimAddress(added)
 }
 
-// override replaces what is held of a member by what was said.
-func (m *Machine) override(known *record, said Member) {
-	if said.State == Dead {
-		m.unhash(known)
-		known.member.Incarnation = said.Incarnation
-		m.rehash(known)
-		m.kill(known, known.member.State == Leaving)
+// override replaces the record of a member by an update.
+func (m *Machine) override(known *record, update Member) {
+	if update.State == Dead {
+		m.removeFromDigest(known)
+		known.member.Incarnation = update.Incarnation
+		m.addToDigest(known)
+		m.markDead(known, known.member.State == Leaving)
 		return
 	}
 	before := known.member
-	m.unhash(known)
+	m.removeFromDigest(known)
 	m.clearSuspicion(known)
-	if said.PeerAddress != "" {
-		known.member = said
+	if update.PeerAddress != "" {
+		known.member = update
 	}
-	known.member.Incarnation = said.Incarnation
-	known.member.State = said.State
-	if said.State == Suspect {
+	known.member.Incarnation = update.Incarnation
+	known.member.State = update.State
+	if update.State == Suspect {
 		known.member.State = Alive
 	}
-	m.rehash(known)
+	m.addToDigest(known)
 	known.gone = false
-	m.changed[said.ID] = true
-	m.moved = true
-	m.rewired = m.rewired || before.State == Dead
+	m.changedMembers[update.ID] = true
+	m.viewChanged = true
+	m.overlayStale = m.overlayStale || before.State == Dead
 	if before.State != known.member.State {
 		m.emit(MemberChanged{Member: known.member, Known: true, Before: before.State})
 	}
-	if said.State == Suspect {
-		m.suspect(known)
+	if update.State == Suspect {
+		m.startSuspicion(known)
 	}
 	m.claimAddress(known)
 }
 
-// claimAddress settles two members at one address: the later start has it.
+// claimAddress resolves a conflict of two members with the same address. The
+// member with the higher incarnation, which started later, gets the address, and
+// the other one is marked dead. This node itself always keeps its address.
 func (m *Machine) claimAddress(claimant *record) {
 	address := claimant.member.PeerAddress
-	holder := m.records[m.holders[address]]
+	holder := m.records[m.addressOwners[address]]
 	if holder == nil || holder.member.State == Dead || holder == claimant {
-		m.holders[address] = claimant.member.ID
+		m.addressOwners[address] = claimant.member.ID
 		return
 	}
 	if holder == m.self || holder.member.Incarnation > claimant.member.Incarnation {
-		m.kill(claimant, true)
+		m.markDead(claimant, true)
 		return
 	}
-	m.holders[address] = claimant.member.ID
-	m.kill(holder, true)
+	m.addressOwners[address] = claimant.member.ID
+	m.markDead(holder, true)
 }
 
-// suspect starts the time in which a member must deny its death.
-func (m *Machine) suspect(known *record) {
-	if known.member.State == Dead || !known.deadAt.IsZero() {
+// startSuspicion marks a member suspect. The member is marked dead unless it
+// refutes the suspicion within DeadAfter.
+func (m *Machine) startSuspicion(known *record) {
+	if known.member.State == Dead || !known.suspicionDeadline.IsZero() {
 		return
 	}
-	known.deadAt = m.now.Add(m.config.DeadAfter)
-	m.suspects++
-	m.changed[known.member.ID] = true
-	if known.member.State == Alive { // a leaving member stays leaving in the view
+	known.suspicionDeadline = m.now.Add(m.config.DeadAfter)
+	m.suspectCount++
+	m.changedMembers[known.member.ID] = true
+	if known.member.State == Alive { // a leaving member stays Leaving in the view
 		known.member.State = Suspect
-		m.moved = true
+		m.viewChanged = true
 		m.emit(MemberChanged{Member: known.member, Known: true, Before: Alive})
 	}
 }
 
-// clearSuspicion ends a member's suspicion.
+// clearSuspicion ends the suspicion of a member, if there is one.
 func (m *Machine) clearSuspicion(known *record) {
-	if known.deadAt.IsZero() {
+	if known.suspicionDeadline.IsZero() {
 		return
 	}
-	known.deadAt = time.Time{}
-	m.suspects--
+	known.suspicionDeadline = time.Time{}
+	m.suspectCount--
 }
 
-// kill takes a member as dead. gone says that it is not to be tried again.
-func (m *Machine) kill(known *record, gone bool) {
-	m.moved = m.moved || known.gone != gone
+// markDead marks a member dead. If gone is true, the member is not dialed again.
+func (m *Machine) markDead(known *record, gone bool) {
+	m.viewChanged = m.viewChanged || known.gone != gone
 	known.gone = known.gone || gone
 	if known.member.State == Dead {
 		return
 	}
 	before := known.member.State
-	m.unhash(known)
+	m.removeFromDigest(known)
 	m.clearSuspicion(known)
 	known.member.State = Dead
 	known.diedAt = m.now
-	m.rehash(known)
-	m.changed[known.member.ID] = true
-	m.moved, m.rewired = true, true
+	m.addToDigest(known)
+	m.changedMembers[known.member.ID] = true
+	m.viewChanged, m.overlayStale = true, true
 	m.emit(MemberChanged{Member: known.member, Known: true, Before: before})
 	if m.links[known.member.ID] != nil {
 		m.emit(Disconnect{ID: known.member.ID})
--- a/internal/core/membership/model_test.go
+++ b/internal/core/membership/model_test.go
@@ -14,18 +14,18 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// said is one statement about a member.
-type said struct {
+// report is one reported state of a member.
+type report struct {
 	ID          identity.NodeID
 	Incarnation uint64
 	State       State
 }
 
-// naiveMerge is the rule of merging, in plain words: of all that was ever said
-// of a member the highest incarnation counts, and at one incarnation the state
-// that is later in the order of State. It keeps everything and looks it over
-// each time. Leaving overrides a suspicion in the view but does not end it.
-func naiveMerge(history []said, id identity.NodeID) (State, uint64) {
+// referenceMerge is the reference model of Machine.merge. It evaluates the whole
+// history of reports each time: the highest incarnation wins, and at equal
+// incarnations the highest State. Leaving overrides a suspicion in the view but
+// does not end it.
+func referenceMerge(history []report, id identity.NodeID) (State, uint64) {
 	var state State
 	var incarnation uint64
 	for _, statement := range history {
@@ -42,53 +42,54 @@
 	return state, incarnation
 }
 
-func twinMember(id identity.NodeID, incarnation uint64, state State) Member {
+func testMember(id identity.NodeID, incarnation uint64, state State) Member {
 	return Member{ID: id, PeerAddress: "10.0.0.1:" + string(id), Zone: "z", Region: "r", Incarnation: incarnation, State: state}
 }
 
-func TestMergeLikeNaiveTwin(t *testing.T) {
+func TestMergeMatchesReferenceModel(t *testing.T) {
 	others := []identity.NodeID{"1001", "1002", "1003"}
 	rapid.Check(t, func(t *rapid.T) {
-		machine := New(DefaultConfig(), twinMember("1000", 1, Alive), nil, simulationStart)
-		var history []said
+		machine := New(DefaultConfig(), testMember("1000", 1, Alive), nil, simulationStart)
+		var history []report
 		for _, id := range others {
-			machine.Step(simulationStart, LinkUp{Peer: twinMember(id, 1, Alive)})
-			history = append(history, said{id, 1, Alive})
+			machine.Step(simulationStart, LinkUp{Peer: testMember(id, 1, Alive)})
+			history = append(history, report{id, 1, Alive})
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			statement := said{
+			statement := report{
 				ID:          rapid.SampledFrom(others).Draw(t, "id"),
 				Incarnation: rapid.Uint64Range(1, 4).Draw(t, "incarnation"),
 				State:       rapid.SampledFrom([]State{Alive, Suspect, Leaving, Dead}).Draw(t, "state"),
 			}
 			history = append(history, statement)
 			from := rapid.SampledFrom(others).Draw(t, "from")
-			delta := twinMember(statement.ID, statement.Incarnation, statement.State)
+			delta := testMember(statement.ID, statement.Incarnation, statement.State)
 			machine.Step(simulationStart, Received{From: from, Message: Deltas{Members: []Member{delta}}})
-			compareWithTwin(t, machine, history, others)
+			compareWithReference(t, machine, history, others)
 		}
 	})
 }
 
-func compareWithTwin(t *rapid.T, machine *Machine, history []said, ids []identity.NodeID) {
+func compareWithReference(t *rapid.T, machine *Machine, history []report, ids []identity.NodeID) {
 	var digest uint64
 	for _, record := range machine.ordered {
 		digest ^= memberHash(&record.member)
 	}
 	if digest != machine.digest {
-		t.Fatalf("the digest is not that of the list")
+		t.Fatalf("the machine's digest does not match its records")
 	}
 	for _, id := range ids {
-		state, incarnation := naiveMerge(history, id)
+		state, incarnation := referenceMerge(history, id)
 		held := machine.records[id].member
 		if held.State != state || held.Incarnation != incarnation {
-			t.Fatalf("%s is %s at %d, twin says %s at %d", id, held.State, held.Incarnation, state, incarnation)
+			t.Fatalf("%s is %s at incarnation %d, reference model has %s at %d", id, held.State, held.Incarnation, state, incarnation)
 		}
 	}
 }
 
-// naiveNeighbours sorts each ring whole and takes the two beside self.
-func naiveNeighbours(self Member, members []Member) []identity.NodeID {
+// referenceNeighbours is the reference model of neighbours. It sorts each whole
+// ring and takes the two members next to self.
+func referenceNeighbours(self Member, members []Member) []identity.NodeID {
 	var chosen []identity.NodeID
 	for ring := range ringCount {
 		var circle []Member
@@ -134,27 +135,27 @@
 func recordsOf(members []Member) []*record {
 	records := make([]*record, len(members))
 	for i, member := range members {
-		records[i] = &record{member: member, places: positions(member.ID)}
+		records[i] = &record{member: member, ringPositions: positions(member.ID)}
 	}
 	return records
 }
 
-func TestOverlayLikeNaiveTwin(t *testing.T) {
+func TestOverlayMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
 		records := recordsOf(members)
 		for i := range members {
 			got := neighbours(records[i], records)
-			want := naiveNeighbours(members[i], members)
+			want := referenceNeighbours(members[i], members)
 			if diff := cmp.Diff(want, got); diff != "" && (len(want) != 0 || len(got) != 0) {
-				t.Fatalf("%s (-twin +overlay):\n%s", members[i].ID, diff)
+				t.Fatalf("neighbours of %s (-reference +got):\n%s", members[i].ID, diff)
 			}
 		}
 	})
 }
 
-// TestOverlayConnected checks what the overlay is for: all members hang
-// together, and so does each zone and each region on its own.
+// TestOverlayConnected checks that the overlay connects all members, and that
+// each zone and each region is connected by its own links.
 func TestOverlayConnected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -195,7 +196,7 @@
 		}
 	}
 	if len(seen) != len(group) {
-		t.Fatalf("%d of %d members hang together", len(seen), len(group))
+		t.Fatalf("%d of %d members are connected", len(seen), len(group))
 	}
 }
 
@@ -209,10 +210,10 @@
 	again.machine = New(DefaultConfig(), again.member, []string{"10.0.0.0:7000"}, sim.now)
 	nodes[5] = again
 	sim.run(15 * time.Second)
-	sim.agree(nodes)
+	sim.expectSameView(nodes)
 }
 
-// BenchmarkHeartbeat is the machine's most frequent step, in a fleet of 340.
+// BenchmarkHeartbeat measures the machine's most frequent step in a fleet of 340 nodes.
 func BenchmarkHeartbeat(b *testing.B) {
 	machine := benchmarkMachine(340)
 	now := simulationStart
@@ -224,7 +225,7 @@
 	}
 }
 
-// BenchmarkTick is the failure detector's step in a fleet of 340 at rest.
+// BenchmarkTick measures a tick in a fleet of 340 nodes without changes.
 func BenchmarkTick(b *testing.B) {
 	machine := benchmarkMachine(340)
 	b.ReportAllocs()
@@ -233,8 +234,8 @@
 	}
 }
 
-// BenchmarkMemberChange is a death and a return in a fleet of 340, with the
-// overlay and the view computed anew for each.
+// BenchmarkMemberChange measures the death and return of a member in a fleet of
+// 340 nodes. Each of them recomputes the overlay and the view.
 func BenchmarkMemberChange(b *testing.B) {
 	machine := benchmarkMachine(340)
 	now := simulationStart
@@ -244,10 +245,10 @@
 	for b.Loop() {
 		for _, state := range []State{Dead, Alive} {
 			victim.Incarnation, victim.State = victim.Incarnation+1, state
-			now = now.Add(viewPause)
+			now = now.Add(minViewInterval)
 			machine.lastTick = now
 			for _, link := range machine.links {
-				link.lastHeard = now
+				link.lastReceived = now
 			}
 			machine.Step(now, Received{From: from, Message: Deltas{Members: []Member{victim}}})
 			machine.Step(now, Tick{})
--- a/internal/core/membership/overlay.go
+++ b/internal/core/membership/overlay.go
@@ -8,10 +8,11 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// The overlay is the union of three rings: one through the members of each
-// zone, one through those of each region, and one through all. A zone and a
-// region therefore stay connected in themselves when all others vanish, and a
-// join or loss moves at most two links on each ring. At most six links a node.
+// The overlay is the union of three kinds of rings: one ring through the members
+// of each zone, one through those of each region, and one through all members. A
+// zone or region therefore stays connected when all others are unreachable. A
+// join or loss changes at most two links on each ring, and a node has at most six
+// overlay links.
 const (
 	zoneRing = iota
 	regionRing
@@ -19,7 +20,7 @@
 	ringCount
 )
 
-// positions gives a node's place on each ring.
+// positions returns a node's position on each ring.
 func positions(id identity.NodeID) [ringCount]uint64 {
 	var places [ringCount]uint64
 	for ring := range places {
@@ -32,7 +33,7 @@
 	return places
 }
 
-// sameRing says whether other is on self's ring.
+// sameRing reports whether other is on the same ring of the given kind as self.
 func sameRing(ring int, self, other *Member) bool {
 	switch ring {
 	case zoneRing:
@@ -44,7 +45,7 @@
 	}
 }
 
-// neighbours gives the overlay neighbours of self among the records that are
+// neighbours returns the overlay neighbours of self among the records that are
 // not dead, sorted by id.
 func neighbours(self *record, records []*record) []identity.NodeID {
 	chosen := make([]identity.NodeID, 0, 2*ringCount)
@@ -59,7 +60,7 @@
 	return chosen
 }
 
-// ringNeighbours gives the members just after and just before self on a ring.
+// ringNeighbours returns the members directly after and directly before self on a ring.
 func ringNeighbours(ring int, self *record, records []*record) []identity.NodeID {
 	var after, before identity.NodeID
 	var afterGap, beforeGap uint64
@@ -68,7 +69,7 @@
 			continue
 		}
 		id := other.member.ID
-		gap := other.places[ring] - self.places[ring] // wraps round the ring
+		gap := other.ringPositions[ring] - self.ringPositions[ring] // unsigned arithmetic wraps around the ring
 		if after == "" || gap < afterGap || (gap == afterGap && id < after) {
 			after, afterGap = id, gap
 		}
--- a/internal/core/membership/simulation_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -11,9 +11,10 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// simulation runs machines in virtual time over a network with delay, loss of
-// connections and cuts. It stands for the transport: links carry messages in
-// order, a cut link is silent, a dial that gets no answer fails.
+// simulation runs machines in virtual time over a simulated network with delays
+// and one-way message loss. Messages on a link are delivered with the configured
+// delay, a link on which messages are dropped is silent, and an unanswered dial
+// fails after a timeout.
 type simulation struct {
 	t       testing.TB
 	random  *rand.Rand
@@ -22,8 +23,8 @@
 	order   uint64
 	nodes   map[identity.NodeID]*simulatedNode
 	address map[string]identity.NodeID
-	// cut says whether what one node sends to another is lost.
-	cut     func(from, to *simulatedNode) bool
+	// drops reports whether messages from one node to another are lost.
+	drops   func(from, to *simulatedNode) bool
 	delay   func(from, to *simulatedNode) time.Duration
 	accused []Accused
 	killed  map[identity.NodeID]bool
@@ -35,8 +36,8 @@
 	view    View
 	alive   bool
 	paused  bool
-	links   map[identity.NodeID]uint64 // link number
-	// deadSince is when this node took another as dead.
+	links   map[identity.NodeID]uint64 // link number by peer
+	// deadSince is when this node marked each other node dead.
 	deadSince map[identity.NodeID]time.Time
 }
 
@@ -74,7 +75,7 @@
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: simulationStart,
 		nodes: map[identity.NodeID]*simulatedNode{}, address: map[string]identity.NodeID{},
 		killed: map[identity.NodeID]bool{},
-		cut:    func(_, _ *simulatedNode) bool { return false },
+		drops:  func(_, _ *simulatedNode) bool { return false },
 		delay:  func(_, _ *simulatedNode) time.Duration { return time.Millisecond },
 	}
 }
@@ -94,7 +95,7 @@
 	s.now = end
 }
 
-// start adds nodes; zone is the index of the zone, three zones a region.
+// start adds a node in the zone with the given index. A region has three zones.
 func (s *simulation) start(name string, zone int, address string, seeds ...string) *simulatedNode {
 	node := &simulatedNode{
 		member: Member{
@@ -157,7 +158,7 @@
 
 func (s *simulation) deliver(from, to *simulatedNode, message Message) {
 	number := from.links[to.member.ID]
-	if s.cut(from, to) {
+	if s.drops(from, to) {
 		return
 	}
 	s.after(s.delay(from, to), func() {
@@ -167,10 +168,11 @@
 	})
 }
 
-// connect needs both directions, as a TCP handshake does.
+// connect establishes a link if messages pass in both directions, as a TCP
+// handshake requires.
 func (s *simulation) connect(node *simulatedNode, effect Connect) {
 	target := s.nodes[s.address[effect.Address]]
-	if target == nil || !target.alive || target.paused || s.cut(node, target) || s.cut(target, node) {
+	if target == nil || !target.alive || target.paused || s.drops(node, target) || s.drops(target, node) {
 		s.after(dialTimeout, func() { s.step(node, DialFailed{Expected: effect.ID, Address: effect.Address}) })
 		return
 	}
@@ -197,7 +199,7 @@
 	delete(node.links, id)
 	s.after(0, func() { s.step(node, LinkDown{Peer: id}) })
 	other := s.nodes[id]
-	if s.cut(node, other) {
+	if s.drops(node, other) {
 		return
 	}
 	s.after(s.delay(node, other), func() {
@@ -210,7 +212,7 @@
 
 func (s *simulation) probe(node *simulatedNode, effect Probe) {
 	target := s.nodes[s.address[effect.Address]]
-	answered := target != nil && target.alive && !target.paused && target.member.ID == effect.ID && !s.cut(node, target) && !s.cut(target, node)
+	answered := target != nil && target.alive && !target.paused && target.member.ID == effect.ID && !s.drops(node, target) && !s.drops(target, node)
 	wait := probeLimit
 	if answered {
 		wait = 2 * s.delay(node, target)
@@ -218,13 +220,14 @@
 	s.after(wait, func() { s.step(node, ProbeDone{ID: effect.ID, Answered: answered}) })
 }
 
-// kill stops a node as the loss of its machine does: without a word.
+// kill stops a node without an announcement, like the loss of its host.
 func (s *simulation) kill(node *simulatedNode) {
 	node.alive = false
 	s.killed[node.member.ID] = true
 }
 
-// fleet starts count nodes over zones, all with the first two as seeds.
+// fleet starts count nodes spread over the zones, all with the first two nodes as
+// seeds, and runs them until the fleet has formed.
 func (s *simulation) fleet(count, zones int) []*simulatedNode {
 	nodes := make([]*simulatedNode, count)
 	for i := range nodes {
@@ -235,7 +238,7 @@
 	return nodes
 }
 
-// liveIDs gives the live ids of a view.
+// liveIDs returns the ids of the live members of a view.
 func liveIDs(view View) []identity.NodeID {
 	var ids []identity.NodeID
 	for _, member := range view.Live() {
@@ -244,8 +247,9 @@
 	return ids
 }
 
-// agree checks that the nodes hold exactly each other as live.
-func (s *simulation) agree(nodes []*simulatedNode) {
+// expectSameView checks that the live members in each node's view are exactly the
+// given nodes.
+func (s *simulation) expectSameView(nodes []*simulatedNode) {
 	s.t.Helper()
 	var expected []identity.NodeID
 	for _, node := range nodes {
@@ -254,31 +258,31 @@
 	slices.Sort(expected)
 	for _, node := range nodes {
 		if live := liveIDs(node.view); !slices.Equal(live, expected) {
-			s.t.Errorf("%s: %d live %v, expected %d", node.member.ID, len(live), live, len(expected))
+			s.t.Errorf("%s has %d live members %v, want %d", node.member.ID, len(live), live, len(expected))
 			return
 		}
 	}
 }
 
-// knownDeadWithin checks that all witnesses took the victims as dead in time.
-func (s *simulation) knownDeadWithin(limit time.Duration, since time.Time, witnesses, victims []*simulatedNode) {
+// expectDeadWithin checks that each witness marked each victim dead within the limit.
+func (s *simulation) expectDeadWithin(limit time.Duration, since time.Time, witnesses, victims []*simulatedNode) {
 	s.t.Helper()
 	for _, witness := range witnesses {
 		for _, victim := range victims {
 			at, known := witness.deadSince[victim.member.ID]
 			if !known || at.Sub(since) > limit {
-				s.t.Errorf("%s knows the death of %s: %t, after %s", witness.member.ID, victim.member.ID, known, at.Sub(since))
+				s.t.Errorf("%s marked %s dead: %t, after %s", witness.member.ID, victim.member.ID, known, at.Sub(since))
 				return
 			}
 		}
 	}
 }
 
-func (s *simulation) noFalseSuspicion() {
+func (s *simulation) expectNoFalseSuspicion() {
 	s.t.Helper()
 	for _, accused := range s.accused {
 		if !s.killed[accused.ID] {
-			s.t.Errorf("%s was suspected for %s and lives", accused.ID, accused.Reason)
+			s.t.Errorf("%s was suspected for %s although it is alive", accused.ID, accused.Reason)
 			return
 		}
 	}
