--- a/internal/core/routing/export_test.go
+++ b/internal/core/routing/export_test.go
@@ -1,6 +1,6 @@
 package routing
 
-// MatchAll gives the matched blocks of every candidate, for tests.
+// MatchAll returns the matched blocks of every candidate, for tests.
 func (p *PrefixIndex) MatchAll(prefix []uint64, candidates []Candidate) []int {
 	var scratch Scratch
 	for i := range candidates {
--- a/internal/core/routing/filter.go
+++ b/internal/core/routing/filter.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Filter drops engines that must not take a request. Check gives Chosen to
-// keep the engine, else the reason to drop it.
+// Filter excludes engines that must not run a request. Check returns Chosen to
+// keep the engine, or the reason to exclude it.
 type Filter interface {
 	Check(request *Request, candidate *Candidate) Reason
 }
 
-// LoadedFilter drops engines that do not hold the model, version and adapter.
-// An engine that has not yet reported is given as Saturated: a wait may mend it.
+// LoadedFilter excludes engines that do not have the model, version and adapter
+// loaded. An engine that has not reported yet counts as Saturated, since its first
+// report may make it usable.
 type LoadedFilter struct{}
 
 // Check implements Filter.
@@ -32,7 +33,8 @@
 	return NotLoaded
 }
 
-// UsableFilter drops engines that are leaving, ejected or already tried.
+// UsableFilter excludes engines that are leaving, ejected or already tried. A
+// probing engine with a request in flight counts as Saturated.
 type UsableFilter struct{}
 
 // Check implements Filter.
@@ -46,13 +48,14 @@
 	return Chosen
 }
 
-// RoomFilter drops engines without room. Batch work does not take room from
-// online work: only online sequences count against an online request, and a
-// batch item must fit into what the engine is allowed of batch work.
-type RoomFilter struct{}
+// CapacityFilter excludes engines without free capacity. Batch work does not
+// reduce the capacity for online work: only online sequences count for an online
+// request. For a batch item, the engine's batch sequences must be below
+// BatchAllowed.
+type CapacityFilter struct{}
 
 // Check implements Filter.
-func (RoomFilter) Check(request *Request, candidate *Candidate) Reason {
+func (CapacityFilter) Check(request *Request, candidate *Candidate) Reason {
 	used, room := candidate.Online, candidate.MaxRunning
 	if request.Class == Batch {
 		used, room = candidate.Batch, candidate.BatchAllowed
--- a/internal/core/routing/inflight.go
+++ b/internal/core/routing/inflight.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// historyLength is how many changes an InFlight remembers. Changes older than
-// that count as seen by any report.
+// historyLength is the number of changes that an InFlight keeps. Older changes are
+// assumed to be included in every load report.
 const historyLength = 256
 
-// InFlight counts this node's sequences on one engine, and remembers recent
-// changes, so that an old load report can be corrected by what happened after
-// it was measured.
+// InFlight counts this node's sequences on one engine and keeps the recent
+// changes, so that a stale load report can be corrected by the changes after its
+// measurement.
 type InFlight struct {
 	online, batch int
 	history       [historyLength]change
@@ -20,7 +20,8 @@
 	online, batch int
 }
 
-// Add counts a change (+1 sent, -1 ended) of one class at a time.
+// Add records a change of one class at the time now: +1 for a sent sequence, -1
+// for an ended one.
 func (f *InFlight) Add(now time.Time, class Class, delta int) {
 	entry := change{at: now}
 	if class == Online {
@@ -34,10 +35,10 @@
 	f.next = (f.next + 1) % historyLength
 }
 
-// Now gives the present counts.
+// Now returns the current counts.
 func (f *InFlight) Now() (online, batch int) { return f.online, f.batch }
 
-// At gives the counts as they stood at an earlier time.
+// At returns the counts at an earlier time, as far as the history reaches back.
 func (f *InFlight) At(when time.Time) (online, batch int) {
 	online, batch = f.online, f.batch
 	for i := range f.history {
--- a/internal/core/routing/pick.go
+++ b/internal/core/routing/pick.go
@@ -1,13 +1,13 @@
 package routing
 
-// Picker chooses among priced entries, of which there is at least one. It
-// gives an index into entries.
+// Picker chooses one of the scored entries, of which there is at least one. Pick
+// returns an index into entries.
 type Picker interface {
 	Pick(request *Request, candidates []Candidate, entries []Entry, random Random) int
 }
 
-// Cheapest picks the lowest cost, ties at random. Nodes that see the same old reports
-// then choose the same engine, which is why it is only a baseline.
+// Cheapest picks the entry with the lowest cost and breaks ties at random. Nodes
+// with the same stale reports choose the same engine, so it is only a baseline.
 type Cheapest struct{}
 
 // Pick implements Picker.
@@ -31,7 +31,8 @@
 	return best
 }
 
-// cheapest gives the entry with the lowest cost; of equal ones, the first from start on.
+// cheapest returns the index of the entry with the lowest cost. Among equal
+// entries it is the first one at or after start, wrapping around.
 func cheapest(entries []Entry, start int) int {
 	best := start
 	for step := 1; step < len(entries); step++ {
@@ -43,8 +44,8 @@
 	return best
 }
 
-// longestPrefix gives the cheapest entry of those with the longest cached
-// prefix, or -1 when no entry has any.
+// longestPrefix returns the index of the cheapest entry among those with the
+// longest cached prefix, or -1 if no entry has a cached prefix.
 func longestPrefix(entries []Entry) int {
 	best := -1
 	for i := range entries {
--- a/internal/core/routing/policy.go
+++ b/internal/core/routing/policy.go
@@ -1,6 +1,6 @@
 package routing
 
-// Weights of the policies. docs/experiments.md has the figures behind them.
+// Weights of the policies. The measurements behind them are in docs/experiments.md.
 const (
 	loadWeight   = 1.0
 	prefixWeight = 1.5
@@ -10,28 +10,30 @@
 	regionWeight = 1000
 )
 
-// DefaultPolicy places online requests: on few engines, each filled up to the
-// target part of its sequences, in an order that all nodes share, so that batch
-// work has the other engines to itself (decision 0030). Longer cached prefixes
-// move a request along the order. packPrefill bounds the prompt tokens that wait
-// on an engine ahead of a new request.
-func DefaultPolicy(packTarget float64, packPrefill int) *Policy {
+// DefaultPolicy returns the policy for online requests. It packs them on few
+// engines, in an order that is the same on all nodes, and fills each engine up to
+// targetUtilization of its concurrent sequences, so that the other engines are
+// free for batch work (decision 0030). A longer cached prefix can move a request
+// to a later engine of the order. maxPrefillTokens bounds the prompt tokens that
+// an engine must compute before a new request.
+func DefaultPolicy(targetUtilization float64, maxPrefillTokens int) *Policy {
 	return &Policy{
-		Filters: []Filter{LoadedFilter{}, UsableFilter{}, RoomFilter{}},
+		Filters: []Filter{LoadedFilter{}, UsableFilter{}, CapacityFilter{}},
 		Scorers: []Scorer{
-			PackScorer{Target: packTarget, Prefill: packPrefill, Weight: packWeight},
+			PackScorer{TargetUtilization: targetUtilization, MaxPrefillTokens: maxPrefillTokens, Weight: packWeight},
 			PrefixScorer{Weight: prefixWeight},
-			ZoneScorer{Region: regionWeight},
+			ZoneScorer{RegionCost: regionWeight},
 		},
 		Picker: Cheapest{},
 	}
 }
 
-// BatchPolicy places batch items on the engine with the most idle capacity.
+// BatchPolicy returns the policy for batch items. It chooses the engine with the
+// most idle capacity.
 func BatchPolicy() *Policy {
 	return &Policy{
-		Filters: []Filter{LoadedFilter{}, UsableFilter{}, RoomFilter{}},
-		Scorers: []Scorer{LoadScorer{Weight: loadWeight}, OrderScorer{Weight: orderWeight}, ZoneScorer{Zone: zoneWeight, Region: regionWeight}},
+		Filters: []Filter{LoadedFilter{}, UsableFilter{}, CapacityFilter{}},
+		Scorers: []Scorer{LoadScorer{Weight: loadWeight}, OrderScorer{Weight: orderWeight}, ZoneScorer{ZoneCost: zoneWeight, RegionCost: regionWeight}},
 		Picker:  Cheapest{},
 	}
 }
--- a/internal/core/routing/prefix.go
+++ b/internal/core/routing/prefix.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// MaxSlots is how many engines a PrefixIndex tells apart.
+// MaxSlots is the maximum number of engines in a PrefixIndex.
 const MaxSlots = 64 * slotWords
 
 const slotWords = 3
@@ -20,7 +20,7 @@
 	}
 }
 
-// each visits the slots of the set.
+// each calls visit for each slot of the set in ascending order.
 func (s *slotSet) each(visit func(slot int)) {
 	for word, set := range s {
 		for ; set != 0; set &= set - 1 {
@@ -35,43 +35,45 @@
 	}
 }
 
-// PrefixIndex is what is believed of the engines' prefix caches: for each
-// block-chain hash, the engines that hold it. It is bounded: when full, the
-// hash entered first goes. Events may be late, lost or repeated; a wrong
-// belief makes one request slower and is then corrected by Observe.
+// PrefixIndex estimates the contents of the engines' prefix caches: it maps each
+// block-chain hash to the engines that are expected to have it cached. Its size is
+// bounded; when it is full, the hash inserted first is evicted. Events may be
+// late, lost or repeated. A wrong entry slows down one request and is then
+// corrected by Observe.
 type PrefixIndex struct {
-	capacity int
-	holders  map[uint64]slotSet
-	order    []uint64 // ring of hashes by time of entry
-	next     int
-	seen     [MaxSlots]uint64 // highest event sequence of each slot
+	capacity      int
+	holders       map[uint64]slotSet
+	insertionRing []uint64 // ring of hashes in insertion order
+	next          int
+	lastSequence  [MaxSlots]uint64 // highest event sequence of each slot
 }
 
-// maxGap is how many lost events of one engine are tolerated before all that is
-// believed of its cache is dropped.
-const maxGap = 64
+// maxEventGap is the largest advance of an engine's event sequence for which the
+// engine's entries are kept. After a larger gap they are all removed.
+const maxEventGap = 64
 
-// NewPrefixIndex makes an index of at most capacity hashes.
+// NewPrefixIndex returns an index with a capacity in hashes.
 func NewPrefixIndex(capacity int) *PrefixIndex {
 	return &PrefixIndex{
-		capacity: capacity,
-		holders:  make(map[uint64]slotSet),
-		order:    make([]uint64, 0, capacity),
+		capacity:      capacity,
+		holders:       make(map[uint64]slotSet),
+		insertionRing: make([]uint64, 0, capacity),
 	}
 }
 
-// Len is the number of hashes held.
+// Len returns the number of hashes in the index.
 func (p *PrefixIndex) Len() int { return len(p.holders) }
 
-// Event takes one cache event of an engine; sequences that are not new are dropped.
+// Event applies one cache event of an engine. An event whose sequence number is
+// not above the last one is ignored.
 func (p *PrefixIndex) Event(slot int, sequence, hash uint64, stored bool) {
-	if slot < 0 || slot >= MaxSlots || sequence <= p.seen[slot] {
+	if slot < 0 || slot >= MaxSlots || sequence <= p.lastSequence[slot] {
 		return
 	}
-	if p.seen[slot] != 0 && sequence-p.seen[slot] > maxGap {
-		p.forget(slot)
+	if p.lastSequence[slot] != 0 && sequence-p.lastSequence[slot] > maxEventGap {
+		p.removeSlot(slot)
 	}
-	p.seen[slot] = sequence
+	p.lastSequence[slot] = sequence
 	if stored {
 		p.store(slot, hash)
 		return
@@ -79,11 +81,11 @@
 	p.evict(slot, hash)
 }
 
-// Seen is the highest event sequence taken from the slot's engine.
-func (p *PrefixIndex) Seen(slot int) uint64 { return p.seen[slot] }
+// Seen returns the highest event sequence number applied for the slot.
+func (p *PrefixIndex) Seen(slot int) uint64 { return p.lastSequence[slot] }
 
-// Expect records that a prompt was sent to an engine, whose cache will hold
-// its blocks before any event says so.
+// Expect records that a prompt was sent to an engine. The engine's cache will have
+// the prompt's blocks before the cache events arrive.
 func (p *PrefixIndex) Expect(slot int, prefix []uint64) {
 	if slot < 0 || slot >= MaxSlots {
 		return
@@ -93,8 +95,8 @@
 	}
 }
 
-// Observe corrects the belief by what the engine found: of the prefix only the
-// first blocks were cached when the request started.
+// Observe corrects the index by a cache hit length that the engine reported: only
+// the first blocks of the prefix were cached when the request started.
 func (p *PrefixIndex) Observe(slot int, prefix []uint64, blocks int) {
 	if slot < 0 || slot >= MaxSlots {
 		return
@@ -104,14 +106,14 @@
 	}
 }
 
-// Reset frees a slot for another engine.
+// Reset clears a slot so that another engine can use it.
 func (p *PrefixIndex) Reset(slot int) {
-	p.forget(slot)
-	p.seen[slot] = 0
+	p.removeSlot(slot)
+	p.lastSequence[slot] = 0
 }
 
-// match fills in, for each entry, how many blocks from the start of the prefix
-// its engine is believed to hold.
+// match sets the Blocks of each entry to the number of leading prefix blocks that
+// its engine is expected to have cached.
 func (p *PrefixIndex) match(prefix []uint64, candidates []Candidate, scratch *Scratch) {
 	var holding slotSet
 	for i := range scratch.entries {
@@ -138,20 +140,20 @@
 	holders, known := p.holders[hash]
 	holders.add(slot)
 	if !known {
-		p.makeRoom(hash)
+		p.insertHash(hash)
 	}
 	p.holders[hash] = holders
 }
 
-// makeRoom enters a new hash in the ring and drops the one whose place it takes. A hash
-// whose last holder left stays in the ring until its place is taken.
-func (p *PrefixIndex) makeRoom(hash uint64) {
-	if len(p.order) < p.capacity {
-		p.order = append(p.order, hash)
+// insertHash inserts a new hash into the ring. If the ring is full, it evicts the
+// oldest hash. A hash without holders stays in the ring until it is evicted.
+func (p *PrefixIndex) insertHash(hash uint64) {
+	if len(p.insertionRing) < p.capacity {
+		p.insertionRing = append(p.insertionRing, hash)
 		return
 	}
-	delete(p.holders, p.order[p.next])
-	p.order[p.next] = hash
+	delete(p.holders, p.insertionRing[p.next])
+	p.insertionRing[p.next] = hash
 	p.next = (p.next + 1) % p.capacity
 }
 
@@ -161,12 +163,12 @@
 		return
 	}
 	holders.remove(slot)
-	// An entry without holders stays until the ring drops it, so that no hash
-	// stands in the ring twice.
+	// An entry without holders stays until the ring evicts it, so that no hash is
+	// in the ring twice.
 	p.holders[hash] = holders
 }
 
-func (p *PrefixIndex) forget(slot int) {
+func (p *PrefixIndex) removeSlot(slot int) {
 	for hash, holders := range p.holders {
 		if holders.has(slot) {
 			holders.remove(slot)
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,10 +1,11 @@
-// Package routing chooses the engine for one request: filters drop engines
-// that must not take it, scorers price the rest, and a picker chooses. It does
-// no I/O, keeps no clock and allocates nothing for a decision.
+// Package routing chooses the engine for one request: filters exclude engines
+// that must not run it, scorers assign a cost to the others, and a picker chooses
+// one of them. It does no I/O, reads no clock and allocates no memory for a
+// decision.
 //
-// A decision works on hints: load reports that are old on arrival and cache
-// events that come late and with gaps. A wrong hint costs speed, never
-// correctness, because the engine itself still refuses what it cannot run.
+// Decisions are based on hints: load reports that are already stale on arrival,
+// and cache events that arrive late and with gaps. A wrong hint affects latency
+// but not correctness, because the engine itself rejects what it cannot run.
 package routing
 
 import "ringstream.example/ringstream/internal/core/identity"
@@ -12,7 +13,7 @@
 // Class is the scheduling class of a request.
 type Class uint8
 
-// The classes. Online work may take the place of batch work.
+// The classes. Online work may preempt batch work.
 const (
 	Online Class = iota
 	Batch
@@ -37,43 +38,47 @@
 // Candidate is one engine as a decision sees it.
 type Candidate struct {
 	Engine   identity.EngineID
-	Slot     int // index in the prefix index; negative: none
+	Slot     int // the engine's slot in the prefix index; negative: none
 	Distance Distance
-	// Order is the engine's place in an order that all nodes share; packing fills lower ones first.
+	// Order is the engine's position in an order that is the same on all nodes.
+	// Packing fills engines in ascending order.
 	Order    int
 	Variants []Variant
-	// MaxRunning is how many sequences run at once; zero: not yet known.
+	// MaxRunning is the number of sequences that the engine runs concurrently;
+	// zero: not yet known.
 	MaxRunning int
-	// Online and Batch are sequences on the engine, queued ones included: the
-	// reported figures corrected by what this node sent and saw end since.
+	// Online and Batch are the numbers of sequences on the engine, including queued
+	// ones: the reported values corrected by the requests that this node has sent
+	// or seen end since the report.
 	Online, Batch int
-	// Expected is Online corrected as if every dispatcher of the engine had sent
-	// what this node has: a guess of what the others' next reports will show.
+	// Expected estimates Online under the assumption that every dispatcher of the
+	// engine has sent as many requests as this node since the report.
 	Expected int
-	// Prefill is the prompt tokens of online work that the engine is expected to
-	// compute before it gives a first token to a new request.
+	// Prefill is the number of prompt tokens of online work that the engine is
+	// expected to compute before the first token of a new request.
 	Prefill int
-	// BatchAllowed is how many batch sequences the engine may hold now.
+	// BatchAllowed is the number of batch sequences that the engine may have now.
 	BatchAllowed int
-	// KVUsed is the used part of KV memory, 0 to 1.
+	// KVUsed is the used fraction of the KV cache memory, 0 to 1.
 	KVUsed float64
 	// Speed is the engine's relative speed; 1 is the reference engine.
 	Speed float64
-	// Leaving: announced by the machine list or by the engine itself.
+	// Leaving is true if the machine list or the engine itself announced its stop.
 	Leaving bool
-	// Ejected: it did not answer and has not yet been probed back.
+	// Ejected is true if the engine did not answer and no probe has succeeded since.
 	Ejected bool
-	// Probing: it came back from ejection and takes one request at a time.
+	// Probing is true if the engine is back after an ejection and gets one request
+	// at a time.
 	Probing bool
-	// Own counts this node's requests on the engine.
+	// Own is the number of this node's requests in flight on the engine.
 	Own int
 }
 
-// Request is what a decision needs of a request.
+// Request holds the properties of a request that a decision depends on.
 type Request struct {
 	Class                   Class
 	Model, Version, Adapter string
-	// PromptTokens is about the length of the prompt; zero: not known.
+	// PromptTokens is the approximate length of the prompt; zero: not known.
 	PromptTokens int
 	// Prefix is the chain of block hashes of the prompt.
 	Prefix []uint64
@@ -81,41 +86,43 @@
 	Tried []identity.EngineID
 }
 
-// Reason says why no engine was chosen.
+// Reason is why no engine was chosen.
 type Reason uint8
 
-// The reasons, the one that a wait can mend last.
+// The reasons. If engines are excluded for several reasons, the decision has the
+// last of these. Saturated is the one that waiting can resolve.
 const (
 	Chosen    Reason = iota
 	NoEngine         // no engine in the pool
-	NotLoaded        // none holds the model, version or adapter
-	NotUsable        // all that hold it are leaving, ejected or tried
-	Saturated        // those that could run it have no room
+	NotLoaded        // no engine has the model, version or adapter loaded
+	NotUsable        // all engines that have it loaded are leaving, ejected or already tried
+	Saturated        // the engines that could run the request have no free capacity
 )
 
 // Decision is the outcome of Route.
 type Decision struct {
 	Reason Reason
-	// Index is the chosen candidate's, when Reason is Chosen.
+	// Index is the index of the chosen candidate if Reason is Chosen.
 	Index int
-	// Blocks is the length of the prefix expected in its cache.
+	// Blocks is the number of prefix blocks expected in the engine's cache.
 	Blocks int
 }
 
-// Random gives uniform pseudo-random numbers.
+// Random is a source of uniformly distributed pseudo-random numbers.
 type Random interface {
 	Uint64() uint64
 }
 
-// Policy is a complete way to choose. The zero value of its parts works.
+// Policy combines the filters, scorers and picker of a decision. Filters and
+// Scorers may be empty.
 type Policy struct {
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
 }
 
-// Scratch holds a decision's working memory, so that decisions allocate
-// nothing once it has grown. One decision at a time uses it.
+// Scratch is the working memory of a decision. Decisions that reuse it allocate
+// nothing once it has grown. It must not be used by concurrent decisions.
 type Scratch struct {
 	entries []Entry
 	bySlot  [MaxSlots]int32 // index into entries
@@ -128,7 +135,7 @@
 	Blocks int
 }
 
-// Route makes one decision. index may be nil.
+// Route chooses one of the candidates for the request. index may be nil.
 func (p *Policy) Route(request *Request, candidates []Candidate, index *PrefixIndex, random Random, scratch *Scratch) Decision {
 	scratch.entries = scratch.entries[:0]
 	reason := NoEngine
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -13,16 +13,16 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// naiveIndex is a PrefixIndex by plain loops: a list of hashes in order of
-// entry, and a set of slots for each.
-type naiveIndex struct {
+// referenceIndex is the reference model of PrefixIndex: a list of hashes in
+// insertion order, and a set of slots for each hash.
+type referenceIndex struct {
 	capacity int
 	order    []uint64
 	holders  map[uint64]map[int]bool
 	seen     map[int]uint64
 }
 
-func (n *naiveIndex) store(slot int, hash uint64) {
+func (n *referenceIndex) store(slot int, hash uint64) {
 	if n.holders[hash] == nil {
 		if len(n.order) == n.capacity {
 			delete(n.holders, n.order[0])
@@ -34,7 +34,7 @@
 	n.holders[hash][slot] = true
 }
 
-func (n *naiveIndex) event(slot int, sequence, hash uint64, stored bool) {
+func (n *referenceIndex) event(slot int, sequence, hash uint64, stored bool) {
 	if sequence <= n.seen[slot] {
 		return
 	}
@@ -51,7 +51,7 @@
 	}
 }
 
-func (n *naiveIndex) blocks(slot int, prefix []uint64) int {
+func (n *referenceIndex) blocks(slot int, prefix []uint64) int {
 	for depth, hash := range prefix {
 		if !n.holders[hash][slot] {
 			return depth
@@ -60,12 +60,12 @@
 	return len(prefix)
 }
 
-func TestPrefixIndexAgreesWithNaiveTwin(t *testing.T) {
+func TestPrefixIndexMatchesReferenceModel(t *testing.T) {
 	const slots, hashes = 5, 12
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 8).Draw(t, "capacity")
 		index := routing.NewPrefixIndex(capacity)
-		naive := &naiveIndex{capacity: capacity, holders: map[uint64]map[int]bool{}, seen: map[int]uint64{}}
+		reference := &referenceIndex{capacity: capacity, holders: map[uint64]map[int]bool{}, seen: map[int]uint64{}}
 		var sequences [slots]uint64
 		candidates := make([]routing.Candidate, slots)
 		for i := range candidates {
@@ -79,29 +79,30 @@
 				sequences[slot] += gap
 				stored := rapid.Bool().Draw(t, "stored")
 				index.Event(slot, sequences[slot], hash, stored)
-				naive.event(slot, sequences[slot], hash, stored)
+				reference.event(slot, sequences[slot], hash, stored)
 			} else {
 				index.Expect(slot, []uint64{hash})
-				naive.store(slot, hash)
+				reference.store(slot, hash)
 			}
 			prefix := make([]uint64, rapid.IntRange(0, 4).Draw(t, "length"))
 			for i := range prefix {
 				prefix[i] = uint64(rapid.IntRange(1, hashes).Draw(t, "block")) //nolint:gosec // small and positive
 			}
 			for i, got := range index.MatchAll(prefix, candidates) {
-				if want := naive.blocks(i, prefix); got != want {
-					t.Fatalf("slot %d holds %d blocks of %v, naive says %d", i, got, prefix, want)
+				if want := reference.blocks(i, prefix); got != want {
+					t.Fatalf("slot %d matches %d blocks of %v, want %d", i, got, prefix, want)
 				}
 			}
 			if index.Len() > capacity {
-				t.Fatalf("%d hashes in an index of %d", index.Len(), capacity)
+				t.Fatalf("%d hashes in an index with capacity %d", index.Len(), capacity)
 			}
 		}
 	})
 }
 
-// TestInFlightAgreesWithNaiveTwin checks the correction against a plain list.
-func TestInFlightAgreesWithNaiveTwin(t *testing.T) {
+// TestInFlightMatchesReferenceModel compares the counts at an earlier time with
+// the sum over a list of all changes.
+func TestInFlightMatchesReferenceModel(t *testing.T) {
 	type event struct {
 		at    int
 		class routing.Class
@@ -127,12 +128,12 @@
 		}
 		online, batch := inFlight.At(base.Add(time.Duration(when)))
 		if online != want[routing.Online] || batch != want[routing.Batch] {
-			t.Fatalf("at %d: %d and %d, naive says %v", when, online, batch, want)
+			t.Fatalf("at %d: %d online and %d batch, want %v", when, online, batch, want)
 		}
 	})
 }
 
-func anyCandidate(t *rapid.T, number int) routing.Candidate {
+func drawCandidate(t *rapid.T, number int) routing.Candidate {
 	models := []string{"m", "n"}
 	return routing.Candidate{
 		Engine: identity.EngineID(strconv.Itoa(number)), Slot: number,
@@ -146,8 +147,8 @@
 	}
 }
 
-// mayTake is the filters' rule in one plain condition.
-func mayTake(request *routing.Request, c *routing.Candidate) bool {
+// eligible is the reference model of the filters.
+func eligible(request *routing.Request, c *routing.Candidate) bool {
 	if c.Leaving || c.Ejected || (c.Probing && c.Own > 0) || c.MaxRunning == 0 {
 		return false
 	}
@@ -167,9 +168,10 @@
 	return c.Batch < c.BatchAllowed
 }
 
-// TestRouteChoosesOnlyWhatMayTake: an engine is chosen exactly when one may
-// take the request, and the cheapest picker finds the lowest total cost.
-func TestRouteChoosesOnlyWhatMayTake(t *testing.T) {
+// TestRouteChoosesOnlyEligibleEngines checks that an engine is chosen exactly if
+// one is eligible, that the chosen one is eligible, and that the Cheapest picker
+// finds the lowest total cost.
+func TestRouteChoosesOnlyEligibleEngines(t *testing.T) {
 	cheapest := routing.DefaultPolicy(0.75, 512)
 	cheapest.Picker = routing.Cheapest{}
 	policies := map[string]*routing.Policy{"default": routing.DefaultPolicy(0.75, 512), "cheapest": cheapest}
@@ -177,7 +179,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := make([]routing.Candidate, rapid.IntRange(0, 6).Draw(t, "count"))
 		for i := range candidates {
-			candidates[i] = anyCandidate(t, i)
+			candidates[i] = drawCandidate(t, i)
 		}
 		request := &routing.Request{
 			Class:   routing.Class(rapid.IntRange(0, 1).Draw(t, "class")), //nolint:gosec // 0 or 1
@@ -190,32 +192,32 @@
 			decision := policy.Route(request, candidates, nil, random, &scratch)
 			lowest, any := 0.0, false
 			for i := range candidates {
-				if !mayTake(request, &candidates[i]) {
+				if !eligible(request, &candidates[i]) {
 					continue
 				}
-				cost := total(policy, request, &candidates[i])
+				cost := totalCost(policy, request, &candidates[i])
 				if !any || cost < lowest {
 					lowest, any = cost, true
 				}
 			}
 			if any != (decision.Reason == routing.Chosen) {
-				t.Fatalf("%s: reason %v, but any engine: %v", name, decision.Reason, any)
+				t.Fatalf("%s: reason %v, but an engine is eligible: %v", name, decision.Reason, any)
 			}
 			if !any {
 				continue
 			}
 			chosen := &candidates[decision.Index]
-			if !mayTake(request, chosen) {
-				t.Fatalf("%s chose %+v", name, chosen)
+			if !eligible(request, chosen) {
+				t.Fatalf("%s chose an ineligible engine: %+v", name, chosen)
 			}
-			if cost := total(policy, request, chosen); name == "cheapest" && cost != lowest {
+			if cost := totalCost(policy, request, chosen); name == "cheapest" && cost != lowest {
 				t.Fatalf("cost %v, lowest is %v", cost, lowest)
 			}
 		}
 	})
 }
 
-func total(policy *routing.Policy, request *routing.Request, candidate *routing.Candidate) float64 {
+func totalCost(policy *routing.Policy, request *routing.Request, candidate *routing.Candidate) float64 {
 	cost := 0.0
 	for _, scorer := range policy.Scorers {
 		cost += scorer.Cost(request, candidate, 0)
@@ -223,7 +225,8 @@
 	return cost
 }
 
-// decisionInput is a decision of the size that the target asks for.
+// decisionInput returns the input of a decision among count candidates, with a
+// prefix of 16 blocks.
 func decisionInput(count int) (*routing.Request, []routing.Candidate, *routing.PrefixIndex) {
 	index := routing.NewPrefixIndex(32768)
 	random := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // a test's randomness
@@ -250,7 +253,7 @@
 	var scratch routing.Scratch
 	random := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // a test's randomness
 	if allocations := testing.AllocsPerRun(100, func() { policy.Route(request, candidates, index, random, &scratch) }); allocations != 0 {
-		t.Errorf("%v allocations a decision, want 0", allocations)
+		t.Errorf("%v allocations per decision, want 0", allocations)
 	}
 }
 
@@ -269,8 +272,8 @@
 	}
 }
 
-// BenchmarkPrefixIndex fills an index of the default size; its bytes are the
-// memory that a node spends on prefix reuse.
+// BenchmarkPrefixIndex fills an index of the default size. The bytes per operation
+// are the memory that a node uses for prefix reuse.
 func BenchmarkPrefixIndex(b *testing.B) {
 	const capacity = 32768
 	b.ReportAllocs()
--- a/internal/core/routing/score.go
+++ b/internal/core/routing/score.go
@@ -1,16 +1,17 @@
 package routing
 
-// Scorer prices an engine for a request; lower is better. blocks is the
-// length of the prompt's prefix that the engine is believed to hold.
+// Scorer computes the cost of running a request on an engine; lower is better.
+// blocks is the number of prefix blocks expected in the engine's cache.
 type Scorer interface {
 	Cost(request *Request, candidate *Candidate, blocks int) float64
 }
 
-// LoadScorer prices the part of the engine that is in use, with the request
-// itself added. Batch work counts less for an online request, since it gives way.
+// LoadScorer computes the utilization of the engine including the request itself.
+// For an online request, batch sequences are weighted by BatchWeight, since they
+// can be preempted.
 type LoadScorer struct {
 	Weight float64
-	// BatchWeight is what a batch sequence counts for online work, 0 to 1.
+	// BatchWeight is the weight of a batch sequence for an online request, 0 to 1.
 	BatchWeight float64
 }
 
@@ -24,8 +25,8 @@
 	return s.Weight * sequences / float64(max(candidate.MaxRunning, 1)) / speed(candidate)
 }
 
-// PrefixScorer prices the part of the prompt's blocks that the engine must
-// still compute.
+// PrefixScorer computes a cost in proportion to the number of prompt blocks that
+// the engine must still compute, scaled by its speed.
 type PrefixScorer struct{ Weight float64 }
 
 // Cost implements Scorer.
@@ -34,8 +35,9 @@
 	return s.Weight * missing / speed(candidate)
 }
 
-// ZoneScorer prices distance: an engine of another zone costs Zone, one of another region Region.
-type ZoneScorer struct{ Zone, Region float64 }
+// ZoneScorer computes the cost of distance: ZoneCost for an engine in another zone
+// of the region, RegionCost for one in another region.
+type ZoneScorer struct{ ZoneCost, RegionCost float64 }
 
 // Cost implements Scorer.
 func (s ZoneScorer) Cost(_ *Request, candidate *Candidate, _ int) float64 {
@@ -43,9 +45,9 @@
 	case SameZone:
 		return 0
 	case SameRegion:
-		return s.Zone
+		return s.ZoneCost
 	default:
-		return s.Region
+		return s.RegionCost
 	}
 }
 
@@ -56,8 +58,8 @@
 	return candidate.Speed
 }
 
-// OrderScorer prices the early places of the shared order, which online work
-// takes first, for work that should keep out of its way.
+// OrderScorer favors engines late in the shared order. It is for batch work, since
+// online work fills the engines early in the order.
 type OrderScorer struct{ Weight float64 }
 
 // Cost implements Scorer.
@@ -65,30 +67,32 @@
 	return -s.Weight * float64(candidate.Order)
 }
 
-// PackScorer gathers online work on few engines, in an order that all nodes
-// share, so that batch work has the others to itself: an engine below its limits
-// costs its place in the order, one above them its load, and always more.
+// PackScorer packs online work on few engines, in an order that is the same on all
+// nodes, so that the other engines are free for batch work. The cost of an engine
+// below its limits is its position in the order. An engine above them costs more
+// than any engine below, in proportion to its load.
 type PackScorer struct {
-	// Target is the part of MaxRunning up to which an engine is filled.
-	Target float64
-	// Prefill is how many prompt tokens may be ahead of a new request; zero: any.
-	Prefill int
-	// Weight is the cost of one place in the order.
+	// TargetUtilization is the fraction of MaxRunning up to which an engine is filled.
+	TargetUtilization float64
+	// MaxPrefillTokens is the number of prompt tokens of other requests from which
+	// on an engine counts as full. It is scaled by the engine's speed; zero: no limit.
+	MaxPrefillTokens int
+	// Weight is the cost of one position in the order.
 	Weight float64
 }
 
-// packOver is more than any place in the order and any other scorer costs.
-const packOver = 1e6
+// overTargetCost exceeds the cost of any position in the order and of any other scorer.
+const overTargetCost = 1e6
 
 // Cost implements Scorer.
 func (s PackScorer) Cost(_ *Request, candidate *Candidate, _ int) float64 {
 	used := float64(candidate.Expected+1) / float64(max(candidate.MaxRunning, 1))
 	ahead := 0.0
-	if s.Prefill > 0 {
-		ahead = float64(candidate.Prefill) / float64(s.Prefill) / speed(candidate)
+	if s.MaxPrefillTokens > 0 {
+		ahead = float64(candidate.Prefill) / float64(s.MaxPrefillTokens) / speed(candidate)
 	}
-	if used > s.Target || ahead >= 1 {
-		return packOver * (1 + used + ahead)
+	if used > s.TargetUtilization || ahead >= 1 {
+		return overTargetCost * (1 + used + ahead)
 	}
 	return s.Weight * float64(candidate.Order)
 }
