--- a/internal/core/batch/encoding.go
+++ b/internal/core/batch/encoding.go
@@ -10,11 +10,12 @@
 // formatVersion is the first byte of an encoded segment.
 const formatVersion = 1
 
-// ErrFormat says that bytes are not an encoded segment.
+// ErrFormat is returned for data that is not an encoded segment.
 var ErrFormat = errors.New("batch: not an encoded segment")
 
-// Encode gives the segment's stored form: about Items/8 bytes, 2 for each
-// exception, 4 to 6 for each reference, and the text of open intents.
+// Encode returns the stored form of the segment. Its size is about Items/8 bytes,
+// plus 2 bytes for each exception, 4 to 6 bytes for each reference, and the text
+// of open intents.
 func (s *Segment) Encode() []byte {
 	out := make([]byte, 0, 16+s.Items/8+6*len(s.extents))
 	out = append(out, formatVersion)
@@ -46,7 +47,8 @@
 	return out
 }
 
-// DecodeSegment reads Encode's form.
+// DecodeSegment decodes the form that Encode writes. It returns ErrFormat for
+// malformed data.
 func DecodeSegment(data []byte) (Segment, error) {
 	reader := &reader{data: data}
 	if reader.byte() != formatVersion {
@@ -85,7 +87,7 @@
 	return append(out, text...)
 }
 
-// reader takes values off the front of data; after a failure all values are zero.
+// reader decodes values from the front of data. After a failure all values are zero.
 type reader struct {
 	data   []byte
 	failed bool
@@ -115,7 +117,7 @@
 	return 0
 }
 
-// count reads a number that is at most the limit.
+// count reads an unsigned number. A number above the limit is a failure.
 func (r *reader) count(limit int) int {
 	value, length := binary.Uvarint(r.data)
 	if r.failed || length <= 0 || limit < 0 || value > uint64(limit) {
--- a/internal/core/batch/job.go
+++ b/internal/core/batch/job.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Phase is where an item stands on the node that owns its job.
+// Phase is the processing state of an item on the node that owns its job.
 type Phase uint8
 
 // The phases. Only Final is durable.
 const (
-	Waiting  Phase = iota // to be run
-	Running               // an attempt is under way, or its intent is being settled
+	Waiting  Phase = iota // not running, and has no outcome
+	Running               // an attempt is in flight, or its intent is being resolved
 	Finished              // has an outcome that is not committed yet
 	Final
 )
@@ -25,7 +25,7 @@
 	Intent Intent
 }
 
-// Change is what one commit does to a job.
+// Change is the effect of one commit on a job.
 type Change struct {
 	// Outcomes become final; Reference is the object that holds their results.
 	Outcomes  []ItemOutcome
@@ -39,26 +39,26 @@
 	Segment Segment
 }
 
-// Job is one job's state on the node that owns it. It is not safe for
+// Job is the state of one job on the node that owns it. It is not safe for
 // concurrent use.
 type Job struct {
-	segments []Segment
-	counts   Counts // of the segments
-	first    []int  // index of each segment's first item
-	phases   []Phase
-	cursor   int   // no item before it is Waiting, but for those in returned
-	returned []int // items that were running and wait again, in order
-	closed   bool
+	segments   []Segment
+	counts     Counts // totals of all segments
+	firstIndex []int  // index of each segment's first item
+	phases     []Phase
+	cursor     int   // no item before it is Waiting, except those in returned
+	returned   []int // indexes of the items that ran and are Waiting again, ascending
+	closed     bool
 }
 
-// NewJob takes over a job from its durable segments. Items with an intent are
-// Running: Intents lists them, and the caller settles each.
+// NewJob returns a job loaded from its durable segments. Items with an intent are
+// Running: Intents lists them, and the caller must resolve each one.
 func NewJob(segments []Segment) *Job {
-	job := &Job{segments: segments, first: make([]int, len(segments))}
+	job := &Job{segments: segments, firstIndex: make([]int, len(segments))}
 	for number := range segments {
 		segment := &segments[number]
 		job.counts = job.counts.Add(segment.Counts())
-		job.first[number] = len(job.phases)
+		job.firstIndex[number] = len(job.phases)
 		for index := range segment.Items {
 			job.phases = append(job.phases, phaseOf(segment, index))
 		}
@@ -76,32 +76,32 @@
 	return Waiting
 }
 
-// Intents gives the items whose one attempt may be under way.
+// Intents returns the items whose only allowed attempt may be in flight.
 func (j *Job) Intents() []ItemIntent {
 	var all []ItemIntent
 	for number := range j.segments {
 		for _, index := range j.segments[number].Intents() {
 			intent, _ := j.segments[number].Intent(index)
-			all = append(all, ItemIntent{Index: j.first[number] + index, Intent: intent})
+			all = append(all, ItemIntent{Index: j.firstIndex[number] + index, Intent: intent})
 		}
 	}
 	return all
 }
 
-// Locate gives an item's segment and its index there.
+// Locate returns an item's segment and its offset in the segment.
 func (j *Job) Locate(index int) (segment, offset int) {
-	segment, exact := slices.BinarySearch(j.first, index)
+	segment, exact := slices.BinarySearch(j.firstIndex, index)
 	if !exact {
 		segment--
 	}
-	// Segments of no items share their first index with the next one.
-	for segment+1 < len(j.first) && j.first[segment+1] == index {
+	// Segments without items share their first index with the next segment.
+	for segment+1 < len(j.firstIndex) && j.firstIndex[segment+1] == index {
 		segment++
 	}
-	return segment, index - j.first[segment]
+	return segment, index - j.firstIndex[segment]
 }
 
-// Next gives the item that Take would take.
+// Next returns the item that Take would return, without taking it.
 func (j *Job) Next() (index int, found bool) {
 	if j.closed {
 		return 0, false
@@ -112,7 +112,7 @@
 	return j.NextFresh()
 }
 
-// NextFresh gives the first waiting item that has not run on this node.
+// NextFresh returns the first waiting item that has not run on this node.
 func (j *Job) NextFresh() (index int, found bool) {
 	for !j.closed && j.cursor < len(j.phases) && !j.fresh(j.cursor) {
 		j.cursor++
@@ -120,7 +120,7 @@
 	return j.cursor, !j.closed && j.cursor < len(j.phases)
 }
 
-// fresh says that an item waits and is not among those that ran before.
+// fresh reports whether an item is Waiting and has not run on this node.
 func (j *Job) fresh(index int) bool {
 	if j.phases[index] != Waiting {
 		return false
@@ -129,7 +129,8 @@
 	return !ran
 }
 
-// Take gives the next waiting item to run: those that ran before come first.
+// Take marks the next waiting item as Running and returns it. Items that already
+// ran on this node come first.
 func (j *Job) Take() (index int, found bool) {
 	index, found = j.Next()
 	if !found {
@@ -142,7 +143,8 @@
 	return index, true
 }
 
-// Return puts a running item back to wait.
+// Return puts a running item back to Waiting. It returns false if the job is
+// closed or the item is not Running.
 func (j *Job) Return(index int) bool {
 	if j.closed || j.phases[index] != Running {
 		return false
@@ -153,8 +155,8 @@
 	return true
 }
 
-// Finish gives a running item its outcome; false when the outcome is dropped,
-// since the job was closed or the item has ended already.
+// Finish marks a running item as Finished. It returns false if the outcome must be
+// dropped because the job is closed or the item is no longer Running.
 func (j *Job) Finish(index int) bool {
 	if j.closed || j.phases[index] != Running {
 		return false
@@ -163,33 +165,34 @@
 	return true
 }
 
-// Prepare gives the segments as they will be when the changes are committed; it
-// changes nothing. done says that every item is then final.
+// Prepare returns the modified segments as they will be once the changes are
+// committed, without changing the job. done is true if every item is then final.
+// A closed job gives no updates.
 func (j *Job) Prepare(changes ...Change) (updates []SegmentUpdate, done bool) {
 	if j.closed {
 		return nil, false
 	}
-	touched := make(map[int]*Segment)
+	modified := make(map[int]*Segment)
 	for _, change := range changes {
-		j.apply(change, touched)
+		j.apply(change, modified)
 	}
 	final := j.counts.Final()
-	for _, number := range sortedKeys(touched) {
-		final += touched[number].Counts().Final() - j.segments[number].Counts().Final()
-		updates = append(updates, SegmentUpdate{Number: number, Segment: *touched[number]})
+	for _, number := range sortedKeys(modified) {
+		final += modified[number].Counts().Final() - j.segments[number].Counts().Final()
+		updates = append(updates, SegmentUpdate{Number: number, Segment: *modified[number]})
 	}
 	return updates, final == len(j.phases)
 }
 
-// apply makes a change on copies of the segments that it touches.
-func (j *Job) apply(change Change, touched map[int]*Segment) {
+// apply applies a change to copies of the segments that it modifies.
+func (j *Job) apply(change Change, modified map[int]*Segment) {
 	segmentOf := func(index int) (*Segment, int) {
 		number, offset := j.Locate(index)
-		segment, copied := touched[number]
+		segment, copied := modified[number]
 		if !copied {
 			clone := j.segments[number].Clone()
 			segment = &clone
-			touched[number] = segment
+			modified[number] = segment
 		}
 		return segment, offset
 	}
@@ -207,31 +210,31 @@
 	}
 }
 
-// Committed takes over segments whose commit took effect.
+// Committed replaces the segments by updates whose commit took effect.
 func (j *Job) Committed(updates []SegmentUpdate) {
 	for _, update := range updates {
 		j.counts = j.counts.Subtract(j.segments[update.Number].Counts()).Add(update.Segment.Counts())
 		j.segments[update.Number] = update.Segment
 		for offset := range update.Segment.Items {
 			if update.Segment.Code(offset) != Open {
-				j.phases[j.first[update.Number]+offset] = Final
+				j.phases[j.firstIndex[update.Number]+offset] = Final
 			}
 		}
 	}
 }
 
-// Close ends the job on this node: it was cancelled, or its lease was lost.
-// Every later outcome is dropped.
+// Close stops the job on this node after a cancellation or the loss of its lease.
+// All later outcomes are dropped.
 func (j *Job) Close() { j.closed = true }
 
-// Closed says whether Close was called.
+// Closed reports whether Close was called.
 func (j *Job) Closed() bool { return j.closed }
 
-// Segment gives a segment's committed state.
+// Segment returns the committed state of a segment.
 func (j *Job) Segment(number int) *Segment { return &j.segments[number] }
 
-// Segments is the number of segments.
+// Segments returns the number of segments.
 func (j *Job) Segments() int { return len(j.segments) }
 
-// Counts counts the committed outcomes.
+// Counts returns the numbers of committed outcomes.
 func (j *Job) Counts() Counts { return j.counts }
--- a/internal/core/batch/job_test.go
+++ b/internal/core/batch/job_test.go
@@ -13,13 +13,13 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// naiveJob is the twin of Job: one plain record for each item.
-type naiveJob struct {
-	items  []naiveItem
+// referenceJob is the reference model of Job, with one record for each item.
+type referenceJob struct {
+	items  []referenceItem
 	closed bool
 }
 
-type naiveItem struct {
+type referenceItem struct {
 	segment   int
 	phase     Phase
 	ran       bool
@@ -28,7 +28,7 @@
 	reference Reference
 }
 
-func (n *naiveJob) next() (int, bool) {
+func (n *referenceJob) next() (int, bool) {
 	for _, ran := range []bool{true, false} {
 		for index, item := range n.items {
 			if !n.closed && item.phase == Waiting && item.ran == ran {
@@ -39,7 +39,7 @@
 	return 0, false
 }
 
-func (n *naiveJob) indexes(phase Phase) (found []int) {
+func (n *referenceJob) indexes(phase Phase) (found []int) {
 	for index, item := range n.items {
 		if item.phase == phase {
 			found = append(found, index)
@@ -48,12 +48,12 @@
 	return found
 }
 
-// jobTest drives a Job and its twin by the same events.
+// jobTest applies the same events to a Job and its reference model.
 type jobTest struct {
 	sizes    []int
 	job      *Job
-	naive    naiveJob
-	stored   [][]byte // the segments as committed
+	model    referenceJob
+	stored   [][]byte // the committed segments, encoded
 	sequence uint64
 }
 
@@ -63,14 +63,14 @@
 		segment := NewSegment(size)
 		test.stored = append(test.stored, segment.Encode())
 		for range size {
-			test.naive.items = append(test.naive.items, naiveItem{segment: number})
+			test.model.items = append(test.model.items, referenceItem{segment: number})
 		}
 	}
 	test.reload(t)
 	return test
 }
 
-// reload is another node taking the job over from its durable state.
+// reload loads the job from its durable state, as a node does that takes it over.
 func (j *jobTest) reload(t *rapid.T) {
 	segments := make([]Segment, len(j.stored))
 	for number, data := range j.stored {
@@ -79,9 +79,9 @@
 			t.Fatal(err)
 		}
 	}
-	j.job, j.naive.closed = NewJob(segments), false
-	for index := range j.naive.items {
-		item := &j.naive.items[index]
+	j.job, j.model.closed = NewJob(segments), false
+	for index := range j.model.items {
+		item := &j.model.items[index]
 		item.ran = false
 		switch {
 		case item.code != Open:
@@ -96,21 +96,21 @@
 
 func (j *jobTest) take(t *rapid.T) {
 	index, found := j.job.Take()
-	want, wantFound := j.naive.next()
+	want, wantFound := j.model.next()
 	if found != wantFound || found && index != want {
-		t.Fatalf("took %d %v, want %d %v", index, found, want, wantFound)
+		t.Fatalf("Take returned %d %v, want %d %v", index, found, want, wantFound)
 	}
 	if found {
-		j.naive.items[index].phase = Running
+		j.model.items[index].phase = Running
 	}
 }
 
 func (j *jobTest) giveBack(t *rapid.T) {
-	index := rapid.IntRange(0, len(j.naive.items)-1).Draw(t, "index")
-	item := &j.naive.items[index]
-	want := !j.naive.closed && item.phase == Running
+	index := rapid.IntRange(0, len(j.model.items)-1).Draw(t, "index")
+	item := &j.model.items[index]
+	want := !j.model.closed && item.phase == Running
 	if got := j.job.Return(index); got != want {
-		t.Fatalf("return of %d: %v, want %v", index, got, want)
+		t.Fatalf("Return(%d): %v, want %v", index, got, want)
 	}
 	if want {
 		item.phase, item.ran = Waiting, true
@@ -118,65 +118,65 @@
 }
 
 func (j *jobTest) finish(t *rapid.T) {
-	index := rapid.IntRange(0, len(j.naive.items)-1).Draw(t, "index")
-	item := &j.naive.items[index]
-	want := !j.naive.closed && item.phase == Running
+	index := rapid.IntRange(0, len(j.model.items)-1).Draw(t, "index")
+	item := &j.model.items[index]
+	want := !j.model.closed && item.phase == Running
 	if got := j.job.Finish(index); got != want {
-		t.Fatalf("finish of %d: %v, want %v", index, got, want)
+		t.Fatalf("Finish(%d): %v, want %v", index, got, want)
 	}
 	if want {
 		item.phase = Finished
 	}
 }
 
-// commit makes some finished items final, and records the intents of some running ones.
+// commit makes some finished items final and records intents for some running items.
 func (j *jobTest) commit(t *rapid.T) {
 	j.sequence++
 	change := Change{Reference: Reference{Epoch: 1 + j.sequence%3, Sequence: j.sequence}}
-	for _, index := range j.naive.indexes(Finished) {
+	for _, index := range j.model.indexes(Finished) {
 		if rapid.Bool().Draw(t, "commits") {
 			change.Outcomes = append(change.Outcomes, ItemOutcome{index, rapid.SampledFrom([]Code{Completed, Failed, Unknown}).Draw(t, "code")})
 		}
 	}
-	for _, index := range j.naive.indexes(Running) {
+	for _, index := range j.model.indexes(Running) {
 		if rapid.IntRange(0, 3).Draw(t, "intends") == 0 {
 			intent := Intent{Attempt: identity.AttemptID(fmt.Sprintf("a%d", j.sequence)), Engine: "e"}
 			change.Intents = append(change.Intents, ItemIntent{index, intent})
 		}
 	}
 	updates, done := j.job.Prepare(change)
-	if j.naive.closed || rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
-		if j.naive.closed && updates != nil {
-			t.Fatal("a closed job prepares a commit")
+	if j.model.closed || rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
+		if j.model.closed && updates != nil {
+			t.Fatal("Prepare returned updates for a closed job")
 		}
-		return // the store refused it; nothing may have changed
+		return // the store rejected the commit, so no state may have changed
 	}
 	for _, update := range updates {
 		j.stored[update.Number] = update.Segment.Encode()
 	}
 	j.job.Committed(updates)
 	for _, outcome := range change.Outcomes {
-		item := &j.naive.items[outcome.Index]
+		item := &j.model.items[outcome.Index]
 		item.phase, item.code, item.reference, item.intent = Final, outcome.Code, change.Reference, Intent{}
 	}
 	for _, intended := range change.Intents {
-		j.naive.items[intended.Index].intent = intended.Intent
+		j.model.items[intended.Index].intent = intended.Intent
 	}
-	if want := len(j.naive.indexes(Final)) == len(j.naive.items); done != want {
+	if want := len(j.model.indexes(Final)) == len(j.model.items); done != want {
 		t.Fatalf("done %v, want %v", done, want)
 	}
 }
 
 func (j *jobTest) check(t *rapid.T) {
 	var want Counts
-	for index, item := range j.naive.items {
+	for index, item := range j.model.items {
 		number, offset := j.job.Locate(index)
 		segment := j.job.Segment(number)
 		if number != item.segment || segment.Code(offset) != item.code {
 			t.Fatalf("item %d: segment %d code %d, want %+v", index, number, segment.Code(offset), item)
 		}
 		if item.code != Open && !slices.Contains(segment.References(offset, offset+1), item.reference) {
-			t.Fatalf("item %d is final and its object is not referred to", index)
+			t.Fatalf("item %d is final, but the segment has no reference to its object", index)
 		}
 		if intent, found := segment.Intent(offset); found != (item.intent != Intent{}) || intent != item.intent {
 			t.Fatalf("item %d: intent %v, want %v", index, intent, item.intent)
@@ -197,13 +197,13 @@
 	}
 }
 
-func TestJobBehavesLikeItsNaiveTwin(t *testing.T) {
+func TestJobMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := newJobTest(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"take": test.take, "give back": test.giveBack, "finish": test.finish, "commit": test.commit,
 			"another node": test.reload,
-			"close":        func(*rapid.T) { test.job.Close(); test.naive.closed = true },
+			"close":        func(*rapid.T) { test.job.Close(); test.model.closed = true },
 			"":             test.check,
 		})
 	})
@@ -229,7 +229,7 @@
 	})
 }
 
-func TestSchedulerPicksLikeItsNaiveTwinAndStarvesNone(t *testing.T) {
+func TestSchedulerMatchesReferenceModelAndStarvesNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_000_000, 0)
 		var candidates []Candidate
@@ -243,16 +243,16 @@
 		}
 		var scheduler Scheduler
 		last := make(map[identity.JobID]int)
-		for pick := 1; pick <= 4*TurnEvery*len(candidates); pick++ {
+		for pick := 1; pick <= 4*FairPickInterval*len(candidates); pick++ {
 			now := start.Add(time.Duration(pick) * time.Second)
-			want := naivePick(now, candidates, last, pick%TurnEvery == 0)
+			want := referencePick(now, candidates, last, pick%FairPickInterval == 0)
 			got := scheduler.Pick(now, candidates)
 			if got != want {
 				t.Fatalf("pick %d: %d, want %d", pick, got, want)
 			}
 			last[candidates[got].Job] = pick
 			for _, candidate := range candidates {
-				if wait := pick - last[candidate.Job]; wait > TurnEvery*len(candidates) {
+				if wait := pick - last[candidate.Job]; wait > FairPickInterval*len(candidates) {
 					t.Fatalf("job %s was not picked for %d picks", candidate.Job, wait)
 				}
 			}
@@ -260,14 +260,15 @@
 	})
 }
 
-// naivePick sorts all candidates anew by the rule's own words.
-func naivePick(now time.Time, candidates []Candidate, last map[identity.JobID]int, turn bool) int {
+// referencePick is the reference model of Scheduler.Pick. It sorts all candidates
+// for each pick.
+func referencePick(now time.Time, candidates []Candidate, last map[identity.JobID]int, fairPick bool) int {
 	order := make([]int, len(candidates))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		if turn {
+		if fairPick {
 			return last[candidates[a].Job] - last[candidates[b].Job]
 		}
 		key := func(c Candidate) float64 {
@@ -300,8 +301,9 @@
 	}
 }
 
-// BenchmarkTransitions takes, finishes and commits a job of the largest size
-// in groups of 16, as a node at its average share of the target rate does.
+// BenchmarkTransitions takes, finishes and commits the items of a job of the
+// largest size in groups of 16, like a node at its average share of the target
+// rate.
 func BenchmarkTransitions(b *testing.B) {
 	const items, group = 72_000, 16
 	segments := make([]Segment, items/1000)
--- a/internal/core/batch/model_steps_test.go
+++ b/internal/core/batch/model_steps_test.go
@@ -10,14 +10,14 @@
 	"ringstream.example/ringstream/internal/core/lease"
 )
 
-// step is one thing that can happen next; do changes a copy of the world.
+// step is one possible transition. do is called on a copy of the world.
 type step struct {
 	name  string
 	fault bool
 	do    func(w *world)
 }
 
-// steps gives all that can happen in a state.
+// steps returns all possible transitions of the current state.
 func (w *world) steps() []step {
 	var all []step
 	add := func(fault bool, name string, do func(w *world)) { all = append(all, step{name, fault, do}) }
@@ -29,14 +29,15 @@
 	}
 	w.requestSteps("accept", add, func(w *world) **request { return &w.accept }, (*world).accepted)
 	if w.cancel != nil && w.cancel.answer == "" {
-		// From its effect on no completion may follow, whenever the answer comes.
+		// No completion may follow once the cancellation has taken effect, even if
+		// its answer arrives later.
 		add(false, "cancel takes effect", (*world).cancelled)
 	}
-	for i := range w.ghosts {
+	for i := range w.lateRequests {
 		add(true, "late request", func(w *world) {
-			ghost := w.ghosts[i].clone()
-			w.ghosts = append(w.ghosts[:i:i], w.ghosts[i+1:]...)
-			w.apply(ghost)
+			late := w.lateRequests[i].clone()
+			w.lateRequests = append(w.lateRequests[:i:i], w.lateRequests[i+1:]...)
+			w.apply(late)
 		})
 	}
 	for i := range w.nodes {
@@ -45,8 +46,8 @@
 	return all
 }
 
-// requestSteps are those of a request: it takes effect, and its answer comes or
-// is lost; a lost one is asked again.
+// requestSteps adds the transitions of a request: it takes effect, and its answer
+// arrives or is lost. A request with a lost answer is sent again.
 func (w *world) requestSteps(name string, add func(bool, string, func(*world)), at func(*world) **request, done func(*world, *request)) {
 	r := *at(w)
 	if r == nil || r.answer == "done" {
@@ -57,7 +58,7 @@
 		if w.duplicates > 0 && (r.kind == "items" || w.claims == 0) { // claims compare what they write
 			add(true, name+" is asked again while the first is on its way", func(w *world) {
 				w.duplicates--
-				w.ghosts = append(w.ghosts, (*at(w)).clone())
+				w.lateRequests = append(w.lateRequests, (*at(w)).clone())
 			})
 		}
 		return
@@ -92,10 +93,10 @@
 	w.acknowledged = w.bug == acknowledgeEarly
 }
 
-// tookEffect settles an answer as the store's client does: a conflict with a
-// record that the request wrote itself means that it had taken effect.
+// tookEffect evaluates an answer like the store's client: a conflict with a record
+// that the request itself wrote means that the request had taken effect.
 func (r *request) tookEffect() bool {
-	for _, writer := range r.writer {
+	for _, writer := range r.conflictWriters {
 		if writer == r.id {
 			return true
 		}
@@ -111,7 +112,7 @@
 }
 
 func (w *world) beginCancel() {
-	w.cancel = w.next("cancel", 0, map[string]uint64{"header": w.headerAt})
+	w.cancel = w.next("cancel", 0, map[string]uint64{"header": w.headerVersion})
 	w.cancel.header = cancelled
 }
 
@@ -120,7 +121,7 @@
 	if w.cancel.answer == "applied" {
 		w.cancelAnswered = true
 		for index := range modelItems {
-			w.atCancel[index] = w.segment.Code(index)
+			w.codesAtCancel[index] = w.segment.Code(index)
 		}
 	}
 	w.cancel = &request{answer: "done"}
@@ -160,8 +161,8 @@
 			add(false, name("finds the engine gone"), func(w *world) { w.finish(i, ItemOutcome{index, Unknown}) })
 		}
 	}
-	if r := node.pending; r != nil && len(r.intents) > 0 && node.job.phases[once] == Running && !node.sent[once] {
-		add(true, name("gives the intent up"), func(w *world) { w.nodes[i].job.Return(once) })
+	if r := node.pending; r != nil && len(r.intents) > 0 && node.job.phases[nonRepeatableItem] == Running && !node.sent[nonRepeatableItem] {
+		add(true, name("gives the intent up"), func(w *world) { w.nodes[i].job.Return(nonRepeatableItem) })
 	}
 	if node.pending == nil && len(node.ready) > 0 {
 		add(false, name("commits"), func(w *world) { w.commit(i, nil) })
@@ -172,12 +173,12 @@
 	w.crashes--
 	node := &w.nodes[i]
 	if node.pending != nil && node.pending.answer == "" {
-		w.ghosts = append(w.ghosts, node.pending)
+		w.lateRequests = append(w.lateRequests, node.pending)
 	}
 	if i == 0 && w.accept != nil && w.accept.answer != "done" {
 		if w.accept.answer == "" && w.duplicates > 0 {
 			w.duplicates--
-			w.ghosts = append(w.ghosts, w.accept)
+			w.lateRequests = append(w.lateRequests, w.accept)
 		}
 		w.accept = &request{answer: "done"}
 	}
@@ -203,7 +204,7 @@
 func (w *world) load(i int) {
 	node := &w.nodes[i]
 	node.job = NewJob([]Segment{w.segment.Clone()})
-	node.segment, node.header = w.segmentAt, w.headerAt
+	node.segment, node.header = w.segmentVersion, w.headerVersion
 	node.ready, node.sent, node.intended = nil, [modelItems]bool{}, [modelItems]bool{}
 	if w.bug == resendIntent {
 		node.job.segments[0].intents = nil
@@ -214,8 +215,9 @@
 func (w *world) take(i int) {
 	node := &w.nodes[i]
 	index, _ := node.job.Take()
-	if index != once {
-		// Its attempt touches nothing that others see, and may end at once.
+	if index != nonRepeatableItem {
+		// The attempt has no effect that another node or the store sees, so the
+		// model may end it immediately.
 		w.finish(i, ItemOutcome{index, Completed})
 		return
 	}
@@ -228,7 +230,7 @@
 
 func (w *world) send(i, index int) {
 	w.nodes[i].sent[index] = true
-	w.sends[index]++
+	w.sendCounts[index]++
 }
 
 func (w *world) finish(i int, outcome ItemOutcome) {
@@ -239,7 +241,7 @@
 	}
 }
 
-// commit makes the transaction that the runner would.
+// commit submits the transaction that the runner would submit.
 func (w *world) commit(i int, intents []ItemIntent) {
 	node := &w.nodes[i]
 	updates, done := node.job.Prepare(Change{Outcomes: node.ready, Reference: Reference{1, 1}}, Change{Intents: intents})
@@ -262,16 +264,16 @@
 	node.ready, node.pending = nil, r
 }
 
-// answered takes the answer to a node's request as the keeper and the runner do.
+// answered handles the answer to a node's request like the keeper and the runner.
 func (w *world) answered(i int, r *request) {
 	node := &w.nodes[i]
 	node.pending = nil
 	if r.kind == "claim" {
 		switch {
-		case r.answer == "applied" && r.versions != nil:
-			node.machine.Claimed(r.versions["shard"])
+		case r.answer == "applied" && r.newVersions != nil:
+			node.machine.Claimed(r.newVersions["shard"])
 		case r.tookEffect() || w.bug == trustLostAnswer:
-			node.machine.ShardRead(w.shard, false) // as at the keeper's next look
+			node.machine.ShardRead(w.shard, false) // as in the keeper's next poll
 		}
 		node.job = nil
 		return
@@ -280,9 +282,9 @@
 		w.conflicted(i, r)
 		return
 	}
-	version, known := r.versions["segment"]
+	version, known := r.newVersions["segment"]
 	if !known {
-		version = w.segmentAt
+		version = w.segmentVersion
 	}
 	node.segment = version
 	node.job.Committed([]SegmentUpdate{{Number: 0, Segment: r.segment.Clone()}})
@@ -296,19 +298,20 @@
 
 func (w *world) conflicted(i int, r *request) {
 	node := &w.nodes[i]
-	if _, fenced := r.writer["shard"]; fenced {
+	if _, fenced := r.conflictWriters["shard"]; fenced {
 		node.machine.Lost()
 		node.job = nil
 		return
 	}
-	if _, ended := r.writer["header"]; ended {
+	if _, ended := r.conflictWriters["header"]; ended {
 		node.job.Close()
 		return
 	}
-	node.job = nil // the segment was written by another: read it again
+	node.job = nil // another request wrote the segment, so it must be loaded again
 }
 
-// explore visits every state and gives the shortest way to a violation, if any.
+// explore visits the states reachable from start in breadth-first order, up to the
+// limit. If a state violates an invariant, it returns the shortest trace to it.
 func explore(start *world, limit int) (states int, trace []string) {
 	type visit struct {
 		world *world
@@ -347,34 +350,34 @@
 	return len(seen), nil
 }
 
-// modelLimit is above the number of states of each exploration.
-const modelLimit = 400_000
+// maxStates exceeds the number of states of each exploration.
+const maxStates = 400_000
 
-// budgets are explored one by one: all at once the states are too many to visit
-// in a test. A pause needs no budget.
-var budgets = map[string]faults{
+// faultBudgets are explored one at a time, because the states of all faults
+// together are too many to visit in a test. A pause needs no budget.
+var faultBudgets = map[string]faults{
 	"lost answer": {lost: 1}, "request that arrives twice": {duplicates: 1}, "crash": {crashes: 1},
 }
 
-// acceptance is a world in which no node claims, with every fault.
-func acceptance(planted bug) *world {
+// acceptanceWorld returns a world with every fault in which no node claims the shard.
+func acceptanceWorld(planted bug) *world {
 	w := newWorld(planted, faults{lost: 1, duplicates: 1, crashes: 1})
 	w.claims = 0
 	return w
 }
 
 func TestModelOfLeaseCommitAndCancelHoldsItsInvariants(t *testing.T) {
-	for name, budget := range budgets {
+	for name, budget := range faultBudgets {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if _, trace := explore(acceptance(noBug), modelLimit); trace != nil {
+			if _, trace := explore(acceptanceWorld(noBug), maxStates); trace != nil {
 				t.Fatalf("acceptance: %q", trace)
 			}
-			states, trace := explore(newWorld(noBug, budget).withJob(), modelLimit)
+			states, trace := explore(newWorld(noBug, budget).withJob(), maxStates)
 			if trace != nil {
 				t.Fatalf("after %d states: %q", states, trace)
 			}
-			if states >= modelLimit {
+			if states >= maxStates {
 				t.Fatalf("not all states were visited in %d", states)
 			}
 			t.Logf("%d states", states)
@@ -390,12 +393,12 @@
 	for name, planted := range planted {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if states, trace := explore(acceptance(planted), modelLimit); trace != nil {
+			if states, trace := explore(acceptanceWorld(planted), maxStates); trace != nil {
 				t.Logf("caught at the acceptance after %d states: %q", states, trace)
 				return
 			}
-			for fault, budget := range budgets {
-				if states, trace := explore(newWorld(planted, budget).withJob(), modelLimit); trace != nil {
+			for fault, budget := range faultBudgets {
+				if states, trace := explore(newWorld(planted, budget).withJob(), maxStates); trace != nil {
 					t.Logf("caught with a %s after %d states: %q", fault, states, trace)
 					return
 				}
--- a/internal/core/batch/model_test.go
+++ b/internal/core/batch/model_test.go
@@ -10,32 +10,33 @@
 	"ringstream.example/ringstream/internal/core/lease"
 )
 
-// This file explores every interleaving of two nodes that accept, run, hand
-// over and cancel one job of two items, item 1 of which must not be repeated,
-// over a store whose answers can be lost once, whose requests can arrive twice,
-// and with one crash. A pause is any node that takes no step while others do. The
-// nodes run the machines of this package and of package lease; what the runner
-// puts round them (which compares a commit carries, what is done in which
-// order) is restated here, each rule with a switch that breaks it.
+// This file is a model checker. It explores every interleaving of two nodes that
+// accept, run, hand over and cancel one job of two items, of which item 1 must not
+// be repeated. The faults are a lost answer of the store, a request that arrives
+// twice, and a crash of a node. A pause needs no step of its own: it is a node that
+// takes no step while others do. The nodes run the state machines of this package
+// and of package lease. The runner's part (the compares of each commit and the
+// order of its operations) is restated here, and each of its rules has a switch
+// that breaks it.
 
-// bug is a rule that the model breaks on purpose.
+// bug selects a rule that the model breaks on purpose.
 type bug int
 
 const (
-	noBug             bug = iota
-	skipLeaseCompare      // completions and intents do not compare the lease
-	skipHeaderCompare     // nor the job's header
-	skipSegmentCompare
-	acknowledgeEarly // the caller is answered before the commit's answer
-	sendEarly        // sent before the intent is durable
-	resendIntent     // an item with an intent is run again by the next holder
-	trustLostAnswer  // a lost answer is taken as applied
+	noBug              bug = iota
+	skipLeaseCompare       // completions and intents do not compare the lease
+	skipHeaderCompare      // completions and intents do not compare the job's header
+	skipSegmentCompare     // completions and intents do not compare the segment
+	acknowledgeEarly       // the caller is answered before the store answers the commit
+	sendEarly              // the item is sent before its intent is durable
+	resendIntent           // the next lease holder runs an item with an intent again
+	trustLostAnswer        // a request whose answer is lost counts as applied
 )
 
 const (
-	modelNodes = 2
-	modelItems = 2
-	once       = 1 // the item that must not be repeated
+	modelNodes        = 2
+	modelItems        = 2
+	nonRepeatableItem = 1 // index of the item that must not be repeated
 )
 
 type headerState int
@@ -47,31 +48,31 @@
 	completed
 )
 
-// request is a transaction on its way, or waiting for its answer.
+// request is a store transaction that is in flight or whose answer is in flight.
 type request struct {
-	id       int
-	kind     string // "accept", "claim", "items", "cancel"
-	node     int
-	epoch    uint64            // of the lease under which it was made
-	compares map[string]uint64 // record -> version
-	segment  *Segment          // written, when not nil
-	header   headerState       // written, when not absent
-	shard    *lease.Record     // written, when not nil
-	outcomes []ItemOutcome     // that the commit makes final
-	intents  []ItemIntent      // that it makes durable
-	answer   string            // "": on its way; else "applied" or "conflict"
-	writer   map[string]int    // on a conflict: who wrote the records that failed
-	versions map[string]uint64 // when applied
+	id              int
+	kind            string // "accept", "claim", "items", "cancel"
+	node            int
+	epoch           uint64            // of the lease under which it was made
+	compares        map[string]uint64 // expected version of each compared record
+	segment         *Segment          // written, unless nil
+	header          headerState       // written, unless absent
+	shard           *lease.Record     // written, unless nil
+	outcomes        []ItemOutcome     // made final by the commit
+	intents         []ItemIntent      // made durable by the commit
+	answer          string            // "": not processed yet; "applied", "conflict", or "done" once handled
+	conflictWriters map[string]int    // after a conflict: last writer of each record whose compare failed
+	newVersions     map[string]uint64 // versions of the written records, once applied
 }
 
 type modelNode struct {
 	crashed  int
 	machine  lease.Machine
 	job      *Job
-	segment  uint64 // version of the segment's record
-	header   uint64
-	ready    []ItemOutcome
-	intended [modelItems]bool // its intent is durable and it may be sent
+	segment  uint64           // version of the segment's record, as loaded or last written
+	header   uint64           // version of the job's header, as loaded
+	ready    []ItemOutcome    // outcomes that are not committed yet
+	intended [modelItems]bool // the item's intent is durable, and the item may be sent
 	sent     [modelItems]bool
 	pending  *request
 }
@@ -80,28 +81,28 @@
 	bug      bug
 	version  uint64
 	sequence int
-	// The store.
-	shard     lease.Versioned
-	header    headerState
-	headerAt  uint64
-	segment   Segment
-	segmentAt uint64
-	// The requests that wrote the records last.
-	segmentBy, shardBy, headerBy int
-	ghosts                       []*request // copies of requests that may still arrive
-	// Engines, clients and the budgets of faults.
-	sends                        [modelItems]int
+	// Records of the store, and their versions.
+	shard          lease.Versioned
+	header         headerState
+	headerVersion  uint64
+	segment        Segment
+	segmentVersion uint64
+	// The request that last wrote each record.
+	segmentWriter, shardWriter, headerWriter int
+	lateRequests                             []*request // copies of requests that may still arrive
+	// Engines, clients and the remaining fault budgets.
+	sendCounts                   [modelItems]int
 	acknowledged, cancelAnswered bool
 	accept, cancel               *request
-	final                        [modelItems]Code // as first seen
-	atCancel                     [modelItems]Code
+	finalCodes                   [modelItems]Code // codes at the previous check
+	codesAtCancel                [modelItems]Code
 	lost, duplicates, crashes    int
 	claims                       int
 	nodes                        [modelNodes]modelNode
 	violation                    string
 }
 
-// faults are how often each fault may happen.
+// faults is the budget of each fault: how often it may happen.
 type faults struct{ lost, duplicates, crashes int }
 
 func newWorld(planted bug, budget faults) *world {
@@ -112,25 +113,26 @@
 	return w
 }
 
-// withJob starts after the acceptance, which newWorld explores by itself.
+// withJob changes w to the state after the job's acceptance, which is explored
+// separately from acceptanceWorld.
 func (w *world) withJob() *world {
 	w.accept = &request{answer: "done"}
-	w.header, w.headerAt, w.acknowledged = open, 1, true
+	w.header, w.headerVersion, w.acknowledged = open, 1, true
 	w.version = 1
 	return w
 }
 
-func modelMachine(node, life int) lease.Machine {
-	machine := lease.Machine{Node: identity.NodeID(fmt.Sprint(node)), Session: fmt.Sprintf("s%d.%d", node, life), TimeToLive: time.Second}
+func modelMachine(node, restarts int) lease.Machine {
+	machine := lease.Machine{Node: identity.NodeID(fmt.Sprint(node)), Session: fmt.Sprintf("s%d.%d", node, restarts), TimeToLive: time.Second}
 	machine.Want(true)
 	return machine
 }
 
-// clone copies a world; requests are immutable but for pending ones.
+// clone copies a world. Requests are shared, except those that may still change.
 func (w *world) clone() *world {
 	c := *w
 	c.segment = w.segment.Clone()
-	c.ghosts = slices.Clone(w.ghosts)
+	c.lateRequests = slices.Clone(w.lateRequests)
 	c.accept, c.cancel = w.accept.clone(), w.cancel.clone()
 	for i := range c.nodes {
 		node := &c.nodes[i]
@@ -154,20 +156,20 @@
 	return &c
 }
 
-// key names a state. Versions only rise and are only compared for equality, so
-// a version counts by whether it is still the current one.
+// key returns a key that identifies the state. Versions only increase and are only
+// compared for equality, so the key contains only whether a version is current.
 func (w *world) key() []byte {
 	b := make([]byte, 0, 512)
 	b = append(b, w.shard.Record.Session...)
-	b = append(b, byte(w.shard.Record.Epoch), byte(w.header), byte(w.sends[once]), flags(w.acknowledged, w.cancelAnswered),
-		byte(w.final[0]), byte(w.final[1]), byte(w.atCancel[0]), byte(w.atCancel[1]), byte(w.lost), byte(w.duplicates), byte(w.crashes), byte(w.claims))
+	b = append(b, byte(w.shard.Record.Epoch), byte(w.header), byte(w.sendCounts[nonRepeatableItem]), flags(w.acknowledged, w.cancelAnswered),
+		byte(w.finalCodes[0]), byte(w.finalCodes[1]), byte(w.codesAtCancel[0]), byte(w.codesAtCancel[1]), byte(w.lost), byte(w.duplicates), byte(w.crashes), byte(w.claims))
 	b = append(b, w.segment.Encode()...)
-	ghosts := make([]string, 0, len(w.ghosts))
-	for _, ghost := range w.ghosts {
-		ghosts = append(ghosts, string(w.requestKey(nil, ghost)))
+	lateKeys := make([]string, 0, len(w.lateRequests))
+	for _, late := range w.lateRequests {
+		lateKeys = append(lateKeys, string(w.requestKey(nil, late)))
 	}
-	slices.Sort(ghosts)
-	b = append(b, strings.Join(ghosts, "+")...)
+	slices.Sort(lateKeys)
+	b = append(b, strings.Join(lateKeys, "+")...)
 	b = w.requestKey(w.requestKey(b, w.accept), w.cancel)
 	for i := range w.nodes {
 		b = w.nodeKey(b, &w.nodes[i])
@@ -186,7 +188,7 @@
 	if node.job == nil {
 		return b
 	}
-	b = append(b, flags(node.segment == w.segmentAt, node.header == w.headerAt, node.job.closed), byte(len(node.job.returned)))
+	b = append(b, flags(node.segment == w.segmentVersion, node.header == w.headerVersion, node.job.closed), byte(len(node.job.returned)))
 	b = append(b, node.job.segments[0].Encode()...)
 	for index, phase := range node.job.phases {
 		running := phase == Running
@@ -224,8 +226,8 @@
 	b = outcomesKey(b, r.outcomes)
 	for _, name := range [...]string{"shard", "header", "segment"} {
 		version, compared := r.compares[name]
-		written, wrote := r.versions[name]
-		b = append(b, flags(compared, version == current[name], r.id == writers[name], wrote, written == current[name], r.writer[name] == r.id, r.writer[name] != 0))
+		written, wrote := r.newVersions[name]
+		b = append(b, flags(compared, version == current[name], r.id == writers[name], wrote, written == current[name], r.conflictWriters[name] == r.id, r.conflictWriters[name] != 0))
 	}
 	if r.segment != nil {
 		b = append(b, r.segment.Encode()...)
@@ -233,72 +235,73 @@
 	return append(b, '>')
 }
 
-// store gives the current versions of the records, and who wrote them.
+// store returns the shard record, and the current version and last writer of each record.
 func (w *world) store() (shard lease.Record, versions map[string]uint64, writers map[string]int) {
-	return w.shard.Record, map[string]uint64{"shard": w.shard.Version, "header": w.headerAt, "segment": w.segmentAt},
-		map[string]int{"shard": w.shardBy, "header": w.headerBy, "segment": w.segmentBy}
+	return w.shard.Record, map[string]uint64{"shard": w.shard.Version, "header": w.headerVersion, "segment": w.segmentVersion},
+		map[string]int{"shard": w.shardWriter, "header": w.headerWriter, "segment": w.segmentWriter}
 }
 
-// apply is the store: all compares or nothing.
+// apply processes a request like the store: it writes all records if all compares
+// hold, and otherwise none.
 func (w *world) apply(r *request) {
 	_, current, writers := w.store()
-	r.answer, r.writer = "applied", nil
+	r.answer, r.conflictWriters = "applied", nil
 	for record, version := range r.compares {
 		if current[record] != version {
 			r.answer = "conflict"
-			if r.writer == nil {
-				r.writer = map[string]int{}
+			if r.conflictWriters == nil {
+				r.conflictWriters = map[string]int{}
 			}
-			r.writer[record] = writers[record]
+			r.conflictWriters[record] = writers[record]
 		}
 	}
 	if r.answer != "applied" {
 		return
 	}
 	if r.kind == "items" && r.epoch != w.shard.Record.Epoch {
-		w.violate("a write under epoch %d took effect under epoch %d", r.epoch, w.shard.Record.Epoch)
+		w.reportViolation("a write under epoch %d took effect under epoch %d", r.epoch, w.shard.Record.Epoch)
 	}
-	r.versions = map[string]uint64{}
+	r.newVersions = map[string]uint64{}
 	w.version++
 	if r.segment != nil {
-		w.segment, w.segmentAt, w.segmentBy = r.segment.Clone(), w.version, r.id
-		r.versions["segment"] = w.version
+		w.segment, w.segmentVersion, w.segmentWriter = r.segment.Clone(), w.version, r.id
+		r.newVersions["segment"] = w.version
 	}
 	if r.header != absent {
-		w.header, w.headerAt, w.headerBy = r.header, w.version, r.id
-		r.versions["header"] = w.version
+		w.header, w.headerVersion, w.headerWriter = r.header, w.version, r.id
+		r.newVersions["header"] = w.version
 	}
 	if r.shard != nil {
-		w.shard, w.shardBy = lease.Versioned{Record: *r.shard, Version: w.version}, r.id
-		r.versions["shard"] = w.version
+		w.shard, w.shardWriter = lease.Versioned{Record: *r.shard, Version: w.version}, r.id
+		r.newVersions["shard"] = w.version
 	}
 }
 
-func (w *world) violate(format string, arguments ...any) {
+func (w *world) reportViolation(format string, arguments ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, arguments...)
 	}
 }
 
-// check holds the invariants against the store and the engines.
+// check checks the invariants on the state of the store and the engines.
 func (w *world) check() {
 	if w.acknowledged && w.header == absent {
-		w.violate("an acknowledged job does not exist")
+		w.reportViolation("an acknowledged job does not exist")
 	}
-	if w.sends[once] > 1 {
-		w.violate("an item that must not be repeated was sent %d times", w.sends[once])
+	if w.sendCounts[nonRepeatableItem] > 1 {
+		w.reportViolation("an item that must not be repeated was sent %d times", w.sendCounts[nonRepeatableItem])
 	}
 	for index := range modelItems {
 		code := w.segment.Code(index)
-		if w.final[index] != Open && code != w.final[index] {
-			w.violate("the outcome of item %d changed", index)
+		if w.finalCodes[index] != Open && code != w.finalCodes[index] {
+			w.reportViolation("the outcome of item %d changed", index)
 		}
-		w.final[index] = code
-		if w.cancelAnswered && code != w.atCancel[index] {
-			w.violate("item %d completed after the cancellation", index)
+		w.finalCodes[index] = code
+		if w.cancelAnswered && code != w.codesAtCancel[index] {
+			w.reportViolation("item %d completed after the cancellation", index)
 		}
 		if w.header == completed && code == Open {
-			w.violate("a completed job has an open item")
+			w.reportViolation("a completed job has an open item")
 		}
 	}
 }
--- a/internal/core/batch/segment.go
+++ b/internal/core/batch/segment.go
@@ -1,9 +1,9 @@
-// Package batch holds the state machines of batch work: a segment of items
-// as it is stored, and a job as the node that owns it runs it. It does no I/O.
+// Package batch implements the state machines of batch work: the stored segment
+// of items, and the job on the node that owns it. It does no I/O.
 //
-// An item moves Waiting -> Running -> Finished -> final. Only the last step is
-// durable: an item is final when a committed segment says so, and it never
-// leaves that state. Everything before it may be forgotten at any moment.
+// An item moves Waiting -> Running -> Finished -> Final. Only the last state is
+// durable: an item is final once a committed segment records its outcome, and it
+// never leaves that state. All earlier states may be lost at any time.
 package batch
 
 import (
@@ -17,15 +17,15 @@
 // Code is an item's durable outcome.
 type Code uint8
 
-// The codes; the numbers are stored.
+// The codes. Their numeric values are stored.
 const (
 	Open      Code = 0 // not final
 	Completed Code = 1
-	Failed    Code = 2 // ran, and an engine reported that it cannot complete
-	Unknown   Code = 3 // may have run, and must not run again
+	Failed    Code = 2 // an engine ran the item and reported that it cannot complete
+	Unknown   Code = 3 // the item may have run, and must not run again
 )
 
-// Outcome gives the code's meaning for callers.
+// Outcome returns the outcome that callers see for the code.
 func (c Code) Outcome() outcome.Kind {
 	switch c {
 	case Completed:
@@ -37,36 +37,36 @@
 	}
 }
 
-// Intent names the one attempt of an item that must not be repeated.
+// Intent identifies the only attempt of an item that must not be repeated.
 type Intent = identity.Intent
 
-// Reference names a result object of a job: the lease epoch of its writer and
-// the writer's count.
+// Reference identifies a result object of a job by the lease epoch of its writer
+// and the writer's sequence number.
 type Reference struct{ Epoch, Sequence uint64 }
 
-// Extent is the part that a result object has in a segment: the lowest and the
-// highest of the items in it, which may not be all between them.
+// Extent is the range of a segment's items that a result object covers, from the
+// lowest to the highest item. The object need not hold every item in between.
 type Extent struct {
 	Reference Reference
 	Low, High int
 }
 
-// Segment is the durable state of a run of a job's items, indexed from 0. The
-// zero value with Items set is a segment in which nothing has happened.
+// Segment is the durable state of a contiguous range of a job's items, indexed
+// from 0.
 type Segment struct {
 	Items      int
-	final      []uint64     // one bit an item
-	exceptions map[int]Code // final items that did not complete
+	final      []uint64     // bitmap of the final items
+	exceptions map[int]Code // codes of the final items that did not complete
 	intents    map[int]Intent
 	extents    []Extent
 }
 
-// NewSegment gives a segment of open items.
+// NewSegment returns a segment of open items.
 func NewSegment(items int) Segment {
 	return Segment{Items: items, final: make([]uint64, (items+63)/64)}
 }
 
-// Clone copies the segment.
+// Clone returns a deep copy of the segment.
 func (s *Segment) Clone() Segment {
 	clone := Segment{Items: s.Items, final: slices.Clone(s.final), extents: slices.Clone(s.extents)}
 	for index, code := range s.exceptions {
@@ -78,7 +78,7 @@
 	return clone
 }
 
-// Code gives an item's outcome.
+// Code returns an item's outcome.
 func (s *Segment) Code(index int) Code {
 	if s.final[index/64]&(1<<(index%64)) == 0 {
 		return Open
@@ -89,7 +89,8 @@
 	return Completed
 }
 
-// SetFinal makes an item final; false when it already is.
+// SetFinal makes an item final and removes its intent. It returns false if the
+// item is already final or the code is Open.
 func (s *Segment) SetFinal(index int, code Code) bool {
 	if code == Open || s.Code(index) != Open {
 		return false
@@ -117,17 +118,17 @@
 	s.intents[index] = intent
 }
 
-// Intent gives the recorded attempt of an open item.
+// Intent returns the recorded attempt of an open item.
 func (s *Segment) Intent(index int) (Intent, bool) {
 	intent, found := s.intents[index]
 	return intent, found
 }
 
-// Intents gives the items with an intent, in order.
+// Intents returns the items with an intent in ascending order.
 func (s *Segment) Intents() []int { return sortedKeys(s.intents) }
 
-// AddReference makes a final item's result object readable. The items of one
-// object are added one after the other.
+// AddReference adds the result object of a final item. All items of one object
+// must be added consecutively.
 func (s *Segment) AddReference(reference Reference, index int) {
 	if last := len(s.extents) - 1; last >= 0 && s.extents[last].Reference == reference {
 		s.extents[last].Low = min(s.extents[last].Low, index)
@@ -137,10 +138,11 @@
 	s.extents = append(s.extents, Extent{Reference: reference, Low: index, High: index})
 }
 
-// Extents gives the result objects, oldest first.
+// Extents returns the extents of the result objects, oldest first.
 func (s *Segment) Extents() []Extent { return s.extents }
 
-// References gives the objects that hold results of items from low to below high.
+// References returns the objects that may hold results of items in the range from
+// low, inclusive, to high, exclusive.
 func (s *Segment) References(low, high int) []Reference {
 	var references []Reference
 	for _, extent := range s.extents {
@@ -154,10 +156,10 @@
 // Counts are numbers of items by durable outcome.
 type Counts struct{ Total, Completed, Failed, Unknown int }
 
-// Final is the number of items with a final outcome.
+// Final returns the number of items with a final outcome.
 func (c Counts) Final() int { return c.Completed + c.Failed + c.Unknown }
 
-// Add sums two counts.
+// Add returns the sum of two counts.
 func (c Counts) Add(other Counts) Counts {
 	return Counts{
 		Total:     c.Total + other.Total,
@@ -167,7 +169,7 @@
 	}
 }
 
-// Subtract takes a part's counts away.
+// Subtract returns the counts without those of a part.
 func (c Counts) Subtract(part Counts) Counts {
 	return Counts{
 		Total:     c.Total - part.Total,
@@ -177,7 +179,7 @@
 	}
 }
 
-// Counts counts the segment's items.
+// Counts returns the numbers of the segment's items by outcome.
 func (s *Segment) Counts() Counts {
 	counts := Counts{Total: s.Items}
 	for _, word := range s.final {
