--- a/internal/core/idempotency/ask.go
+++ b/internal/core/idempotency/ask.go
@@ -7,32 +7,34 @@
 	"ringstream.example/ringstream/internal/core/site"
 )
 
-// Action is what a request with a key does next.
+// Action is the next step of a request with an idempotency key.
 type Action uint8
 
-// The actions. Run, Resume and Forward hold only once the decision's record
-// has been committed against the version that was asked about.
+// The actions. Run, Resume and Forward are valid only once the decision's record
+// has been committed against the version of the record that was passed to Decide.
 const (
 	// Run: run the request here.
 	Run Action = iota + 1
-	// Resume: join the record's intent, sending nothing.
+	// Resume: join the attempt of the record's intent without sending the request.
 	Resume
-	// Forward: hand the request to the other site, as the claim's owner.
+	// Forward: forward the request to the other site as the owner of the claim.
 	Forward
-	// Pass: hand the request to the other site, which already answers for it.
+	// Pass: forward the request to the other site, which is already responsible for
+	// the key.
 	Pass
-	// Wait: another owner is at it; ask again, at the latest at its expiry.
+	// Wait: another owner processes the key. Decide again later, at the latest when
+	// the claim expires.
 	Wait
-	// Read: give the result.
+	// Read: return the stored result.
 	Read
-	// Reuse: refuse; the key belongs to another request.
+	// Reuse: reject the request, because the key belongs to another request.
 	Reuse
-	// Elsewhere: refuse; the other site answers for the key, and the request
-	// came from there.
+	// Elsewhere: reject the request, because the other site is responsible for the
+	// key and the request came from there.
 	Elsewhere
 )
 
-// String gives the label used in metrics and logs.
+// String returns the label of the action in metrics and logs.
 func (a Action) String() string {
 	names := [...]string{Run: "run", Resume: "resume", Forward: "forward", Pass: "pass", Wait: "wait", Read: "read", Reuse: "reuse", Elsewhere: "elsewhere"}
 	if int(a) < len(names) && names[a] != "" {
@@ -41,34 +43,38 @@
 	return "none"
 }
 
-// Ask is one request with a key.
+// Ask describes a request with a key, the node that processes it, and the time.
 type Ask struct {
 	Node   identity.NodeID
 	Digest string
-	// Site is where the share puts the key; it counts only for a new record.
+	// Site is the site that the traffic share selects for the key. It is used only
+	// for a new record.
 	Site site.Site
-	// Hopped: the request came from the other site and never goes back.
+	// Hopped is true if the request came from the other site. Such a request is
+	// never sent back there.
 	Hopped bool
-	// OwnerDead: membership holds the record's owner for dead. A wrong word
-	// costs a wasted run, never a second result or a second send.
+	// OwnerDead is true if membership lists the record's owner as dead. If that is
+	// wrong, a run may be wasted, but there is never a second result or a second send.
 	OwnerDead bool
 	Now       time.Time
-	// Expiry is that of a claim made by this ask, KeepUntil the retention.
+	// Expiry and KeepUntil are the end of the claim and of the record's retention
+	// if this request claims the key.
 	Expiry, KeepUntil time.Time
 }
 
-// Decision is the answer to an Ask.
+// Decision is the result of Decide.
 type Decision struct {
 	Action Action
-	// Record is to be committed first, for Run, Resume and Forward; for the
-	// others it is the stored one.
+	// Record must be committed before a Run, Resume or Forward. For all other
+	// actions it is the stored record.
 	Record Record
-	// First: no forward of this key was made before. It lets the owner of a
-	// Forward that provably did nothing run the request here.
+	// First is true for a Forward if the key was never forwarded before. If such a
+	// forward provably had no effect, its owner may run the request on this site.
 	First bool
 }
 
-// Decide gives what the request does. The zero Record stands for none.
+// Decide returns the next step of a request, given the stored record of its key.
+// The zero Record means that there is none.
 func Decide(stored Record, ask Ask) Decision {
 	if !stored.Kept(ask.Now) {
 		return claim(newRecord(stored.Epoch, ask), ask, true)
@@ -85,16 +91,17 @@
 		}
 		return Decision{Action: Pass, Record: stored}
 	case Claimed:
-		if !lapsed(stored, ask) {
+		if !mayTakeOver(stored, ask) {
 			return Decision{Action: Wait, Record: stored}
 		}
 	case Released:
-		stored.Turn = 0
+		stored.ConsecutiveClaims = 0
 	}
 	return claim(stored, ask, false)
 }
 
-// newRecord starts a key afresh; epochs go on rising.
+// newRecord returns the record of a new key or of a key whose retention has ended.
+// In the latter case epochs continue from the former record's.
 func newRecord(epoch uint64, ask Ask) Record {
 	at := ask.Site
 	if ask.Hopped {
@@ -103,35 +110,37 @@
 	return Record{Digest: ask.Digest, Epoch: epoch, Site: at}
 }
 
-// lapsed says whether a claim may be taken over. A node asks only when it has
-// no run of the key itself, so a claim of its own is one whose commit it gave
-// up on.
-func lapsed(stored Record, ask Ask) bool {
+// mayTakeOver reports whether a claim may be taken over: it has expired, its owner
+// is the requesting node, or its owner is listed as dead and the claim is old
+// enough. A node asks only while it does not run the key itself, so a claim of its
+// own is one whose commit it abandoned.
+func mayTakeOver(stored Record, ask Ask) bool {
 	if !ask.Now.Before(stored.Expiry) || stored.Owner == ask.Node {
 		return true
 	}
-	return ask.OwnerDead && ask.Now.Sub(stored.ClaimedAt) >= deadOwnerAge(stored.Turn)
+	return ask.OwnerDead && ask.Now.Sub(stored.ClaimedAt) >= takeoverDelay(stored.ConsecutiveClaims)
 }
 
-// deadOwnerAge is how old a claim must be before the word that its owner is
-// dead counts. It doubles with each take-over in a row: two nodes cut off from
-// each other, which hold each other for dead, would else take a key from each
-// other for ever, and no run would come to its end.
-func deadOwnerAge(turn int) time.Duration {
+// takeoverDelay returns the minimum age at which the claim of an owner listed as
+// dead may be taken over. It doubles with each consecutive takeover. Otherwise two
+// partitioned nodes that list each other as dead could take the key from each
+// other forever, and no run would complete.
+func takeoverDelay(consecutiveClaims int) time.Duration {
 	const (
-		first       = 2 * time.Second // less than it takes to notice a death
-		mostDoubles = 8
+		initialDelay = 2 * time.Second // less than the time to detect a dead node
+		maxDoublings = 8
 	)
-	return first << min(max(turn-1, 0), mostDoubles)
+	return initialDelay << min(max(consecutiveClaims-1, 0), maxDoublings)
 }
 
-// claim makes the record of a new claim, on top of an earlier one unless fresh.
+// claim returns the decision to claim the key. fresh is true if record is a new
+// record and false if it is an earlier claim's.
 func claim(record Record, ask Ask, fresh bool) Decision {
 	if ask.Hopped && record.Site == site.Other {
 		return Decision{Action: Elsewhere, Record: record}
 	}
 	record.Phase, record.Owner, record.Epoch = Claimed, ask.Node, record.Epoch+1
-	record.ClaimedAt, record.Turn = ask.Now, record.Turn+1
+	record.ClaimedAt, record.ConsecutiveClaims = ask.Now, record.ConsecutiveClaims+1
 	record.Expiry, record.KeepUntil = ask.Expiry, ask.KeepUntil
 	switch {
 	case record.Site == site.Other:
--- a/internal/core/idempotency/idempotency_test.go
+++ b/internal/core/idempotency/idempotency_test.go
@@ -12,16 +12,16 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// happening is one committed change of a key; the naive twin decides by
-// reading the whole history of them.
-type happening struct {
+// event is one committed change of a key. The reference model decides from the
+// whole history of events.
+type event struct {
 	what   string // claim, intent, complete, release, settle, redirect
 	ask    Ask    // of a claim
 	intent Intent
 }
 
-// naive decides by the history alone.
-func naive(history []happening, ask Ask) (action Action, first bool) {
+// referenceDecide decides by the history alone.
+func referenceDecide(history []event, ask Ask) (action Action, first bool) {
 	kept := keptPart(history, ask.Now)
 	if len(kept) == 0 {
 		if ask.Site == site.Other && !ask.Hopped {
@@ -32,12 +32,12 @@
 	if kept[0].ask.Digest != ask.Digest {
 		return Reuse, false
 	}
-	at, intent, lastClaim, open := naiveState(kept)
+	at, intent, lastClaim, open := referenceState(kept)
 	age := 2 * time.Second
 	for range claimsInARow(kept) - 1 {
 		age *= 2
 	}
-	heldForDead := ask.OwnerDead && !ask.Now.Before(lastClaim.Now.Add(min(age, 512*time.Second)))
+	ownerPresumedDead := ask.OwnerDead && !ask.Now.Before(lastClaim.Now.Add(min(age, 512*time.Second)))
 	for _, step := range kept {
 		switch {
 		case step.what == "complete":
@@ -48,7 +48,7 @@
 			return Pass, false
 		}
 	}
-	if open && ask.Now.Before(lastClaim.Expiry) && !heldForDead && lastClaim.Node != ask.Node {
+	if open && ask.Now.Before(lastClaim.Expiry) && !ownerPresumedDead && lastClaim.Node != ask.Node {
 		return Wait, false
 	}
 	switch {
@@ -62,9 +62,9 @@
 	return Run, false
 }
 
-// keptPart is the history of the record that is still kept: what came before
-// the end of a retention is forgotten.
-func keptPart(history []happening, now time.Time) (kept []happening) {
+// keptPart returns the events of the record that is still kept. Events of records
+// whose retention has ended are left out.
+func keptPart(history []event, now time.Time) (kept []event) {
 	var keepUntil time.Time
 	for _, step := range history {
 		if step.what == "claim" {
@@ -81,7 +81,7 @@
 	return kept
 }
 
-func naiveState(kept []happening) (at site.Site, intent Intent, lastClaim Ask, open bool) {
+func referenceState(kept []event) (at site.Site, intent Intent, lastClaim Ask, open bool) {
 	at = kept[0].ask.Site
 	if kept[0].ask.Hopped {
 		at = site.Here
@@ -101,8 +101,8 @@
 	return at, intent, lastClaim, open
 }
 
-// claimsInARow counts the claims since the last release.
-func claimsInARow(kept []happening) (count int) {
+// claimsInARow returns the number of claims since the last release.
+func claimsInARow(kept []event) (count int) {
 	for _, step := range kept {
 		switch step.what {
 		case "claim":
@@ -114,8 +114,8 @@
 	return count
 }
 
-// holder is what one node believes of its own claim; it may be long out of date.
-type holder struct {
+// claimHolder is a node's local state of its own claim. It may be stale.
+type claimHolder struct {
 	action  Action
 	record  Record
 	version int
@@ -127,16 +127,16 @@
 	record  Record
 	version int
 	now     time.Time
-	holders map[identity.NodeID]*holder
-	history []happening
-	// What truly happened to the work, within the record now kept.
-	attempts  int
-	unsettled int // sends that may have run and were not told otherwise
-	forwarded bool
-	results   []string
+	holders map[identity.NodeID]*claimHolder
+	history []event
+	// The actual effects of the key's requests since the current record was created.
+	attempts        int
+	unresolvedSends int // sends that may have run and were not proven otherwise
+	forwarded       bool
+	results         []string
 }
 
-// commit is the store's compare.
+// commit replaces the record if the version matches, like the store.
 func (s *simulation) commit(version int, record Record) bool {
 	if version != s.version {
 		return false
@@ -154,36 +154,36 @@
 		Expiry: s.now.Add(10 * time.Second), KeepUntil: s.now.Add(100 * time.Second),
 	}
 	if s.holders[node] != nil {
-		return // a node with a run of its own does not ask
+		return // a node that runs the key itself does not ask
 	}
 	decision := Decide(s.record, ask)
-	action, first := naive(s.history, ask)
+	action, first := referenceDecide(s.history, ask)
 	if decision.Action != action || decision.First != first {
-		t.Fatalf("decided %d (first %v), the naive twin %d (first %v), for %+v over %+v", decision.Action, decision.First, action, first, ask, s.record)
+		t.Fatalf("decided %d (first %v), reference model %d (first %v), for %+v with record %+v", decision.Action, decision.First, action, first, ask, s.record)
 	}
 	switch decision.Action {
 	case Run, Resume, Forward:
 	case Read:
 		if len(s.results) != 1 || string(decision.Record.Result) != s.results[0] {
-			t.Fatalf("read %q of results %q", decision.Record.Result, s.results)
+			t.Fatalf("read result %q, but the results are %q", decision.Record.Result, s.results)
 		}
 		return
 	default:
 		return
 	}
 	if !s.record.Kept(s.now) {
-		s.attempts, s.unsettled, s.results, s.forwarded = 0, 0, nil, false
+		s.attempts, s.unresolvedSends, s.results, s.forwarded = 0, 0, nil, false
 	}
 	if !s.commit(s.version, decision.Record) {
-		t.Fatal("the first commit after a read lost")
+		t.Fatal("a commit against the current version failed")
 	}
-	s.history = append(s.history, happening{what: "claim", ask: ask})
+	s.history = append(s.history, event{what: "claim", ask: ask})
 	if rapid.IntRange(0, 5).Draw(t, "answer lost") != 0 {
-		s.holders[node] = &holder{action: decision.Action, record: decision.Record, version: s.version, first: decision.First}
+		s.holders[node] = &claimHolder{action: decision.Action, record: decision.Record, version: s.version, first: decision.First}
 	}
 }
 
-// step lets one holder, however late, do its next thing.
+// step lets one holder execute its next step, which may be arbitrarily late.
 func (s *simulation) step(t *rapid.T) {
 	if len(s.holders) == 0 {
 		return
@@ -202,23 +202,24 @@
 	}
 }
 
-func (s *simulation) stepForward(t *rapid.T, node identity.NodeID, held *holder) {
+func (s *simulation) stepForward(t *rapid.T, node identity.NodeID, held *claimHolder) {
 	delete(s.holders, node)
 	if rapid.Bool().Draw(t, "arrived") {
 		s.forwarded = true
 		if s.commit(held.version, held.record.Settle()) {
-			s.history = append(s.history, happening{what: "settle"})
+			s.history = append(s.history, event{what: "settle"})
 		}
 		return
 	}
 	if held.first && s.commit(held.version, held.record.Redirect()) {
-		s.history = append(s.history, happening{what: "redirect"})
-		s.holders[node] = &holder{action: Run, record: held.record.Redirect(), version: s.version}
+		s.history = append(s.history, event{what: "redirect"})
+		s.holders[node] = &claimHolder{action: Run, record: held.record.Redirect(), version: s.version}
 	}
 }
 
-// stepRun runs a request that may run only once: intent, send, end.
-func (s *simulation) stepRun(t *rapid.T, node identity.NodeID, held *holder) {
+// stepRun executes the next step of a request that may run only once: commit the
+// intent and send, then end the run.
+func (s *simulation) stepRun(t *rapid.T, node identity.NodeID, held *claimHolder) {
 	if held.action == Run && !held.sent {
 		s.attempts++
 		intent := Intent{Attempt: identity.AttemptID(fmt.Sprint(node, s.attempts)), Engine: "e"}
@@ -226,29 +227,29 @@
 			delete(s.holders, node)
 			return
 		}
-		s.history = append(s.history, happening{what: "intent", intent: intent})
+		s.history = append(s.history, event{what: "intent", intent: intent})
 		if s.forwarded {
-			t.Fatal("sent here after a forward had arrived at the other site")
+			t.Fatal("sent on this site after a forward had arrived at the other site")
 		}
 		held.record, held.version, held.sent = held.record.RecordIntent(intent), s.version, true
-		s.unsettled++
-		if s.unsettled > 1 {
-			t.Fatal("a request that may run once was sent twice")
+		s.unresolvedSends++
+		if s.unresolvedSends > 1 {
+			t.Fatal("a request that may run only once was sent twice")
 		}
 		return
 	}
 	delete(s.holders, node)
 	if held.sent && rapid.IntRange(0, 3).Draw(t, "refused") == 0 {
-		if s.commit(held.version, held.record.Release()) { // the engine proved that it did not run
-			s.unsettled--
-			s.history = append(s.history, happening{what: "release"})
+		if s.commit(held.version, held.record.Release()) { // the engine proved that the request did not run
+			s.unresolvedSends--
+			s.history = append(s.history, event{what: "release"})
 		}
 		return
 	}
 	result := fmt.Sprint(node, held.record.Epoch)
 	if s.commit(held.version, held.record.Complete([]byte(result), "")) {
 		s.results = append(s.results, result)
-		s.history = append(s.history, happening{what: "complete"})
+		s.history = append(s.history, event{what: "complete"})
 		if len(s.results) > 1 {
 			t.Fatalf("two results: %q", s.results)
 		}
@@ -257,14 +258,14 @@
 
 func TestDecisionsAgreeWithTheNaiveTwinAndRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &simulation{now: time.Unix(1000, 0), holders: map[identity.NodeID]*holder{}}
+		s := &simulation{now: time.Unix(1000, 0), holders: map[identity.NodeID]*claimHolder{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask":  s.ask,
 			"step": s.step,
 			"wait": func(t *rapid.T) {
 				s.now = s.now.Add(time.Duration(rapid.SampledFrom([]int{1, 4, 10, 120}).Draw(t, "seconds")) * time.Second)
 				if !s.record.Kept(s.now) {
-					clear(s.holders) // no run outlives retention: Config.Validate sees to it
+					clear(s.holders) // Config.Validate ensures that no run outlasts the retention
 				}
 			},
 			"crash": func(t *rapid.T) {
