--- a/internal/core/passroute/passroute.go
+++ b/internal/core/passroute/passroute.go
@@ -1,6 +1,7 @@
-// Package passroute holds the table of pass-through routes: requests that are
-// handed to an engine as they are, chosen by host and longest path prefix. It
-// owns matching and the division of a route over pools; it does no I/O.
+// Package passroute implements the table of pass-through routes. A pass-through
+// request is sent to an engine unchanged; its route is selected by host and longest
+// path prefix. The package covers the matching of routes and the split of a route's
+// requests over pools. It does no I/O.
 package passroute
 
 import (
@@ -11,7 +12,7 @@
 	"ringstream.example/ringstream/internal/core/tenant"
 )
 
-// Kind says what may be done with a route's requests.
+// Kind is the kind of a route. It determines whether requests may be repeated.
 type Kind uint8
 
 // The kinds of a route.
@@ -20,13 +21,14 @@
 	KindUnsafe Kind = iota
 	// KindSafe requests may run more than once.
 	KindSafe
-	// KindStream answers with events; it is unsafe unless the route is resumable.
+	// KindStream requests are answered with a stream of events. They run at most
+	// once unless the route is resumable.
 	KindStream
-	// KindBatch takes jobs of many items.
+	// KindBatch requests submit jobs of many items.
 	KindBatch
 )
 
-// String gives the kind's name for logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string {
 	switch k {
 	case KindSafe:
@@ -40,32 +42,32 @@
 	}
 }
 
-// Target is one part of a route's division over pools.
+// Target is one of the pools that a route's requests are split over.
 type Target struct {
 	Pool   string
 	Weight float64 // relative to the other targets
 }
 
-// Route is one class of pass-through work.
+// Route is one class of pass-through requests.
 type Route struct {
 	Name           string
 	Host           string // lower case, without port
 	PathPrefix     string // begins and ends with a slash
 	Kind           Kind
-	Resumable      bool          // streams only: may go on at another engine
-	Public         bool          // needs no key
-	Timeout        time.Duration // longest that a request is held; 0: no limit
-	Objective      time.Duration // first event, or the acknowledgement of a job
-	PauseObjective time.Duration // longest pause between events
-	Attempts       int           // engines that may run one request, at least 1
+	Resumable      bool          // streams only: may continue on another engine
+	Public         bool          // requests need no key
+	Timeout        time.Duration // maximum duration of a request; 0: no limit
+	Objective      time.Duration // objective for the first event, or for the acknowledgement of a job
+	PauseObjective time.Duration // objective for the longest pause between events
+	Attempts       int           // maximum number of engines that run one request, at least 1
 	Priority       int           // 0 is the highest
 	Targets        []Target
-	QueueTokens    int64         // batch: tokens that may wait; 0: no limit
-	Due            time.Duration // batch: results are due
-	Expiry         time.Duration // batch: an item may be given up
+	QueueTokens    int64         // batch: maximum number of waiting tokens; 0: no limit
+	Due            time.Duration // batch: time until the results are due
+	Expiry         time.Duration // batch: time after which an item may be given up
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || r.Kind == KindBatch || (r.Kind == KindStream && r.Resumable)
 }
@@ -74,12 +76,12 @@
 type Pool struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // connections that one engine accepts from all callers; 0: not said
-	Slots          int // requests that an engine runs at once; 0: not said
-	MemoryTokens   int // tokens that fit in an engine's memory; 0: not said
+	MaxConnections int // connections that one engine accepts from all callers; 0: not specified
+	Slots          int // requests that an engine runs concurrently; 0: not specified
+	MemoryTokens   int // tokens that fit in an engine's memory; 0: not specified
 }
 
-// Limits bound what a client may send.
+// Limits bounds the size and timing of client requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -87,7 +89,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of the routes. It does not change once made.
+// Table is one version of the routes. It is immutable.
 type Table struct {
 	version int64
 	byHost  map[string][]*Route // longest prefix first
@@ -96,14 +98,16 @@
 	tenants Tenants
 }
 
-// Tenants are the tenants of a table.
+// Tenants holds the tenants of a table.
 type Tenants struct {
 	Directory *tenant.Directory // nil: requests need no key
-	// Problems are parts of the definitions that do not hold as they stand.
+	// Problems lists the parts of the tenant definitions that cannot be used as
+	// they are written.
 	Problems []tenant.Problem
 }
 
-// NewTable makes a table of the version.
+// NewTable returns a table with the given version. It changes routes in place:
+// hosts are normalized, and Attempts is raised to at least 1.
 func NewTable(version int64, routes []Route, pools []Pool, limits Limits, tenants Tenants) *Table {
 	table := &Table{version: version, byHost: make(map[string][]*Route), pools: make(map[string]Pool), limits: limits, tenants: tenants}
 	for i := range routes {
@@ -121,25 +125,27 @@
 	return table
 }
 
-// Version rises with each change of the routes.
+// Version returns the version of the table, which increases with each change of
+// the routes.
 func (t *Table) Version() int64 { return t.version }
 
-// Tenants gives the tenants whose requests the table lets in.
+// Tenants returns the tenants whose requests are admitted.
 func (t *Table) Tenants() Tenants { return t.tenants }
 
-// Limits gives what a client may send.
+// Limits returns the limits of client requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Pool gives a pool's description; the zero Pool when the table has none.
+// Pool returns the description of a pool, or the zero Pool if the table does not
+// have the pool.
 func (t *Table) Pool(name string) Pool { return t.pools[name] }
 
-// HasPool says whether the table names a pool.
+// HasPool reports whether the table has the pool.
 func (t *Table) HasPool(name string) bool {
 	_, named := t.pools[name]
 	return named
 }
 
-// Lookup gives the route with the longest prefix of path at the host.
+// Lookup returns the host's route with the longest prefix of path.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
 	for _, route := range t.byHost[NormalHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -149,8 +155,9 @@
 	return nil, false
 }
 
-// BusiestPool gives the pool that most online routes with keys send to, by the
-// weights of their targets; of equals the first by name. Empty: there is none.
+// BusiestPool returns the pool with the highest total weight over all online
+// routes that need a key, where the weights of each route sum to 1. Among equal
+// pools it is the first by name. It is empty if there is no such route.
 func (t *Table) BusiestPool() string {
 	weights := make(map[string]float64)
 	for _, routes := range t.byHost {
@@ -169,7 +176,7 @@
 	return busiest
 }
 
-// addWeights adds the parts of one route's requests that its targets get.
+// addWeights adds the fraction of one route's requests that each target gets.
 func addWeights(weights map[string]float64, targets []Target) {
 	total := 0.0
 	for _, target := range targets {
@@ -182,7 +189,7 @@
 	}
 }
 
-// HasOpenBatch says whether the host has a batch route that needs no key.
+// HasOpenBatch reports whether the host has a batch route that needs no key.
 func (t *Table) HasOpenBatch(host string) bool {
 	for _, route := range t.byHost[NormalHost(host)] {
 		if route.Kind == KindBatch && route.Public {
@@ -192,7 +199,7 @@
 	return false
 }
 
-// NormalHost gives a Host header's name in lower case without its port.
+// NormalHost returns the name in a Host header in lower case and without the port.
 func NormalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
--- a/internal/core/passroute/passroute_test.go
+++ b/internal/core/passroute/passroute_test.go
@@ -11,9 +11,9 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// naiveLookup is the plain reading of the rule: of the routes of the host, the
-// one with the longest prefix that begins the path.
-func naiveLookup(routes []Route, host, path string) string {
+// referenceLookup is the reference model of Table.Lookup: among the routes of the
+// host whose prefix matches the path, the one with the longest prefix.
+func referenceLookup(routes []Route, host, path string) string {
 	best, length := "", -1
 	for _, route := range routes {
 		if strings.EqualFold(route.Host, host) && strings.HasPrefix(path, route.PathPrefix) && len(route.PathPrefix) > length {
@@ -23,7 +23,7 @@
 	return best
 }
 
-func TestLookupAgainstTheNaiveVersion(t *testing.T) {
+func TestLookupMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.SampledFrom([]string{"/", "/a/", "/a/b/", "/a/b/c/", "/b/"})
 		host := rapid.SampledFrom([]string{"one.example", "two.example"})
@@ -43,14 +43,14 @@
 		if route, found := table.Lookup(asked+":8080", path); found {
 			got = route.Name
 		}
-		if want := naiveLookup(routes, asked, path); got != want {
+		if want := referenceLookup(routes, asked, path); got != want {
 			t.Fatalf("%s%s: route %q, want %q", asked, path, got, want)
 		}
 	})
 }
 
-// The shares of a split are within a few requests of the weights, wherever the
-// sequence starts and whichever part of it is counted.
+// TestSplitterKeepsTheWeights checks that the shares of a split are within a few
+// requests of the weights for any start and any part of the sequence.
 func TestSplitterKeepsTheWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		splitter := NewSplitter(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "phase") })
@@ -67,25 +67,25 @@
 			}
 		}
 		if want := requests * float64(weight) / 100; math.Abs(float64(count)-want) > 4 {
-			t.Fatalf("%d of %d, want %.0f", count, requests, want)
+			t.Fatalf("pool a got %d of %d requests, want about %.0f", count, requests, want)
 		}
 	})
 }
 
-func TestSplitterLeavesOutWeightZeroAndForgets(t *testing.T) {
+func TestSplitterSkipsZeroWeightAndRemovesRoutes(t *testing.T) {
 	splitter := NewSplitter(func() float64 { return 0.99 })
 	route := &Route{Name: "r", Targets: []Target{{Pool: "a", Weight: 1}, {Pool: "b"}}}
 	for range 50 {
 		if pool := splitter.Choose(route); pool != "a" {
-			t.Fatalf("chose %q", pool)
+			t.Fatalf("chose %q, want the only pool with a weight above 0", pool)
 		}
 	}
 	splitter.Retain(NewTable(2, nil, nil, Limits{}, Tenants{}))
 	if len(splitter.points) != 0 {
-		t.Error("a route that is gone is kept")
+		t.Error("the state of a removed route is kept")
 	}
 	if pool := splitter.Choose(&Route{Name: "none"}); pool != "" {
-		t.Errorf("a route without targets gave %q", pool)
+		t.Errorf("Choose returned %q for a route without targets", pool)
 	}
 }
 
@@ -101,7 +101,7 @@
 		{Route{Kind: KindBatch}, true},
 	} {
 		if got := test.route.Repeatable(); got != test.want {
-			t.Errorf("%s: %t", test.route.Kind, got)
+			t.Errorf("Repeatable of kind %s: %t", test.route.Kind, got)
 		}
 	}
 }
--- a/internal/core/passroute/splitter.go
+++ b/internal/core/passroute/splitter.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// goldenStep spreads the points of a low-discrepancy sequence evenly over the
-// unit interval, whatever part of the sequence is looked at.
-const goldenStep = 0.6180339887498949
+// goldenRatioStep is the step of a low-discrepancy sequence. Any contiguous part of
+// the sequence is spread evenly over the unit interval.
+const goldenRatioStep = 0.6180339887498949
 
-// Splitter divides the requests of each route over its targets by weight. A
-// route's requests take the points of a low-discrepancy sequence that starts
-// at a random phase, so that a node's shares are within a few requests of the
-// weights, and those of all nodes together are not biased. It is used under
-// its owner's lock.
+// Splitter splits the requests of each route over its targets by weight. The
+// requests of a route follow a low-discrepancy sequence that starts at a random
+// phase, so that the shares on each node are within a few requests of the weights
+// and the shares over all nodes are not biased. It is not safe for concurrent use;
+// its owner protects it by a lock.
 type Splitter struct {
-	phase  func() float64 // random, from 0 up to 1
-	points map[string]float64
+	randomPhase func() float64 // returns a random number in [0, 1)
+	points      map[string]float64
 }
 
-// NewSplitter makes a splitter; phase gives random numbers from 0 up to 1.
-func NewSplitter(phase func() float64) *Splitter {
-	return &Splitter{phase: phase, points: make(map[string]float64)}
+// NewSplitter returns a splitter. randomPhase must return random numbers in [0, 1).
+func NewSplitter(randomPhase func() float64) *Splitter {
+	return &Splitter{randomPhase: randomPhase, points: make(map[string]float64)}
 }
 
-// Choose gives the pool of the route's next request; empty when it has none.
+// Choose returns the pool for the next request of the route. It is empty if the
+// route has no targets.
 func (s *Splitter) Choose(route *Route) string {
 	if len(route.Targets) == 0 {
 		return ""
@@ -31,14 +32,14 @@
 	}
 	point, known := s.points[route.Name]
 	if !known {
-		point = s.phase()
+		point = s.randomPhase()
 	}
-	_, next := math.Modf(point + goldenStep)
+	_, next := math.Modf(point + goldenRatioStep)
 	s.points[route.Name] = next
-	return pick(route.Targets, point)
+	return targetAt(route.Targets, point)
 }
 
-func pick(targets []Target, point float64) string {
+func targetAt(targets []Target, point float64) string {
 	total := 0.0
 	for _, target := range targets {
 		total += max(target.Weight, 0)
@@ -56,7 +57,7 @@
 	return targets[len(targets)-1].Pool
 }
 
-// Retain forgets routes that the table lacks.
+// Retain removes the state of routes that are not in the table.
 func (s *Splitter) Retain(table *Table) {
 	kept := make(map[string]bool)
 	for _, routes := range table.byHost {
