--- a/internal/core/passjob/decode_test.go
+++ b/internal/core/passjob/decode_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// TestRecordsThatCannotBeReliedOnAreRefused: the positions of listed items index a slice of
-// Listed entries, so one out of range ended the process that read the row; null and an empty
-// object were a job without an id. Of the values below the former code read 12 of 18.
-func TestRecordsThatCannotBeReliedOnAreRefused(t *testing.T) {
+// TestDecodeRejectsInconsistentRecords guards against records that Decode accepted
+// before it checked them, 12 of the 18 values below. The positions of listed items
+// index a slice of Listed entries, so a position out of range crashed the process
+// that read the row. null and an empty object were decoded as a job without an id.
+func TestDecodeRejectsInconsistentRecords(t *testing.T) {
 	const item = `{"id":"i","tokens":3}`
 	for _, value := range []string{
 		``, `{`, `null`, `{}`, `[]`, "\xff", `{"id":7}`,
@@ -22,7 +23,7 @@
 		`{"id":"j","listed":1,"items":[{"id":"i","state":1},{"id":"k","state":1}]}`,
 	} {
 		if record, err := Decode([]byte(value)); err == nil {
-			t.Errorf("%s was read as %+v", value, record)
+			t.Errorf("%s was decoded as %+v", value, record)
 		}
 	}
 	if _, err := Decode([]byte(`{"id":"j","listed":1,"later":{},"items":[` + item + `,{"id":"k","state":2}]}`)); err != nil {
@@ -40,10 +41,10 @@
 			return
 		}
 		if record.ID == "" || len(record.ItemAt()) != record.Listed {
-			t.Errorf("%q was read as %+v", value, record)
+			t.Errorf("%q was decoded as %+v", value, record)
 		}
 		if again, err := Decode(record.Encode()); err != nil || again.ID != record.ID {
-			t.Errorf("%q does not survive being written: %v", value, err)
+			t.Errorf("%q cannot be decoded after encoding: %v", value, err)
 		}
 	})
 }
--- a/internal/core/passjob/passjob.go
+++ b/internal/core/passjob/passjob.go
@@ -1,8 +1,8 @@
-// Package passjob is the record of a batch job that is run through
-// pass-through routes, as a state machine: accepted, claimed by an owner,
-// items listed one by one, ended. A record is one row of the store, and each
-// change is written under a compare of the row's version, so that a change
-// made by a node that no longer owns the job cannot land. It does no I/O.
+// Package passjob implements the record of a batch job on a pass-through route as
+// a state machine: a job is accepted and claimed by an owner, its items are listed
+// one by one, and it ends. A record is one row of the store. Each change is written
+// with a compare of the row's version, so that a node that no longer owns the job
+// cannot change it. The package does no I/O.
 package passjob
 
 import (
@@ -11,60 +11,61 @@
 	"time"
 )
 
-// ItemState says what became of an item.
+// ItemState is the state of an item.
 type ItemState uint8
 
 // The states of an item.
 const (
-	Open       ItemState = iota // not listed yet
-	Succeeded                   // listed with its whole text
-	DeadLetter                  // listed as given up
+	Open       ItemState = iota // not in the results yet
+	Succeeded                   // in the results with its complete text
+	DeadLetter                  // in the results as given up
 )
 
-// Item is one item's part of the record.
+// Item is the state of one item in the record.
 type Item struct {
 	ID       string    `json:"id"`
-	Tokens   int64     `json:"tokens"`             // prompt and output, summed
+	Tokens   int64     `json:"tokens"`             // prompt and output tokens
 	State    ItemState `json:"state,omitempty"`    // Open until listed
-	Position int       `json:"position,omitempty"` // in the results, once listed
-	Failures int       `json:"failures,omitempty"` // runs that an engine ended with an error
+	Position int       `json:"position,omitempty"` // index in the results, once listed
+	Failures int       `json:"failures,omitempty"` // number of runs that an engine ended with an error
 }
 
-// RecordFormat is the newest format of a record that this program knows. Records
+// RecordFormat is the newest record format that this program supports. Records
 // without a format were written before jobs had tenants.
 const RecordFormat = 1
 
 // Record is the durable state of a job.
 type Record struct {
-	// Format is that of the record's writer, see RecordFormat.
+	// Format is the RecordFormat of the program that wrote the record.
 	Format     int           `json:"format,omitempty"`
 	ID         string        `json:"id"`
-	Tenant     string        `json:"tenant,omitempty"` // its name; empty: none, or its writer knew of none
-	Route      string        `json:"route"`            // its name at acceptance, for the quota and logs
+	Tenant     string        `json:"tenant,omitempty"` // name of the tenant; empty: none, or the writer did not support tenants
+	Route      string        `json:"route"`            // name of the route at acceptance, for the quota and logs
 	Host       string        `json:"host"`
 	AcceptedAt time.Duration `json:"accepted_at"` // on the store's clock
 	Due        time.Duration `json:"due"`         // after AcceptedAt; 0: none
 	Expiry     time.Duration `json:"expiry"`      // after AcceptedAt; 0: never
 	Items      []Item        `json:"items"`
-	Listed     int           `json:"listed"` // results so far
+	Listed     int           `json:"listed"` // number of results so far
 	Ended      bool          `json:"ended,omitempty"`
-	Owner      string        `json:"owner,omitempty"`  // incarnation of a node; empty: nobody
-	Epoch      int64         `json:"epoch"`            // rises with each new owner
-	Object     string        `json:"object,omitempty"` // that holds the job as it came; empty: it lies in rows
-	BodyBytes  int           `json:"body_bytes"`       // of the job as it came
-	Commit     string        `json:"commit"`           // id of the transaction that wrote this
+	Owner      string        `json:"owner,omitempty"`  // incarnation of the owning node; empty: no owner
+	Epoch      int64         `json:"epoch"`            // increases with each new owner
+	Object     string        `json:"object,omitempty"` // object with the submitted job; empty: the job is stored in rows
+	BodyBytes  int           `json:"body_bytes"`       // size of the submitted job
+	Commit     string        `json:"commit"`           // id of the transaction that wrote this record
 }
 
-// Encode gives the record as a row's value.
+// Encode returns the record as the value of a row.
 func (r Record) Encode() []byte {
 	value, err := json.Marshal(r)
 	if err != nil {
-		panic(fmt.Sprintf("job record cannot be written: %v", err)) // strings and numbers always can
+		panic(fmt.Sprintf("job record cannot be written: %v", err)) // strings, numbers and booleans always encode
 	}
 	return value
 }
 
-// Decode reads a row's value.
+// Decode decodes the value of a row. It returns an error for a value that is
+// malformed, inconsistent, or of a format that this program does not support.
 func Decode(value []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -79,13 +80,13 @@
 	return record, nil
 }
 
-// check refuses what no writer of this program leaves: whoever reads a record relies on
-// each listed item having its own position below Listed.
+// check returns an error for a record that this program never writes. Readers of a
+// record rely on each listed item having a unique position below Listed.
 func (r Record) check() error {
 	if r.ID == "" || r.Epoch < 0 || r.BodyBytes < 0 {
 		return fmt.Errorf("id %q, epoch %d, body_bytes %d", r.ID, r.Epoch, r.BodyBytes)
 	}
-	taken := make(map[int]bool, len(r.Items))
+	usedPositions := make(map[int]bool, len(r.Items))
 	for index, item := range r.Items {
 		if item.ID == "" || item.Failures < 0 || item.State > DeadLetter {
 			return fmt.Errorf("items[%d]: id %q, failures %d, state %d", index, item.ID, item.Failures, item.State)
@@ -93,31 +94,32 @@
 		if item.State == Open {
 			continue
 		}
-		if item.Position < 0 || item.Position >= r.Listed || taken[item.Position] {
+		if item.Position < 0 || item.Position >= r.Listed || usedPositions[item.Position] {
 			return fmt.Errorf("items[%d]: position %d of %d listed, or twice", index, item.Position, r.Listed)
 		}
-		taken[item.Position] = true
+		usedPositions[item.Position] = true
 	}
-	if len(taken) != r.Listed {
-		return fmt.Errorf("listed %d, and %d items have positions", r.Listed, len(taken))
+	if len(usedPositions) != r.Listed {
+		return fmt.Errorf("listed %d, and %d items have positions", r.Listed, len(usedPositions))
 	}
 	return nil
 }
 
-// OpenTo says whether a tenant, given by its name, may read and end the job: its
-// own may, and anybody may where the record names none.
+// OpenTo reports whether the tenant with the given name may read and end the job.
+// The job's own tenant may do so, and any tenant if the record has none.
 func (r Record) OpenTo(tenant string) bool { return r.Tenant == "" || r.Tenant == tenant }
 
-// Clone gives a copy that shares nothing.
+// Clone returns a deep copy.
 func (r Record) Clone() Record {
 	r.Items = append([]Item(nil), r.Items...)
 	return r
 }
 
-// Active says whether items are still to be run.
+// Active reports whether the job still has items to run.
 func (r Record) Active() bool { return !r.Ended && r.Listed < len(r.Items) }
 
-// Waiting gives the tokens that count against the route's limit.
+// Waiting returns the tokens of the open items of an active job. They count against
+// the route's limit.
 func (r Record) Waiting() int64 {
 	if !r.Active() {
 		return 0
@@ -131,7 +133,7 @@
 	return tokens
 }
 
-// ItemAt gives the index of the item listed at each position.
+// ItemAt returns the index of the item listed at each position.
 func (r Record) ItemAt() []int {
 	order := make([]int, r.Listed)
 	for i, item := range r.Items {
@@ -142,7 +144,7 @@
 	return order
 }
 
-// Index gives the index of an item by its id.
+// Index returns the index of the item with the given id, and whether there is one.
 func (r Record) Index(id string) (int, bool) {
 	for i, item := range r.Items {
 		if item.ID == id {
@@ -152,8 +154,9 @@
 	return 0, false
 }
 
-// List gives an item the next position; false when it is listed already or
-// the job has ended.
+// List sets an item's state and assigns it the next position in the results. It
+// returns false if the item is already listed, the job has ended, or the state is
+// Open.
 func (r *Record) List(index int, state ItemState) (position int, ok bool) {
 	item := &r.Items[index]
 	if r.Ended || item.State != Open || state == Open {
@@ -165,7 +168,8 @@
 	return item.Position, true
 }
 
-// Fail counts a run that an engine ended with an error.
+// Fail counts a run of an item that an engine ended with an error, and returns the
+// number of such runs.
 func (r *Record) Fail(index int) int {
 	r.Items[index].Failures++
 	return r.Items[index].Failures
@@ -177,16 +181,17 @@
 	r.Epoch++
 }
 
-// Release leaves the job to whoever claims it.
+// Release removes the owner, so that another node can claim the job.
 func (r *Record) Release() { r.Owner = "" }
 
-// End ends the job: nothing more is run, what is listed stays.
+// End ends the job. No more items are run, and listed results stay.
 func (r *Record) End() {
 	r.Ended = true
 	r.Owner = ""
 }
 
-// Overdue says whether items may be given up at a time of the store's clock.
+// Overdue reports whether items may be given up at the given time on the store's
+// clock.
 func (r Record) Overdue(now time.Duration) bool {
 	return r.Expiry > 0 && now > r.AcceptedAt+r.Expiry
 }
