--- a/internal/passthrough/batch/schedule.go
+++ b/internal/passthrough/batch/schedule.go
@@ -19,32 +19,32 @@
 	"ringstream.example/ringstream/internal/passthrough/slots"
 )
 
-// scheduleEvery is the longest pause between two looks for idle engines, and idleEvery that of a
-// node which owns no job: it is woken when it does. Of some 75 times that an idle node woke in a
-// second, 25 were for jobs that it did not have.
+// scheduleInterval is the longest pause between two scheduling passes. idleScheduleInterval applies
+// to a node that owns no job, which is woken when it gets one. Of some 75 wake-ups a second on an
+// idle node, 25 were for jobs that it did not have.
 const (
-	scheduleEvery = 40 * time.Millisecond
-	idleEvery     = 500 * time.Millisecond
+	scheduleInterval     = 40 * time.Millisecond
+	idleScheduleInterval = 500 * time.Millisecond
 )
 
-// formerTime is how long an engine is held to keep the prompt of a run that was
-// stopped there.
-const formerTime = 5 * time.Second
+// promptRetention is how long an engine is assumed to keep the prompt of a run that was stopped
+// there.
+const promptRetention = 5 * time.Second
 
-// candidate is an item that could run now.
+// candidate is an item that can be scheduled now.
 type candidate struct {
-	job   *ownedJob
-	index int
-	rank  int // priority of its tenant, 0 is the highest
-	due   time.Duration
-	late  bool // it cannot be done when it is due, by what is known of such items
-	// former is the engine that ran it and may still keep its prompt.
-	former enginechoice.Incarnation
+	job      *ownedJob
+	index    int
+	rank     int           // priority of its tenant; 0 is the highest
+	deadline time.Duration // on the store's clock
+	late     bool          // it is forecast to miss its deadline
+	// lastEngine is the engine that last ran the item and may still keep its prompt.
+	lastEngine enginechoice.Incarnation
 }
 
-// schedule starts items while engines have room for batch work.
+// schedule requests slots for open items until ctx ends.
 func (s *Service) schedule(ctx context.Context) error {
-	timer := time.NewTimer(scheduleEvery)
+	timer := time.NewTimer(scheduleInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -53,23 +53,24 @@
 		case <-timer.C:
 		case <-s.wake:
 		}
-		timer.Reset(s.pauseWhile(scheduleEvery, s.ownsJobs()))
-		s.watch.Look()
-		s.giveUpOverdue()
-		if s.blind() || !s.settled(time.Now()) {
+		timer.Reset(s.loopInterval(scheduleInterval, s.ownsJobs()))
+		s.suspensionWatch.Look()
+		s.expireOverdue()
+		if s.stale() || !s.settled(time.Now()) {
 			s.Slots.WantBatch(nil)
 			continue
 		}
-		s.askForSlots()
+		s.requestSlots()
 	}
 }
 
-// pauseWhile gives the pause between two looks: a short one while there is something to look at.
-func (s *Service) pauseWhile(short time.Duration, busy bool) time.Duration {
+// loopInterval returns the pause between two passes of a loop: short while the node is busy,
+// idleScheduleInterval otherwise.
+func (s *Service) loopInterval(short time.Duration, busy bool) time.Duration {
 	if busy {
 		return short
 	}
-	return idleEvery
+	return idleScheduleInterval
 }
 
 func (s *Service) ownsJobs() bool {
@@ -78,54 +79,54 @@
 	return len(s.owned) > 0
 }
 
-// settled says whether the node has been up long enough to know the other
-// nodes: when all start at once, the first would else be the dispatcher of each
+// settled reports whether the node has been up long enough to know the other nodes. When all nodes
+// start at once, the first ones know no other node, and each would act as the dispatcher of every
 // lane for itself.
 func (s *Service) settled(now time.Time) bool { return now.Sub(s.started) >= s.config.SettleFor }
 
-// mostAsks is how many items of this node wait at the dispatcher at a time: more
-// than it grants a node between two looks here.
-const mostAsks = 16
+// maxSlotRequests bounds the items of this node that wait at the dispatcher at a time. It is more
+// than the dispatcher grants a node between two scheduling passes.
+const maxSlotRequests = 16
 
-// askForSlots has the items that are due first wait for slots, those that will
-// be late after all others.
-func (s *Service) askForSlots() {
+// requestSlots requests slots for the items with the earliest deadlines. Items that will miss their
+// deadline come last.
+func (s *Service) requestSlots() {
 	known := s.Routes.Known()
 	if known.Table == nil {
 		return
 	}
 	tenants := known.Table.Tenants().Directory
 	waiting := s.candidates(tenants)
-	storeNow, _ := s.now()
+	storeNow, _ := s.storeClock()
 	now := time.Now()
-	asks := make([]slots.BatchAsk, 0, mostAsks)
+	requests := make([]slots.BatchAsk, 0, maxSlotRequests)
 	for _, next := range waiting {
-		if len(asks) == mostAsks {
+		if len(requests) == maxSlotRequests {
 			break
 		}
 		route, found := s.routeOf(known, next)
-		if !found || s.hold(next) {
+		if !found || s.holdIfBlocked(next) {
 			continue
 		}
-		asks = append(asks, s.askFor(next, route, now.Add(next.due-storeNow), runRoutes{route: route, version: known.Table.Version(), learned: known.Learned}))
+		requests = append(requests, s.slotRequest(next, route, now.Add(next.deadline-storeNow), resolvedRoute{route: route, version: known.Table.Version(), learned: known.Learned}))
 	}
-	s.Slots.WantBatch(asks)
+	s.Slots.WantBatch(requests)
 }
 
-// routeOf gives an item's route. An item without one is given up, but only when the routes
-// were the newest at a time at which this node had the job: the node that accepted it may
-// have known newer ones.
+// routeOf returns the route of an item. An item without a route becomes a dead letter, but only if
+// the routes were current at a time at which this node already had the job: the node that accepted
+// the job may have known newer routes.
 func (s *Service) routeOf(known catalog.Known, next candidate) (*passroute.Route, bool) {
 	route, found := known.Table.Lookup(next.job.host, next.job.items[next.index].Path)
-	if !found && known.AsOf.After(next.job.since) {
+	if !found && known.AsOf.After(next.job.acquiredAt) {
 		s.finish(next.job, next.index, passjob.DeadLetter, "the route is gone")
 	}
 	return route, found
 }
 
-// hold says whether an item must not run, since engines end under its content. It stays
-// open until its job's expiry, or until it is let through again.
-func (s *Service) hold(next candidate) bool {
+// holdIfBlocked reports whether an item must not run because its content is blocked for crashing
+// engines. A held item stays open until its job expires or the block ends.
+func (s *Service) holdIfBlocked(next candidate) bool {
 	item := next.job.items[next.index]
 	digest := next.job.digestOf(item)
 	verdict := s.Guard.Verdict(digest)
@@ -134,7 +135,7 @@
 	}
 	s.mu.Lock()
 	work := &next.job.work[next.index]
-	work.notBefore = time.Now().Add(heldLook)
+	work.notBefore = time.Now().Add(heldRecheckInterval)
 	first := !work.held
 	work.held = true
 	s.mu.Unlock()
@@ -145,37 +146,37 @@
 	return true
 }
 
-// heldLook is the pause between two looks whether a held item may run.
-const heldLook = time.Second
+// heldRecheckInterval is the pause between two checks whether a held item may run.
+const heldRecheckInterval = time.Second
 
-// askFor makes the ask of an item, which keeps its id while it waits.
-func (s *Service) askFor(next candidate, route *passroute.Route, due time.Time, routes runRoutes) slots.BatchAsk {
+// slotRequest builds the slot request of an item. The item keeps its request id while it waits.
+func (s *Service) slotRequest(next candidate, route *passroute.Route, due time.Time, routes resolvedRoute) slots.BatchAsk {
 	item := next.job.items[next.index]
 	suspect := s.Guard.Suspect(next.job.digestOf(item))
 	query := relay.Query(s.Routes.Pool(route), s.Headers.Demand(item.Header))
-	query.Batch, query.Former = true, next.former
+	query.Batch, query.Former = true, next.lastEngine
 	query.BatchPercent = s.config.PerEngine
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	work := &next.job.work[next.index]
-	if work.ask == 0 {
-		work.ask = s.Slots.NewID()
+	if work.slotRequestID == 0 {
+		work.slotRequestID = s.Slots.NewID()
 	}
-	ask := work.ask
-	return slots.BatchAsk{ID: ask, Query: query, RoomPercent: s.config.Room, TenantRank: next.rank, Rank: route.Priority, Due: due, Late: next.late, Suspect: suspect, Start: func(decision slots.Decision) bool {
-		return s.startItem(next, ask, decision, routes)
+	id := work.slotRequestID
+	return slots.BatchAsk{ID: id, Query: query, RoomPercent: s.config.Room, TenantRank: next.rank, Rank: route.Priority, Due: due, Late: next.late, Suspect: suspect, Start: func(decision slots.Decision) bool {
+		return s.startItem(next, id, decision, routes)
 	}}
 }
 
-// candidates gives the items that could run, those of the job that is due
-// first at the front.
+// candidates returns the items that can run. Items on time come before late ones; within each group
+// they are ordered by tenant priority, deadline and position in the job.
 func (s *Service) candidates(tenants *tenant.Directory) []candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving {
 		return nil
 	}
-	now, storeNow := time.Now(), s.storeTime()
+	now, storeNow := time.Now(), s.storeClockLocked()
 	var list []candidate
 	for _, job := range s.owned {
 		if job.items == nil || job.record.Ended {
@@ -184,23 +185,22 @@
 		rank := tenantRank(tenants, job.tenant)
 		for index := range job.work {
 			work := &job.work[index]
-			if job.record.Items[index].State == passjob.Open && work.finished == passjob.Open && !work.running && !work.failed && !now.Before(work.notBefore) {
-				next := candidate{job: job, index: index, rank: rank, due: job.due(), late: job.isLate(storeNow, s.forecast.cautious(work.text.events))}
-				if now.Sub(work.yieldedAt) < formerTime {
-					next.former = work.engine
+			if job.record.Items[index].State == passjob.Open && work.finished == passjob.Open && !work.running && !work.failurePending && !now.Before(work.notBefore) {
+				next := candidate{job: job, index: index, rank: rank, deadline: job.deadline(), late: job.missesDeadline(storeNow, s.forecast.remainingWithMargin(work.text.events))}
+				if now.Sub(work.preemptedAt) < promptRetention {
+					next.lastEngine = work.engine
 				}
 				list = append(list, next)
 			}
 		}
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(ordering.FalseFirst(a.late, b.late), cmp.Compare(a.rank, b.rank), cmp.Compare(a.due, b.due), cmp.Compare(a.index, b.index))
+		return cmp.Or(ordering.FalseFirst(a.late, b.late), cmp.Compare(a.rank, b.rank), cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.index, b.index))
 	})
 	return list
 }
 
-// tenantRank gives the priority of a tenant; that of one that is gone, or of none, is
-// the highest.
+// tenantRank returns the priority of a tenant. An unknown tenant, or none, gets the highest.
 func tenantRank(tenants *tenant.Directory, name string) int {
 	if holder, found := tenants.ByName(name); found {
 		return holder.Priority
@@ -208,25 +208,27 @@
 	return 0
 }
 
-// runRoutes says by which routes an item runs.
-type runRoutes struct {
+// resolvedRoute is the route that an item runs on, with the version and the time of the route table
+// it comes from.
+type resolvedRoute struct {
 	route   *passroute.Route
 	version int64
 	learned time.Time
 }
 
-// startItem runs an item that got a slot; false when it no longer waits.
-func (s *Service) startItem(next candidate, ask uint64, decision slots.Decision, routes runRoutes) bool {
+// startItem runs an item that was granted a slot. It returns false if the item no longer waits for
+// the slot.
+func (s *Service) startItem(next candidate, requestID uint64, decision slots.Decision, routes resolvedRoute) bool {
 	item := next.job.items[next.index]
 	s.mu.Lock()
 	work := &next.job.work[next.index]
-	waits := !s.leaving && work.ask == ask && !work.running && work.finished == passjob.Open && next.job.runs.Err() == nil
-	if !waits {
+	stillWaiting := !s.leaving && work.slotRequestID == requestID && !work.running && work.finished == passjob.Open && next.job.runContext.Err() == nil
+	if !stillWaiting {
 		s.mu.Unlock()
 		return false
 	}
-	ctx, stop := context.WithCancel(next.job.runs)
-	work.running, work.ask, work.slot, work.engine, work.yield = true, 0, decision.Slot, decision.Choice.Entry.Incarnation(), stop
+	ctx, stop := context.WithCancel(next.job.runContext)
+	work.running, work.slotRequestID, work.slot, work.engine, work.cancelRun = true, 0, decision.Slot, decision.Choice.Entry.Incarnation(), stop
 	lastEvent := work.text.lastEvent
 	s.running.Add(1)
 	s.mu.Unlock()
@@ -238,7 +240,7 @@
 	return true
 }
 
-// finish sets the state that an item is to be listed under.
+// finish sets the final state of an item, and writes it to the store.
 func (s *Service) finish(job *ownedJob, index int, state passjob.ItemState, why string) {
 	s.mu.Lock()
 	if job.work[index].finished == passjob.Open {
@@ -249,20 +251,21 @@
 	s.flush(job)
 }
 
-// clockAhead is how much the estimate of the store's clock may be ahead: an answer that told it
-// was made as late as it came, and its call may have been sent that much before.
-func (s *Service) clockAhead() time.Duration { return s.Follow.Wait + s.Follow.Slack }
+// maxClockLead bounds how far the estimate of the store's clock may be ahead. The estimate dates
+// the clock in an answer to the earliest time at which the answer can have been made. The answer
+// may have been made as late as it arrived, which is up to one call later.
+func (s *Service) maxClockLead() time.Duration { return s.Follow.Wait + s.Follow.Slack }
 
-// giveUpOverdue lists what may be given up by now, for certain.
-func (s *Service) giveUpOverdue() {
-	now, known := s.now()
+// expireOverdue turns the open items of jobs that have certainly expired into dead letters.
+func (s *Service) expireOverdue() {
+	now, known := s.storeClock()
 	if !known {
 		return
 	}
 	for _, job := range s.ownedJobs() {
 		s.mu.Lock()
 		var overdue []int
-		if job.record.Overdue(now - s.clockAhead()) {
+		if job.record.Overdue(now - s.maxClockLead()) {
 			for index := range job.work {
 				if job.record.Items[index].State == passjob.Open && job.work[index].finished == passjob.Open {
 					overdue = append(overdue, index)
@@ -276,5 +279,5 @@
 	}
 }
 
-// attemptsOf gives how many failures end an item.
-func attemptsOf(route *passroute.Route) int { return max(route.Attempts, 1) }
+// maxAttempts returns the number of failures after which an item becomes a dead letter.
+func maxAttempts(route *passroute.Route) int { return max(route.Attempts, 1) }
--- a/internal/passthrough/batch/schedule_test.go
+++ b/internal/passthrough/batch/schedule_test.go
@@ -10,12 +10,13 @@
 	"ringstream.example/ringstream/internal/passthrough/catalog"
 )
 
-// TestItemOfANewRouteIsNotGivenUp: a job that another node accepted under a new configuration
-// came to a node that had an older one, since the store's two feeds are heard apart. Its items
-// have no route there, and were listed as given up for good, within one look for work (40 ms).
+// TestItemOfANewRouteIsNotGivenUp guards against losing items during a change of configuration. The
+// store's two feeds are independent, so a node with an older configuration can get a job that
+// another node accepted under a newer one. The job's items had no route there and became dead
+// letters within one scheduling interval (40 ms).
 func TestItemOfANewRouteIsNotGivenUp(t *testing.T) {
-	service := newTestService(&takingStore{})
-	got := time.Now()
+	service := newTestService(&acceptingStore{})
+	acquired := time.Now()
 	service.adopt(testRecord(1), 1, make([]passthrough.Item, 1))
 	job := service.ownedJobs()[0]
 	next := candidate{job: job}
@@ -25,33 +26,34 @@
 		defer service.mu.Unlock()
 		return job.work[0].finished
 	}
-	if _, found := service.routeOf(catalog.Known{Table: table, AsOf: got.Add(-time.Second)}, next); found || finished() != passjob.Open {
-		t.Errorf("by routes from before the job came: found %v, state %v", found, finished())
+	if _, found := service.routeOf(catalog.Known{Table: table, AsOf: acquired.Add(-time.Second)}, next); found || finished() != passjob.Open {
+		t.Errorf("routes older than the job: found %v, state %v", found, finished())
 	}
 	if _, found := service.routeOf(catalog.Known{Table: table, AsOf: time.Now().Add(time.Second)}, next); found || finished() != passjob.DeadLetter {
-		t.Errorf("by routes that were the newest after it came: found %v, state %v", found, finished())
+		t.Errorf("routes newer than the job: found %v, state %v", found, finished())
 	}
 }
 
-// TestItemIsNotGivenUpBeforeItsExpiry: the node's estimate of the store's clock is never behind,
-// and ahead by as long as the quickest call of the last half minute took: up to 1.9 s where the
-// store is slow (Wait and Slack of the feed). An item was given up by so much before its expiry.
+// TestItemIsNotGivenUpBeforeItsExpiry guards against items expiring too early. The node's estimate
+// of the store's clock is never behind, and ahead by up to the duration of the quickest call of the
+// last half minute: up to 1.9 s for a slow store (Wait and Slack of the feed). Items became dead
+// letters by that much before their expiry.
 func TestItemIsNotGivenUpBeforeItsExpiry(t *testing.T) {
 	const expiry, ahead = time.Minute, 1500 * time.Millisecond
-	service := newTestService(&takingStore{})
+	service := newTestService(&acceptingStore{})
 	record := testRecord(1)
-	record.AcceptedAt, record.Expiry = time.Hour-expiry+time.Second, expiry // it ends a second from now
+	record.AcceptedAt, record.Expiry = time.Hour-expiry+time.Second, expiry // the job expires in one second
 	service.adopt(record, 1, make([]passthrough.Item, 1))
 	job := service.ownedJobs()[0]
 	for _, test := range []struct {
-		as   time.Duration // how long ago the answer may have been made that told the time
+		age  time.Duration // how long ago the answer with the clock may have been made
 		want passjob.ItemState
-	}{{ahead, passjob.Open}, {time.Second + 2*service.clockAhead(), passjob.DeadLetter}} {
-		service.tellTime(time.Hour, time.Now().Add(-test.as))
-		service.giveUpOverdue()
+	}{{ahead, passjob.Open}, {time.Second + 2*service.maxClockLead(), passjob.DeadLetter}} {
+		service.setStoreClock(time.Hour, time.Now().Add(-test.age))
+		service.expireOverdue()
 		service.mu.Lock()
 		if got := job.work[0].finished; got != test.want {
-			t.Errorf("with an answer of %v ago: state %v, want %v", test.as, got, test.want)
+			t.Errorf("answer made %v ago: state %v, want %v", test.age, got, test.want)
 		}
 		service.mu.Unlock()
 	}
--- a/internal/passthrough/batch/service.go
+++ b/internal/passthrough/batch/service.go
@@ -19,7 +19,7 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Dependencies are the parts that the service works with.
+// Dependencies are the components that the service uses.
 type Dependencies struct {
 	Store   passthrough.Rows
 	Objects passthrough.Objects
@@ -31,79 +31,80 @@
 	Pool    *engineconn.Pool
 	Guard   *guard.Service
 	Logger  *zap.Logger
-	// Self names this life of the node, unlike any other.
+	// Self identifies this incarnation of the node.
 	Self, Name, Zone string
-	// Peer is where this node hears others; empty: nowhere.
+	// Peer is this node's address for messages from other nodes; empty: none.
 	Peer string
-	// Capacity is what this node's machine can do, as a share of a processor core.
+	// Capacity is the capacity of this node's machine, as a share of a processor core.
 	Capacity float64
-	// Ready says whether the node takes clients; nil: it does.
+	// Ready reports whether the node accepts clients; nil: always.
 	Ready func() bool
-	// Reader names this node's slot among the readers of the store, and says whether it is one now;
-	// nil: it reads for itself alone.
+	// Reader returns this node's slot among the readers of the store, and whether the node holds it
+	// now; nil: the node reads the store only for itself.
 	Reader func() (slot string, held bool)
-	// Follow says how the table of jobs is followed.
+	// Follow configures how the table of jobs is followed.
 	Follow catalog.FollowConfig
-	// StoreTime is what this node knows of the store's clock; nil: what the service itself hears.
+	// StoreTime estimates the store's clock; nil: the estimate uses only the answers to this
+	// service's own calls.
 	StoreTime  *catalog.StoreTime
 	Registerer prometheus.Registerer
 }
 
-// Service accepts, runs and answers for jobs.
+// Service accepts jobs, runs them and answers calls about them.
 //
-// Lock order: Service.mu, then view.mu or the engines' lock; none is held
-// during a call.
+// Lock order: Service.mu, then view.mu or the engines' lock. No lock is held during a call to
+// another process.
 type Service struct {
 	Dependencies
-	config   Config
-	store    passthrough.Rows
-	view     *view
-	follower *catalog.Follower
-	metrics  *metrics
-	texts    *textCache
-	started  time.Time
-	pace     storePace
-	watch    *suspension.Watch
-	forecast forecast
-	// confirmations asks the store on behalf of readers.
-	confirmations *confirmations
-	watchers      watchers
-	claimedAt     time.Time // when a job was last claimed; tend's alone
-
-	mu      sync.Mutex // guards the rest
-	owned   map[string]*ownedJob
-	taking  map[string]int       // hand-ins under way, by job
-	orphans map[string]time.Time // since when a job was seen without a live owner
-	leaving bool
-	running sync.WaitGroup
-	wake    chan struct{} // has one token when there may be items to start
-	seen    fleet         // the last look at the nodes
-	seenAt  time.Time     // of seen
-	// watchedLast is when all nodes were last watched.
-	watchedLast time.Time
-	// signMissed is when this node last failed to write its sign of life.
-	signMissed time.Time
-	// signTaken is when the store last took one.
-	signTaken time.Time
-	storeAt   time.Duration // the store's clock, as of storeAtLocal
-	storeAs   time.Time
+	config          Config
+	store           passthrough.Rows
+	view            *view
+	follower        *catalog.Follower
+	metrics         *metrics
+	texts           *textCache
+	started         time.Time
+	writeLatency    writeLatency
+	suspensionWatch *suspension.Watch
+	forecast        forecast
+	// confirmer reads jobs from the store on behalf of readers.
+	confirmer    *confirmer
+	nodeLiveness livenessState
+	lastClaimAt  time.Time // when this node last claimed a job; used by maintainOwnership only
+
+	mu            sync.Mutex // guards the fields below
+	owned         map[string]*ownedJob
+	submitting    map[string]int       // number of submissions in flight, by job
+	orphans       map[string]time.Time // since when a job has been seen without a live owner
+	leaving       bool
+	running       sync.WaitGroup
+	wake          chan struct{} // holds one token when there may be items to start
+	fleetCache    fleetSnapshot // last snapshot of the fleet
+	fleetCachedAt time.Time     // when fleetCache was last known to be valid
+	// lastAllWatched is when all nodes were last watched.
+	lastAllWatched time.Time
+	// heartbeatFailedAt is when this node last failed to write its heartbeat row.
+	heartbeatFailedAt time.Time
+	// heartbeatWrittenAt is when the store last accepted a heartbeat row of this node.
+	heartbeatWrittenAt time.Time
+	storeClockValue    time.Duration // the store's clock at storeClockAt
+	storeClockAt       time.Time     // zero: the store's clock is not known yet
 }
 
-// New makes a service; Run starts it.
+// New returns a service. Run starts it.
 func New(config Config, dependencies Dependencies) *Service {
 	service := &Service{
 		Dependencies: dependencies, config: config, store: dependencies.Store,
 		view: newView(config, dependencies.Logger), metrics: newMetrics(dependencies.Registerer),
 		texts: newTextCache(config.TextCacheBytes), started: time.Now(),
-		owned: make(map[string]*ownedJob), taking: make(map[string]int), orphans: make(map[string]time.Time), wake: make(chan struct{}, 1),
+		owned: make(map[string]*ownedJob), submitting: make(map[string]int), orphans: make(map[string]time.Time), wake: make(chan struct{}, 1),
 	}
 	if service.Reader == nil {
 		service.Reader = func() (string, bool) { return "", false }
 	}
-	service.confirmations = newConfirmations(service.askRecord)
-	service.watchers.watch = liveness.New(config.liveness(), dependencies.Self, time.Now())
+	service.confirmer = newConfirmer(service.readRecordWithRetry)
+	service.nodeLiveness.detector = liveness.New(config.liveness(), dependencies.Self, time.Now())
 	service.follower = catalog.NewFollower(dependencies.Follow, dependencies.Store, tableJobs, config.parts(), service.view, dependencies.Logger)
-	service.follower.OnStoreClock(service.tellTime)
+	service.follower.OnStoreClock(service.setStoreClock)
 	service.follower.Copy().Hide(isPulse)
 	if dependencies.StoreTime != nil {
 		service.follower.TimeBy(dependencies.StoreTime)
@@ -111,85 +112,89 @@
 	return service
 }
 
-// WatchBy has the service correct the ages of what it knows after a suspension; called
-// before Run. How long other nodes were silent is not corrected: this one did not listen.
+// WatchBy makes the service correct the ages of what it knows after a suspension. It must be called
+// before Run. The times for which other nodes were silent are not corrected, since this node did
+// not receive anything during the suspension.
 func (s *Service) WatchBy(watch *suspension.Watch) {
-	s.watch = watch
+	s.suspensionWatch = watch
 	s.follower.WatchBy(watch)
 	watch.OnWake(func(gap time.Duration) {
 		s.mu.Lock()
-		s.storeAs = earlier(s.storeAs, gap)
-		s.signTaken = earlier(s.signTaken, gap)
+		s.storeClockAt = shiftBack(s.storeClockAt, gap)
+		s.heartbeatWrittenAt = shiftBack(s.heartbeatWrittenAt, gap)
 		s.mu.Unlock()
-		s.signal()
+		s.wakeScheduler()
 	})
 }
 
-// earlier moves a moment that has been.
-func earlier(at time.Time, by time.Duration) time.Time {
+// shiftBack moves a past time back. A zero time stays zero.
+func shiftBack(at time.Time, by time.Duration) time.Time {
 	if at.IsZero() {
 		return at
 	}
 	return at.Add(-by)
 }
 
-// Follower gives the follower of the table of jobs, which is set up further before Run.
+// Follower returns the follower of the table of jobs, which can be configured further before Run.
 func (s *Service) Follower() *catalog.Follower { return s.follower }
 
-// OnPassedOver has a function hear that the feed of jobs has passed something over; called before Run.
+// OnPassedOver registers a function that is called when the feed of jobs has skipped a change. It
+// must be called before Run.
 func (s *Service) OnPassedOver(hear func()) { s.follower.OnPassedOver(hear) }
 
-// Health says how well the table of jobs is followed.
+// Health returns how well the table of jobs is followed.
 func (s *Service) Health() catalog.Health { return s.follower.Health() }
 
-// Run works until ctx ends; jobs are handed over by Leave before that.
+// Run runs the service until ctx ends. Leave must be called before that to hand over the jobs.
 func (s *Service) Run(ctx context.Context) error {
 	var group run.Group
-	for _, part := range []func(context.Context) error{s.follow, s.beat, s.pulse, s.watchNodes, s.tend, s.schedule, s.saveProgress, s.collect} {
+	for _, component := range []func(context.Context) error{s.follow, s.writeHeartbeats, s.writePulses, s.watchNodes, s.maintainOwnership, s.schedule, s.saveProgress, s.collect} {
 		partCtx, cancel := context.WithCancel(ctx)
-		group.Add(func() error { return part(partCtx) }, func(error) { cancel() })
+		group.Add(func() error { return component(partCtx) }, func(error) { cancel() })
 	}
 	return group.Run()
 }
 
-// follow follows the table of jobs once the node takes clients: when all nodes
-// start at once, what clients wait for is read first.
+// follow follows the table of jobs once the node accepts clients. When all nodes start at once, the
+// tables that clients wait for are read first.
 func (s *Service) follow(ctx context.Context) error {
 	for s.Ready != nil && !s.Ready() {
-		if !wait.For(ctx, readyPause) {
+		if !wait.For(ctx, readyPollInterval) {
 			return nil
 		}
 	}
 	return s.follower.Run(ctx)
 }
 
-const readyPause = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
-// tellTime takes the store's clock as of a moment.
-func (s *Service) tellTime(at time.Duration, as time.Time) {
+// setStoreClock records the store's clock as of a local time.
+func (s *Service) setStoreClock(at time.Duration, as time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeAt, s.storeAs = at, as
+	s.storeClockValue, s.storeClockAt = at, as
 }
 
-// now estimates the store's clock; false before it was heard.
-func (s *Service) now() (time.Duration, bool) {
+// storeClock returns an estimate of the store's clock, and false if the clock is not known yet.
+func (s *Service) storeClock() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.storeTime(), !s.storeAs.IsZero()
+	return s.storeClockLocked(), !s.storeClockAt.IsZero()
 }
 
-// storeTime estimates the store's clock, once it was heard; the caller holds
-// Service.mu.
-func (s *Service) storeTime() time.Duration { return s.storeAt + time.Since(s.storeAs) }
+// storeClockLocked estimates the store's clock. The estimate is valid only once the clock is known.
+// The caller holds Service.mu.
+func (s *Service) storeClockLocked() time.Duration {
+	return s.storeClockValue + time.Since(s.storeClockAt)
+}
 
-// blind says that what is known of jobs may be too old to act on.
-func (s *Service) blind() bool {
+// stale reports whether the copy of the table of jobs may be too old to act on.
+func (s *Service) stale() bool {
 	health := s.follower.Health()
 	return !health.Listed || time.Since(health.AsOf) > s.config.BlindFor
 }
 
-func (s *Service) signal() {
+func (s *Service) wakeScheduler() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/internal/passthrough/batch/view.go
+++ b/internal/passthrough/batch/view.go
@@ -11,68 +11,71 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// entry is what a node knows of one job.
-type entry struct {
+// jobEntry is what a node knows of one job.
+type jobEntry struct {
 	record  passjob.Record
 	version int64         // of the row
 	changed chan struct{} // closed at the next change
 }
 
-// nodeSign is a node's sign of life.
-type nodeSign struct {
+// heartbeatRow is the value of the row that a node writes to show that it is alive. Settings and
+// log events call it a sign of life.
+type heartbeatRow struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
-	Started int64  `json:"started"` // rises with each start of the same name
+	Started int64  `json:"started"` // increases with each start of a node of this name
 	Count   int64  `json:"count"`
-	Peer    string `json:"peer,omitempty"` // where it hears other nodes
+	Peer    string `json:"peer,omitempty"` // address for messages from other nodes
 	Leaving bool   `json:"leaving,omitempty"`
-	// Capacity is what its machine can do, as a share of a processor core.
+	// Capacity is the capacity of the node's machine, as a share of a processor core.
 	Capacity float64 `json:"capacity,omitempty"`
-	// Slowness is how much longer than usual the node's next sign may take.
+	// Slowness is the factor by which the node's next heartbeat row may be later than usual.
 	Slowness float64 `json:"slowness,omitempty"`
-	// Watched: it sends heartbeats to its watchers, who remove its sign when it dies.
+	// Watched is true if the node sends heartbeat messages to its watchers, which remove its row
+	// when it dies.
 	Watched bool `json:"watched,omitempty"`
 }
 
-// sameBut says whether two signs differ in no more than what each new one changes.
-func (n nodeSign) sameBut(other nodeSign) bool {
+// sameExceptPeriodic reports whether two rows differ only in the fields that change with each
+// write.
+func (n heartbeatRow) sameExceptPeriodic(other heartbeatRow) bool {
 	n.Count, n.Slowness = other.Count, other.Slowness
 	return n == other
 }
 
-// nodeView is a node as seen through its signs of life.
+// nodeView is what this node knows of a node from its heartbeat rows.
 type nodeView struct {
-	sign    nodeSign
-	version int64
-	heard   time.Time // when the sign last changed
-	known   time.Time // when the node was first seen
+	heartbeat heartbeatRow
+	version   int64
+	changedAt time.Time // when the row last changed
+	firstSeen time.Time // when the node was first seen
 }
 
-// view is the node's copy of the table of jobs. It follows the store's feed,
-// and takes in at once what the node itself reads or writes.
+// view is the node's copy of the table of jobs. It follows the store's feed. Rows that the node
+// itself reads or writes are applied at once.
 type view struct {
 	config Config
 	logger *zap.Logger
 
-	mu    sync.Mutex // guards the rest
-	jobs  map[string]*entry
-	gone  map[string]int64 // versions at which rows went
-	nodes map[string]*nodeView
-	// generation counts the changes of nodes beside further signs of the same ones.
-	generation uint64
-	removed    map[string]int64         // lives of nodes whose signs went, and the versions then
-	quotas     map[string]int64         // versions of the quota rows, by their keys
-	crashes    map[string]seenCrashes   // by the rows' keys
-	unheard    []heardCrash             // from rows, for the guard
-	watchers   map[string]chan struct{} // of jobs that are not known yet
-	wake       chan struct{}            // has one token when something changed
+	mu              sync.Mutex // guards the fields below
+	jobs            map[string]*jobEntry
+	deletedVersions map[string]int64 // versions at which rows of jobs were deleted
+	nodes           map[string]*nodeView
+	// generation counts the changes of nodes, except for periodic heartbeat rows.
+	generation     uint64
+	removedNodes   map[string]int64         // by incarnation id: the version at which the heartbeat row was removed
+	quotaVersions  map[string]int64         // versions of the quota rows, by key
+	crashes        map[string]crashRowState // by row key
+	pendingCrashes []pendingCrash           // from rows, not passed to the guard yet
+	jobWatchers    map[string]chan struct{} // by id of jobs that are not known yet
+	wake           chan struct{}            // holds one token after a change
 }
 
 func newView(config Config, logger *zap.Logger) *view {
 	return &view{
-		config: config, logger: events.Bounded(logger), jobs: make(map[string]*entry), gone: make(map[string]int64),
-		nodes: make(map[string]*nodeView), removed: make(map[string]int64), quotas: make(map[string]int64), crashes: make(map[string]seenCrashes),
-		watchers: make(map[string]chan struct{}), wake: make(chan struct{}, 1),
+		config: config, logger: events.Bounded(logger), jobs: make(map[string]*jobEntry), deletedVersions: make(map[string]int64),
+		nodes: make(map[string]*nodeView), removedNodes: make(map[string]int64), quotaVersions: make(map[string]int64), crashes: make(map[string]crashRowState),
+		jobWatchers: make(map[string]chan struct{}), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -92,10 +95,10 @@
 	}
 	for id, known := range v.jobs {
 		if known.version <= version && !listed[v.config.shard(id)+"/"+id] {
-			v.drop(id, version)
+			v.removeJob(id, version)
 		}
 	}
-	v.signal()
+	v.notify()
 }
 
 // Change implements catalog.Sink.
@@ -105,13 +108,13 @@
 	for _, row := range rows {
 		v.apply(row)
 	}
-	v.signal()
+	v.notify()
 }
 
-// Learn takes rows that the node read or wrote itself.
+// Learn applies rows that the node read or wrote itself.
 func (v *view) Learn(rows ...passthrough.Row) { v.Change(rows) }
 
-func (v *view) signal() {
+func (v *view) notify() {
 	select {
 	case v.wake <- struct{}{}:
 	default:
@@ -125,7 +128,7 @@
 			v.applyNode(row)
 		}
 	case partQuotas:
-		v.quotas[row.Key] = max(v.quotas[row.Key], row.Version)
+		v.quotaVersions[row.Key] = max(v.quotaVersions[row.Key], row.Version)
 	case partCrashes:
 		v.applyCrashes(row)
 	default:
@@ -135,63 +138,63 @@
 
 func (v *view) applyNode(row passthrough.Row) {
 	known := v.nodes[row.Key]
-	if row.Version <= v.removed[row.Key] || known != nil && row.Version <= known.version {
+	if row.Version <= v.removedNodes[row.Key] || known != nil && row.Version <= known.version {
 		return
 	}
 	if row.Gone {
 		v.removeNode(row.Key, row.Version)
 		return
 	}
-	sign, err := decodeSign(row.Value)
+	heartbeat, err := decodeHeartbeat(row.Value)
 	if err != nil {
 		events.JobRowUnreadable.Log(v.logger, zap.String("row", row.Key), zap.Error(err))
 		return
 	}
-	if known == nil || !known.sign.sameBut(sign) {
+	if known == nil || !known.heartbeat.sameExceptPeriodic(heartbeat) {
 		v.generation++
 	}
-	delete(v.removed, row.Key)
-	next := &nodeView{sign: sign, version: row.Version, heard: time.Now(), known: time.Now()}
+	delete(v.removedNodes, row.Key)
+	next := &nodeView{heartbeat: heartbeat, version: row.Version, changedAt: time.Now(), firstSeen: time.Now()}
 	if known != nil {
-		next.known = known.known
+		next.firstSeen = known.firstSeen
 	}
 	v.nodes[row.Key] = next
 }
 
-// joinAgain takes a node's own sign at once if the one before was removed; else the feed has to
-// tell it, which shows that it does.
-func (v *view) joinAgain(row passthrough.Row) {
+// rejoin applies a node's own heartbeat row at once if the previous one was removed. Otherwise the
+// row has to arrive through the feed, which shows that the feed works.
+func (v *view) rejoin(row passthrough.Row) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if _, removed := v.removed[row.Key]; removed {
+	if _, removed := v.removedNodes[row.Key]; removed {
 		v.applyNode(row)
 	}
 }
 
-// mostRemoved bounds the removed nodes that are remembered: some minutes of a fleet of 1,000
-// that is rolled.
-const mostRemoved = 4096
+// maxRemovedNodes bounds the removed nodes that are remembered. It covers some minutes of a rolling
+// restart of 1,000 nodes.
+const maxRemovedNodes = 4096
 
-// removeNode takes word that a node's sign of life went.
+// removeNode records that a node's heartbeat row was removed.
 func (v *view) removeNode(id string, version int64) {
 	delete(v.nodes, id)
 	v.generation++
-	for oldest := range v.removed {
-		if len(v.removed) < mostRemoved {
+	for oldest := range v.removedNodes {
+		if len(v.removedNodes) < maxRemovedNodes {
 			break
 		}
-		delete(v.removed, oldest) // whose jobs wait a little longer if it still has any
+		delete(v.removedNodes, oldest) // jobs that the forgotten node still owns are claimed a little later
 	}
-	v.removed[id] = version
+	v.removedNodes[id] = version
 }
 
 func (v *view) applyJob(row passthrough.Row) {
 	known := v.jobs[row.Key]
-	if row.Version == 0 || row.Version <= v.gone[row.Key] || (known != nil && row.Version <= known.version) {
+	if row.Version == 0 || row.Version <= v.deletedVersions[row.Key] || (known != nil && row.Version <= known.version) {
 		return
 	}
 	if row.Gone {
-		v.drop(row.Key, row.Version)
+		v.removeJob(row.Key, row.Version)
 		return
 	}
 	record, err := decodeRecord(row)
@@ -199,70 +202,71 @@
 		events.JobRowUnreadable.Log(v.logger, zap.String("row", row.Key), zap.Error(err))
 		return
 	}
-	next := &entry{record: record, version: row.Version, changed: make(chan struct{})}
+	next := &jobEntry{record: record, version: row.Version, changed: make(chan struct{})}
 	v.jobs[row.Key] = next
 	if known != nil {
 		close(known.changed)
 	}
-	if watcher := v.watchers[row.Key]; watcher != nil {
+	if watcher := v.jobWatchers[row.Key]; watcher != nil {
 		close(watcher)
-		delete(v.watchers, row.Key)
+		delete(v.jobWatchers, row.Key)
 	}
 }
 
-func (v *view) drop(id string, version int64) {
+func (v *view) removeJob(id string, version int64) {
 	known := v.jobs[id]
 	delete(v.jobs, id)
-	v.gone[id] = version
+	v.deletedVersions[id] = version
 	if known != nil {
 		close(known.changed)
 	}
 }
 
-// newestSign gives when a sign of life was last told; the caller holds mu.
-func (v *view) newestSign() time.Time {
+// newestHeartbeat returns when the feed last returned a heartbeat row of any node. The caller holds
+// mu.
+func (v *view) newestHeartbeat() time.Time {
 	var newest time.Time
 	for _, node := range v.nodes {
-		if node.heard.After(newest) {
-			newest = node.heard
+		if node.changedAt.After(newest) {
+			newest = node.changedAt
 		}
 	}
 	return newest
 }
 
-// nodesGeneration counts the changes of nodes beside further signs of the same ones.
+// nodesGeneration returns the number of changes of nodes, except for periodic heartbeat rows.
 func (v *view) nodesGeneration() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.generation
 }
 
-// job gives what is known of a job.
-func (v *view) job(id string) (entry, bool) {
+// job returns what is known of a job.
+func (v *view) job(id string) (jobEntry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if known := v.jobs[id]; known != nil {
 		return *known, true
 	}
-	return entry{}, false
+	return jobEntry{}, false
 }
 
-// all gives what is known of all jobs.
-func (v *view) all() []entry {
+// all returns what is known of all jobs.
+func (v *view) all() []jobEntry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := make([]entry, 0, len(v.jobs))
+	list := make([]jobEntry, 0, len(v.jobs))
 	for _, known := range v.jobs {
 		list = append(list, *known)
 	}
 	return list
 }
 
-// count gives the tokens that a tenant has waiting on a route, as of a version of their quota row.
-func (v *view) count(queue tenantQueue) queueCount {
+// countQueue returns the number of tokens that wait in a queue, as of a version of its quota row.
+func (v *view) countQueue(queue tenantQueue) queueCount {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	seen := queueCount{version: v.quotas[queue.key()], exact: true}
+	seen := queueCount{version: v.quotaVersions[queue.key()], exact: true}
 	for _, known := range v.jobs {
 		if known.record.Route == queue.route && known.record.Tenant == queue.tenant {
 			seen.tokens += known.record.Waiting()
--- a/internal/passthrough/batch/watchers.go
+++ b/internal/passthrough/batch/watchers.go
@@ -12,33 +12,33 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// LivenessTransport sends datagrams to other nodes. What is sent may be lost.
+// LivenessTransport sends datagrams to other nodes. Datagrams may be lost.
 type LivenessTransport interface {
 	SendLiveness(to string, message liveness.Message)
 }
 
-// watchers is this node's part in watching the others.
-type watchers struct {
-	transport LivenessTransport // nil: this node is not heard by others
+// livenessState is the state of the failure detector for watched nodes.
+type livenessState struct {
+	transport LivenessTransport // nil: other nodes do not watch this one
 
-	mu         sync.Mutex // guards the rest; taken after no other lock
-	watch      *liveness.Watch
-	generation uint64          // of the nodes that watch knows
-	removing   map[string]bool // nodes whose removal is being written
+	mu         sync.Mutex // guards the fields below; must not be locked while another lock is held
+	detector   *liveness.Watch
+	generation uint64          // of the nodes that the detector knows
+	removing   map[string]bool // nodes whose removal is in flight
 }
 
-// UseTransport has the service send heartbeats to its watchers; called before Run.
-func (s *Service) UseTransport(transport LivenessTransport) { s.watchers.transport = transport }
+// UseTransport sets the transport for liveness messages. It must be called before Run.
+func (s *Service) UseTransport(transport LivenessTransport) { s.nodeLiveness.transport = transport }
 
-// watchable says whether this node can be watched by others.
-func (s *Service) watchable() bool { return s.watchers.transport != nil && s.Peer != "" }
+// canBeWatched reports whether other nodes can watch this one.
+func (s *Service) canBeWatched() bool { return s.nodeLiveness.transport != nil && s.Peer != "" }
 
-// ticksPerHeartbeat is how often the silence of others is looked at between two heartbeats.
+// ticksPerHeartbeat is the number of checks for silent nodes per heartbeat message.
 const ticksPerHeartbeat = 2
 
-// watchNodes sends heartbeats, and has nodes removed that have fallen silent.
+// watchNodes sends heartbeat messages, and removes nodes that have become silent, until ctx ends.
 func (s *Service) watchNodes(ctx context.Context) error {
-	if !s.watchable() {
+	if !s.canBeWatched() {
 		<-ctx.Done()
 		return nil
 	}
@@ -51,74 +51,74 @@
 			return nil
 		case <-ticker.C:
 		}
-		s.watch.Look()
-		s.watchOnce(ctx, time.Now(), count%ticksPerHeartbeat == 0)
+		s.suspensionWatch.Look()
+		s.livenessTick(ctx, time.Now(), count%ticksPerHeartbeat == 0)
 	}
 }
 
-// addressed is a message for a node.
-type addressed struct {
-	to      string // the id of its life
+// outgoingMessage is a liveness message to a node.
+type outgoingMessage struct {
+	to      string // the node's incarnation id
 	message liveness.Message
 }
 
-// watchOnce does what is due at a time.
-func (s *Service) watchOnce(ctx context.Context, now time.Time, beat bool) {
-	seen := s.lookAtNodes(now)
-	if seen.watched {
+// livenessTick runs the detector at the given time. It sends heartbeat messages if beat is true.
+func (s *Service) livenessTick(ctx context.Context, now time.Time, beat bool) {
+	fleet := s.currentFleet(now)
+	if fleet.allWatched {
 		s.mu.Lock()
-		s.watchedLast = now
+		s.lastAllWatched = now
 		s.mu.Unlock()
 	}
 	asOf := s.follower.Health().AsOf
-	var sends []addressed
-	s.watchers.mu.Lock()
-	watch := s.watchers.watch
-	if s.watchers.generation != seen.generation {
-		s.watchers.generation = seen.generation
-		watch.SetMembers(seen.members, now)
+	var sends []outgoingMessage
+	s.nodeLiveness.mu.Lock()
+	detector := s.nodeLiveness.detector
+	if s.nodeLiveness.generation != fleet.generation {
+		s.nodeLiveness.generation = fleet.generation
+		detector.SetMembers(fleet.members, now)
 	}
-	watch.HearAnything(asOf)
+	detector.HearAnything(asOf)
 	if beat {
-		for _, watcher := range watch.Watchers() {
-			sends = append(sends, addressed{to: watcher, message: liveness.Message{Kind: liveness.Heartbeat, From: s.Self}})
+		for _, watcher := range detector.Watchers() {
+			sends = append(sends, outgoingMessage{to: watcher, message: liveness.Message{Kind: liveness.Heartbeat, From: s.Self}})
 		}
 	}
-	suspicions, dead := watch.Tick(now)
-	s.watchers.mu.Unlock()
+	suspicions, dead := detector.Tick(now)
+	s.nodeLiveness.mu.Unlock()
 	for _, suspicion := range suspicions {
 		events.NodeSuspected.Log(s.Logger, zap.String("peer", suspicion.ID), zap.Strings("asked", suspicion.Others))
 		for _, other := range suspicion.Others {
-			sends = append(sends, addressed{to: other, message: liveness.Message{Kind: liveness.Question, From: s.Self, Node: suspicion.ID}})
+			sends = append(sends, outgoingMessage{to: other, message: liveness.Message{Kind: liveness.Question, From: s.Self, Node: suspicion.ID}})
 		}
 	}
 	s.sendAll(sends)
-	if !seen.watched || s.blind() {
-		return // who is dead is judged by other means, or this node knows too little
+	if !fleet.allWatched || s.stale() {
+		return // dead nodes are detected by heartbeat rows, or the copy is stale
 	}
 	for _, id := range dead {
 		s.removeDead(ctx, id)
 	}
 }
 
-// sendAll sends messages to nodes by the addresses that their signs of life tell.
-func (s *Service) sendAll(sends []addressed) {
+// sendAll sends messages to the addresses in the nodes' heartbeat rows.
+func (s *Service) sendAll(sends []outgoingMessage) {
 	for _, send := range sends {
 		s.view.mu.Lock()
 		node := s.view.nodes[send.to]
 		s.view.mu.Unlock()
-		if node != nil && node.sign.Watched && node.sign.Peer != "" {
-			s.watchers.transport.SendLiveness(node.sign.Peer, send.message)
+		if node != nil && node.heartbeat.Watched && node.heartbeat.Peer != "" {
+			s.nodeLiveness.transport.SendLiveness(node.heartbeat.Peer, send.message)
 		}
 	}
 }
 
-// HearLiveness takes a message of another node.
+// HearLiveness handles a liveness message from another node.
 func (s *Service) HearLiveness(from string, message liveness.Message) {
 	now := time.Now()
-	s.watchers.mu.Lock()
-	defer s.watchers.mu.Unlock()
-	watch := s.watchers.watch
+	s.nodeLiveness.mu.Lock()
+	defer s.nodeLiveness.mu.Unlock()
+	watch := s.nodeLiveness.detector
 	switch message.Kind {
 	case liveness.Heartbeat:
 		watch.Hear(message.From, now)
@@ -127,34 +127,34 @@
 	case liveness.Question:
 		watch.HearAnything(now)
 		if ago, heard := watch.Heard(message.Node, now); heard {
-			go s.watchers.transport.SendLiveness(from, liveness.Message{Kind: liveness.Voucher, From: s.Self, Node: message.Node, Ago: ago})
+			go s.nodeLiveness.transport.SendLiveness(from, liveness.Message{Kind: liveness.Voucher, From: s.Self, Node: message.Node, Ago: ago})
 		}
 	}
 }
 
-// removeDead removes the sign of life of a node that its watchers miss, unless it has
-// written another meanwhile.
+// removeDead removes the heartbeat row of a node that its watchers consider dead, unless the node
+// has written another row meanwhile.
 func (s *Service) removeDead(ctx context.Context, id string) {
 	s.view.mu.Lock()
 	node := s.view.nodes[id]
 	s.view.mu.Unlock()
-	s.watchers.mu.Lock()
-	defer s.watchers.mu.Unlock()
-	if node == nil || s.watchers.removing[id] {
+	s.nodeLiveness.mu.Lock()
+	defer s.nodeLiveness.mu.Unlock()
+	if node == nil || s.nodeLiveness.removing[id] {
 		return
 	}
-	if s.watchers.removing == nil {
-		s.watchers.removing = make(map[string]bool)
+	if s.nodeLiveness.removing == nil {
+		s.nodeLiveness.removing = make(map[string]bool)
 	}
-	s.watchers.removing[id] = true
+	s.nodeLiveness.removing[id] = true
 	go func() {
 		result, err := s.commit(ctx, passthrough.Transaction{
 			Expected: []passthrough.Expectation{{Table: tableJobs, Part: partNodes, Key: id, Version: node.version}},
 			Remove:   []passthrough.Row{{Table: tableJobs, Part: partNodes, Key: id}},
 		})
 		events.NodeRemoved.Log(s.Logger, zap.String("peer", id), zap.Bool("applied", result.Applied), zap.Int64("sign_version", node.version), zap.Error(err))
-		s.watchers.mu.Lock()
-		defer s.watchers.mu.Unlock()
-		delete(s.watchers.removing, id)
+		s.nodeLiveness.mu.Lock()
+		defer s.nodeLiveness.mu.Unlock()
+		delete(s.nodeLiveness.removing, id)
 	}()
 }
--- a/internal/passthrough/batch/write.go
+++ b/internal/passthrough/batch/write.go
@@ -15,38 +15,39 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Pauses between tries of a store call.
+// Timeouts of store calls and pauses between attempts.
 const (
-	callTime = 1500 * time.Millisecond
-	// objectTime is longer: objects take the store several times as long, and a
-	// slow store sixty times that.
-	objectTime = 4 * time.Second
-	retryMin   = 20 * time.Millisecond
-	retryMax   = 400 * time.Millisecond
-	// answerLeast is the time that a try is given at least: a store that refuses at once still takes
-	// a round trip, and this node some turns of its processors.
-	answerLeast = 50 * time.Millisecond
-	// answerTimes is how many times the longest answer of this write another one may take.
-	answerTimes = 1.5
+	storeCallTimeout = 1500 * time.Millisecond
+	// objectCallTimeout is longer because objects take the store several times as long as rows, and
+	// a slow store sixty times that.
+	objectCallTimeout = 4 * time.Second
+	minRetryPause     = 20 * time.Millisecond
+	maxRetryPause     = 400 * time.Millisecond
+	// minAttemptTime is the minimum time for one attempt. Even a store that refuses at once takes a
+	// round trip and some scheduling on this node.
+	minAttemptTime = 50 * time.Millisecond
+	// attemptTimeFactor times the longest answer so far is the time set aside for another attempt
+	// of the same write.
+	attemptTimeFactor = 1.5
 )
 
 func retryPause(attempt int) time.Duration {
-	longest := min(retryMin<<min(attempt, 8), retryMax)
+	longest := min(minRetryPause<<min(attempt, 8), maxRetryPause)
 	return longest/2 + rand.N(longest/2+1)
 }
 
-// written is the outcome of writing a record.
-type written struct {
+// writeResult is the outcome of writing a record.
+type writeResult struct {
 	applied bool
-	version int64             // of the row, when applied
-	current []passthrough.Row // of the expectations, when not applied
+	version int64             // of the row, if applied
+	current []passthrough.Row // the expected rows as they are in the store, if not applied
 }
 
-// writeRecord writes a job's record, with whatever the transaction holds
-// beside it, and asks until the outcome is known: the record carries the
-// transaction's id, so a lost answer is settled by the compare that then fails
-// and shows the record. When ctx ends first the error says what is known.
-func (s *Service) writeRecord(ctx context.Context, transaction passthrough.Transaction, record passjob.Record, expected int64) (written, error) {
+// writeRecord writes a job's record together with the rows that the transaction holds already, and
+// retries until the outcome is known. The record carries the transaction's id: if the answer to an
+// applied write is lost, the next compare fails and returns the record with that id. If ctx ends
+// first, the error wraps ErrOutcomeUnknown or ErrNothingDone.
+func (s *Service) writeRecord(ctx context.Context, transaction passthrough.Transaction, record passjob.Record, expected int64) (writeResult, error) {
 	record.Commit = ulid.Make().String()
 	shard := s.config.shard(record.ID)
 	transaction.Expected = append(transaction.Expected, passthrough.Expectation{Table: tableJobs, Part: shard, Key: record.ID, Version: expected})
@@ -58,58 +59,59 @@
 		longest = max(longest, time.Since(started))
 		switch {
 		case err == nil && result.Applied:
-			s.learnOwn(record, expected)
-			return written{applied: true, version: result.Version}, nil
+			s.learnOwnWrite(record, expected)
+			return writeResult{applied: true, version: result.Version}, nil
 		case err == nil:
-			return s.settle(result, record), nil
+			return s.resolveFailedCompare(result, record), nil
 		case errors.Is(err, passthrough.ErrOutcomeUnknown):
 			known = passthrough.ErrOutcomeUnknown
 		}
-		if !wait.For(ctx, retryPause(attempt)) || (errors.Is(known, passthrough.ErrNothingDone) && !answerableBy(ctx, longest)) {
-			return written{}, errors.Join(known, err)
+		if !wait.For(ctx, retryPause(attempt)) || (errors.Is(known, passthrough.ErrNothingDone) && !enoughTimeLeft(ctx, longest)) {
+			return writeResult{}, errors.Join(known, err)
 		}
 	}
 }
 
-// answerableBy says whether a try that begins now is answered before ctx ends, by the longest answer
-// so far. One that is not leaves open whether the store has taken what it had refused until
-// then: of 1,000 jobs handed in to a store that refuses after 200 ms, 581 were told so.
-func answerableBy(ctx context.Context, longest time.Duration) bool {
+// enoughTimeLeft reports whether an attempt that starts now will be answered before ctx ends,
+// judging by the longest answer so far. An attempt that is not answered makes the outcome unknown,
+// although the store has refused the write until then: of 1,000 jobs submitted to a store that
+// refuses after 200 ms, 581 were answered with an unknown outcome.
+func enoughTimeLeft(ctx context.Context, longest time.Duration) bool {
 	deadline, limited := ctx.Deadline()
-	needed := max(answerLeast, time.Duration(answerTimes*float64(longest)))
+	needed := max(minAttemptTime, time.Duration(attemptTimeFactor*float64(longest)))
 	return !limited || time.Until(deadline) >= needed
 }
 
-// learnOwn has this node's readers see its own write at once. The row's true
-// version is at least one above the one replaced, and any later write's is
-// above that, so the feed's word still comes after it.
-func (s *Service) learnOwn(record passjob.Record, expected int64) {
+// learnOwnWrite makes this node's own write visible to its readers at once. The row's version in
+// the store is at least one above the replaced one, and the version of any later write is above
+// that, so rows from the feed still replace this one.
+func (s *Service) learnOwnWrite(record passjob.Record, expected int64) {
 	s.view.Learn(passthrough.Row{Table: tableJobs, Part: s.config.shard(record.ID), Key: record.ID, Value: record.Encode(), Version: expected + 1})
 }
 
-// settle tells a compare that failed because this very transaction had landed
-// from one that another writer won.
-func (s *Service) settle(result passthrough.CommitResult, record passjob.Record) written {
+// resolveFailedCompare determines whether a compare failed because this transaction had been
+// applied already, or because another writer won.
+func (s *Service) resolveFailedCompare(result passthrough.CommitResult, record passjob.Record) writeResult {
 	for _, row := range result.Current {
 		if row.Key != record.ID || row.Version == 0 {
 			continue
 		}
 		current, err := decodeRecord(row)
 		if err == nil && current.Commit == record.Commit {
-			return written{applied: true, version: row.Version}
+			return writeResult{applied: true, version: row.Version}
 		}
 	}
-	return written{current: result.Current}
+	return writeResult{current: result.Current}
 }
 
 func (s *Service) commit(ctx context.Context, transaction passthrough.Transaction) (passthrough.CommitResult, error) {
-	call, cancel := context.WithTimeout(ctx, s.pace.callTime())
+	call, cancel := context.WithTimeout(ctx, s.writeLatency.callTimeout())
 	defer cancel()
 	started := time.Now()
 	result, err := s.store.Commit(call, transaction)
 	if err == nil {
-		s.pace.observe(time.Since(started))
-		s.expect(transaction, result)
+		s.writeLatency.observe(time.Since(started))
+		s.expectInFeed(transaction, result)
 	}
 	s.metrics.store.WithLabelValues("commit", outcomeOf(err)).Observe(time.Since(started).Seconds())
 	if errors.Is(err, passthrough.ErrMalformed) {
@@ -120,8 +122,9 @@
 	return result, err
 }
 
-// expect has the feed tell what a transaction has written, or has shown where it did not apply.
-func (s *Service) expect(transaction passthrough.Transaction, result passthrough.CommitResult) {
+// expectInFeed registers the rows that a transaction has written, or that its failed compare
+// returned, with the follower, so that it notices if the feed skips them.
+func (s *Service) expectInFeed(transaction passthrough.Transaction, result passthrough.CommitResult) {
 	rows := result.Current
 	if result.Applied {
 		rows = transaction.Put
@@ -147,7 +150,7 @@
 	}
 }
 
-// currentRecord finds a job's row among those that a failed compare showed.
+// currentRecord finds a job's row among those that a failed compare returned.
 func currentRecord(rows []passthrough.Row, id string) (passjob.Record, passthrough.Row, bool) {
 	for _, row := range rows {
 		if row.Table != tableJobs || row.Key != id || row.Version == 0 || row.Gone {
@@ -160,8 +163,9 @@
 	return passjob.Record{}, passthrough.Row{}, false
 }
 
-// unreadableRecord gives why a job's row that is there cannot be read; nil: there is none,
-// or it can. Such a job exists, though this node cannot say what of it is done.
+// unreadableRecord returns why an existing row of a job cannot be decoded. It returns nil if there
+// is no row or the row can be decoded. A job with such a row exists, though this node cannot read
+// its state.
 func unreadableRecord(rows []passthrough.Row, id string) error {
 	for _, row := range rows {
 		if row.Table != tableJobs || row.Key != id || row.Version == 0 || row.Gone {
@@ -174,17 +178,17 @@
 	return nil
 }
 
-// readRecord reads a job's row from the store; found is false when there is
-// none for sure.
+// readRecord reads a job's row from the store. It returns found as false without an error only if
+// the store has no such row.
 func (s *Service) readRecord(ctx context.Context, id string) (record passjob.Record, version int64, found bool, err error) {
-	call, cancel := context.WithTimeout(ctx, callTime)
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	sent, suspensions := time.Now(), s.watch.Count()
+	sent, suspensions := time.Now(), s.suspensionWatch.Count()
 	snapshot, err := s.store.List(call, tableJobs, s.config.shard(id), id, id+"\x00", 1)
 	if err != nil {
 		return passjob.Record{}, 0, false, err
 	}
-	if s.StoreTime != nil && s.watch.Count() == suspensions {
+	if s.StoreTime != nil && s.suspensionWatch.Count() == suspensions {
 		s.StoreTime.MadeAt(sent, snapshot.StoreAt)
 	}
 	for i := range snapshot.Rows {
@@ -198,12 +202,13 @@
 	return record, row.Version, found, nil
 }
 
-// askRecord reads a job's row for readers, once more when the store does not answer.
-func (s *Service) askRecord(ctx context.Context, id string) recordAnswer {
+// readRecordWithRetry reads a job's row for readers, and retries until ctx ends if the store does
+// not answer.
+func (s *Service) readRecordWithRetry(ctx context.Context, id string) recordAnswer {
 	for attempt := 0; ; attempt++ {
 		record, version, found, err := s.readRecord(ctx, id)
 		if err == nil {
-			return recordAnswer{entry: entry{record: record, version: version}, found: found}
+			return recordAnswer{entry: jobEntry{record: record, version: version}, found: found}
 		}
 		if !wait.For(ctx, retryPause(attempt)) {
 			return recordAnswer{err: err}
@@ -211,7 +216,8 @@
 	}
 }
 
-// learn takes rows that calls beside the feed have shown in the store; the feed has to tell them too.
+// learn applies rows that were read from the store outside the feed. The follower is told to expect
+// them in the feed too.
 func (s *Service) learn(rows ...passthrough.Row) {
 	s.view.Learn(rows...)
 	for _, row := range rows {
--- a/internal/passthrough/batch/write_test.go
+++ b/internal/passthrough/batch/write_test.go
@@ -10,16 +10,16 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// unavailableStore refuses every transaction some time after it was asked.
+// unavailableStore refuses every transaction after a fixed time.
 type unavailableStore struct {
 	passthrough.Rows
 	after time.Duration
-	asked int
+	calls int
 }
 
 // Commit implements passthrough.Rows.
 func (s *unavailableStore) Commit(ctx context.Context, _ passthrough.Transaction) (passthrough.CommitResult, error) {
-	s.asked++
+	s.calls++
 	select {
 	case <-ctx.Done():
 		return passthrough.CommitResult{}, passthrough.ErrOutcomeUnknown
@@ -28,25 +28,26 @@
 	}
 }
 
-// A job was handed in while the store refused all writes, and its client was told after 2.5 s that
-// the store may have taken it, in one of seven runs of the test that refuses them. All tries
-// but the last had been refused. That one began some milliseconds before the time was up, so that its
-// answer came too late. Of 1,000 jobs handed in to a store that refuses a write after 20 ms 69
-// were told so, and 581 where it refuses after 200 ms.
-func TestTryThatCannotBeAnsweredInTimeIsNotBegun(t *testing.T) {
+// TestWriteIsNotRetriedTooCloseToDeadline guards against unknown outcomes for jobs that were
+// certainly refused. In one of seven runs of the test in which the store refuses all writes, a
+// client was told after 2.5 s that the store may have taken the job. All attempts but the last had
+// been refused, and the last one began some milliseconds before the deadline, so that its answer
+// came too late. Of 1,000 jobs submitted to a store that refuses after 20 ms, 69 had an unknown
+// outcome, and 581 at 200 ms.
+func TestWriteIsNotRetriedTooCloseToDeadline(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 20 * time.Millisecond, 200 * time.Millisecond} {
-		t.Run(after.String(), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { handInToUnavailable(t, after) }) })
+		t.Run(after.String(), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { submitToUnavailable(t, after) }) })
 	}
 }
 
-// handInToUnavailable hands jobs in to a store that refuses each write some time after it was asked.
-func handInToUnavailable(t *testing.T, after time.Duration) {
+// submitToUnavailable submits jobs to a store that refuses each write after a fixed time.
+func submitToUnavailable(t *testing.T, after time.Duration) {
 	const jobs = 1000
 	store := &unavailableStore{after: after}
 	service := newTestService(store)
 	unknown := 0
 	for range jobs {
-		ctx, cancel := context.WithTimeout(t.Context(), intakeMost)
+		ctx, cancel := context.WithTimeout(t.Context(), maxSubmitTime)
 		_, err := service.writeRecord(ctx, passthrough.Transaction{}, testRecord(1), 0)
 		cancel()
 		if errors.Is(err, passthrough.ErrOutcomeUnknown) {
@@ -54,9 +55,9 @@
 		}
 	}
 	if unknown > 0 {
-		t.Errorf("%d of %d are told that the outcome is unknown", unknown, jobs)
+		t.Errorf("%d of %d jobs have an unknown outcome", unknown, jobs)
 	}
-	if least := jobs * int((intakeMost-time.Second)/(retryMax+after)); store.asked < least {
-		t.Errorf("the store was asked %d times, at least %d wanted", store.asked, least)
+	if least := jobs * int((maxSubmitTime-time.Second)/(maxRetryPause+after)); store.calls < least {
+		t.Errorf("the store was asked %d times, at least %d wanted", store.calls, least)
 	}
 }
