--- a/internal/passthrough/guard/guard.go
+++ b/internal/passthrough/guard/guard.go
@@ -1,8 +1,8 @@
-// Package guard keeps requests that end engines from reaching more of them. It notes
-// which contents were under way at engines that ended, tells the other nodes, keeps in the
-// store what all nodes must still know when they have all been restarted, and says of a
-// request whether its content is blocked (package core/quarantine judges). It sends nothing
-// to engines but the question whether one that broke off still listens.
+// Package guard keeps requests that crash engines from reaching more of them. It records which
+// contents were in flight at engines that ended, reports them to the other nodes, writes to the
+// store what must survive a restart of all nodes, and decides whether a request's content is
+// blocked (by the rules of package core/quarantine). Its only contact with engines is a
+// connection attempt to an engine that broke off a run, to find out whether it still listens.
 package guard
 
 import (
@@ -21,76 +21,79 @@
 	"ringstream.example/ringstream/internal/passthrough/engineconn"
 )
 
-// Transport sends crashes to other nodes. What is sent may be lost.
+// Transport sends crashes to other nodes. Messages may be lost.
 type Transport interface {
 	SendCrashes(to string, crashes []quarantine.Crash)
 	// AskCrashes asks a node for its gravest crashes.
 	AskCrashes(to string)
 }
 
-// Keeper keeps what nodes must know after a restart. A value replaces what was kept
-// under its key.
+// Keeper stores what nodes must know after a restart. A write replaces the value stored under the
+// same key.
 type Keeper interface {
 	KeepCrashes(ctx context.Context, key string, crashes []quarantine.Crash) error
 }
 
-// Dependencies are the parts that the service works with.
+// Dependencies are the components that the service uses.
 type Dependencies struct {
 	Engines *catalog.Engines
 	Pool    *engineconn.Pool
 	Logger  *zap.Logger
 	Metrics *Metrics
-	// Self names this life of the node.
+	// Self identifies this incarnation of the node.
 	Self string
-	// Peers gives the addresses of the other nodes that may be alive.
+	// Peers returns the addresses of the other nodes that may be alive.
 	Peers func() []string
-	// Seeds gives addresses to turn to while no other node is known.
+	// Seeds returns the addresses to ask while no other node is known.
 	Seeds func() []string
 }
 
-// Service judges contents. It is safe for concurrent use.
+// Service decides which contents are blocked. It is safe for concurrent use.
 //
-// Lock order: the engines' lock is not held with Service.mu, and neither during a call.
+// Lock order: the engines' lock and Service.mu are never held together, and neither is held
+// during a call.
 type Service struct {
 	Dependencies
-	transport Transport // nil: this node is alone
-	keeper    Keeper    // nil: nothing is kept
-	onBlocked func(quarantine.Digest)
-	known     atomic.Bool   // something, of any content
-	wake      chan struct{} // has one token when there is something to tell
-	toKeep    chan struct{} // has one token when there is something to keep
+	transport     Transport // nil: this node runs alone
+	keeper        Keeper    // nil: nothing is stored
+	onBlocked     func(quarantine.Digest)
+	hasRecords    atomic.Bool   // whether the ledger holds any record
+	sendSignal    chan struct{} // holds one token while there is something to send
+	persistSignal chan struct{} // holds one token while there is something to store
 
-	mu      sync.Mutex // guards the rest
-	ledger  *quarantine.Ledger
-	blocked map[quarantine.Digest]bool // as far as was logged
-	fresh   []quarantine.Crash         // to be told to the other nodes
-	unkept  map[quarantine.Digest]bool // to be written to the store
-	repeat  []repeated
-	own     map[quarantine.Digest]map[uint64]bool // engines of the crashes that this node saw
-	broken  []brokenRun                           // of late, the oldest first
+	mu            sync.Mutex // guards the fields below
+	ledger        *quarantine.Ledger
+	loggedBlocked map[quarantine.Digest]bool // contents whose block has been logged
+	unsent        []quarantine.Crash         // crashes to be sent to the other nodes
+	unpersisted   map[quarantine.Digest]bool // contents whose crashes are to be written to the store
+	resends       []resend
+	ownCrashes    map[quarantine.Digest]map[uint64]bool // engines of the crashes that this node saw itself
+	brokenRuns    []brokenRun                           // recent runs, oldest first
 }
 
-// New makes a service; Run does its periodic work.
+// New returns a service. Run does its periodic work.
 func New(config quarantine.Config, dependencies Dependencies) *Service {
 	return &Service{
-		Dependencies: dependencies, wake: make(chan struct{}, 1), toKeep: make(chan struct{}, 1), onBlocked: func(quarantine.Digest) {}, ledger: quarantine.NewLedger(config),
-		blocked: make(map[quarantine.Digest]bool), unkept: make(map[quarantine.Digest]bool), own: make(map[quarantine.Digest]map[uint64]bool),
+		Dependencies: dependencies, sendSignal: make(chan struct{}, 1), persistSignal: make(chan struct{}, 1), onBlocked: func(quarantine.Digest) {}, ledger: quarantine.NewLedger(config),
+		loggedBlocked: make(map[quarantine.Digest]bool), unpersisted: make(map[quarantine.Digest]bool), ownCrashes: make(map[quarantine.Digest]map[uint64]bool),
 	}
 }
 
-// OnBlocked has a function hear of each content that is blocked; called before Run.
-func (s *Service) OnBlocked(hear func(quarantine.Digest)) { s.onBlocked = hear }
+// OnBlocked sets a function that is called with each content that becomes blocked. It must be
+// called before Run.
+func (s *Service) OnBlocked(notify func(quarantine.Digest)) { s.onBlocked = notify }
 
-// UseTransport has the service tell other nodes; called before Run.
+// UseTransport sets the transport by which crashes reach other nodes. It must be called before
+// Run.
 func (s *Service) UseTransport(transport Transport) { s.transport = transport }
 
-// KeepBy has the service keep crashes; called before Run.
+// KeepBy sets the keeper that stores crashes. It must be called before Run.
 func (s *Service) KeepBy(keeper Keeper) { s.keeper = keeper }
 
-// Verdict judges a content. While no engine has ended under any request it costs one
-// atomic load.
+// Verdict returns the verdict on a content. While no crash and no operator's block is known it
+// costs one atomic load.
 func (s *Service) Verdict(content quarantine.Digest) quarantine.Verdict {
-	if !s.known.Load() {
+	if !s.hasRecords.Load() {
 		return quarantine.Verdict{}
 	}
 	now := time.Now()
@@ -99,7 +102,7 @@
 	return s.ledger.Verdict(content, now)
 }
 
-// Suspect gives what a dispatcher is to know of a content.
+// Suspect returns what a dispatcher must know about a content.
 func (s *Service) Suspect(content quarantine.Digest) grant.Suspect {
 	verdict := s.Verdict(content)
 	if verdict.Crashes == 0 {
@@ -115,119 +118,119 @@
 	Engine  engineconn.Key
 }
 
-// Broke looks whether the engine of a run that broke has ended, and if so notes that it
-// did under the run's content. One that listens may have started again; its next entry
-// tells (Restarted).
+// Broke checks whether the engine of a broken run has ended, and if so records the end as a crash
+// of the run's content. An engine that still listens may have restarted; its next entry shows
+// this (see Restarted).
 func (s *Service) Broke(ctx context.Context, run Run) (ended bool) {
 	if s.Pool.Ended(ctx, run.Engine) {
-		s.noteEnd(run)
+		s.recordEngineEnd(run)
 		return true
 	}
-	s.awaitRestart(run)
-	if s.stateOf(run.Engine.Engine) != enginechoice.Ended {
+	s.addBrokenRun(run)
+	if s.engineState(run.Engine.Engine) != enginechoice.Ended {
 		return false
 	}
 	s.Restarted(run.Engine.Engine)
 	return true
 }
 
-// noteEnd notes that an engine ended under a run. One that was leaving ends as planned, and
-// nothing is noted.
-func (s *Service) noteEnd(run Run) {
-	if s.stateOf(run.Engine.Engine) == enginechoice.Leaving {
+// recordEngineEnd records that an engine ended under a run. An engine that was leaving ended as
+// planned, and no crash is recorded.
+func (s *Service) recordEngineEnd(run Run) {
+	if s.engineState(run.Engine.Engine) == enginechoice.Leaving {
 		events.EngineLeft.Log(s.Logger, zap.String("request", run.Request), zap.Stringer("content", run.Content), zap.Stringer("engine", run.Engine.Engine))
 		return
 	}
 	crash := quarantine.Crash{Content: run.Content, Engine: grant.EngineHash(run.Engine.Engine)}
 	now := time.Now()
 	s.mu.Lock()
-	news := s.note(crash, now)
-	if news {
-		s.fresh = append(s.fresh, crash)
+	isNew := s.recordCrash(crash, now)
+	if isNew {
+		s.unsent = append(s.unsent, crash)
 	}
-	s.noteOwn(crash)
+	s.recordOwnCrash(crash)
 	verdict := s.ledger.Verdict(run.Content, now)
-	if verdict.Crashes >= keptFrom {
-		s.unkept[run.Content] = true
+	if verdict.Crashes >= minPersistedCrashes {
+		s.unpersisted[run.Content] = true
 	}
-	newly := s.noteBlocked(run.Content, verdict)
+	newlyBlocked := s.markBlocked(run.Content, verdict)
 	s.mu.Unlock()
-	s.signal()
+	s.signalBoth()
 	s.Metrics.crashed()
 	events.EngineEnded.Log(s.Logger, zap.String("request", run.Request), zap.Stringer("content", run.Content), zap.Stringer("engine", run.Engine.Engine),
 		zap.Int("crashes", verdict.Crashes), zap.Float64("evidence", verdict.Evidence), zap.Bool("blocked", verdict.Blocked))
-	s.logBlocked(newly, run.Content, verdict, "own run")
+	s.reportBlocked(newlyBlocked, run.Content, verdict, "own run")
 }
 
-// Served takes word that a run of a content was whole.
+// Served records that a run of a content completed.
 func (s *Service) Served(request string, content quarantine.Digest) {
-	if !s.known.Load() {
+	if !s.hasRecords.Load() {
 		return
 	}
 	now := time.Now()
 	s.mu.Lock()
 	excused := s.ledger.Excuse(content, now)
-	s.fresh = append(s.fresh, excused...)
-	if len(excused) >= keptFrom {
-		s.unkept[content] = true
+	s.unsent = append(s.unsent, excused...)
+	if len(excused) >= minPersistedCrashes {
+		s.unpersisted[content] = true
 	}
-	delete(s.blocked, content)
+	delete(s.loggedBlocked, content)
 	s.mu.Unlock()
 	if len(excused) > 0 {
-		s.signal()
+		s.signalBoth()
 		events.ContentExcused.Log(s.Logger, zap.String("request", request), zap.Stringer("content", content), zap.Int("crashes", len(excused)))
 	}
 }
 
-// Hear takes crashes that another node tells of.
+// Hear records crashes that another node reports.
 func (s *Service) Hear(from string, crashes []quarantine.Crash) {
-	s.learn(crashes, "peer "+from)
+	s.applyCrashes(crashes, "peer "+from)
 }
 
-// Gravest gives what a node that has just started must know.
+// Gravest returns the crashes that a node must know after its start.
 func (s *Service) Gravest() []quarantine.Crash {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Gravest(gravest, gravestOldest, now)
+	return s.ledger.Gravest(maxGravestCrashes, gravestMaxAge, now)
 }
 
-// Learn takes crashes that were kept in the store.
-func (s *Service) Learn(crashes []quarantine.Crash) { s.learn(crashes, "store") }
+// Learn records crashes that were read from the store.
+func (s *Service) Learn(crashes []quarantine.Crash) { s.applyCrashes(crashes, "store") }
 
-func (s *Service) learn(crashes []quarantine.Crash, source string) {
+func (s *Service) applyCrashes(crashes []quarantine.Crash, source string) {
 	now := time.Now()
 	changed := make(map[quarantine.Digest]bool)
 	s.mu.Lock()
 	for _, crash := range crashes {
-		if s.note(crash, now) {
+		if s.recordCrash(crash, now) {
 			changed[crash.Content] = true
 		}
 	}
-	newly := make(map[quarantine.Digest]quarantine.Verdict)
+	newlyBlocked := make(map[quarantine.Digest]quarantine.Verdict)
 	for content := range changed {
 		verdict := s.ledger.Verdict(content, now)
-		if verdict.Crashes >= keptFrom && len(s.own[content]) > 0 {
-			s.unkept[content] = true
+		if verdict.Crashes >= minPersistedCrashes && len(s.ownCrashes[content]) > 0 {
+			s.unpersisted[content] = true
 		}
-		if s.noteBlocked(content, verdict) {
-			newly[content] = verdict
+		if s.markBlocked(content, verdict) {
+			newlyBlocked[content] = verdict
 		}
 	}
 	s.mu.Unlock()
 	if len(changed) > 0 {
-		signalOne(s.toKeep)
+		notify(s.persistSignal)
 		events.CrashesTold.Log(s.Logger, zap.String("source", source), zap.Int("crashes", len(crashes)), zap.Int("contents", len(changed)))
 	}
-	for content, verdict := range newly {
-		s.logBlocked(true, content, verdict, source)
+	for content, verdict := range newlyBlocked {
+		s.reportBlocked(true, content, verdict, source)
 	}
 }
 
-// LearnOrders takes the words of operators that were kept in the store.
+// LearnOrders applies operators' orders that were read from the store.
 func (s *Service) LearnOrders(orders []quarantine.Order) {
 	now := time.Now()
-	newly := make(map[quarantine.Digest]quarantine.Verdict)
+	newlyBlocked := make(map[quarantine.Digest]quarantine.Verdict)
 	s.mu.Lock()
 	for _, order := range orders {
 		if !s.ledger.Order(order, now) {
@@ -235,55 +238,55 @@
 		}
 		verdict := s.ledger.Verdict(order.Content, now)
 		if !verdict.Blocked {
-			delete(s.blocked, order.Content)
+			delete(s.loggedBlocked, order.Content)
 		}
-		if s.noteBlocked(order.Content, verdict) {
-			newly[order.Content] = verdict
+		if s.markBlocked(order.Content, verdict) {
+			newlyBlocked[order.Content] = verdict
 		}
 	}
-	s.countKnown()
+	s.updateHasRecords()
 	s.mu.Unlock()
-	for content, verdict := range newly {
-		s.logBlocked(true, content, verdict, "operator")
+	for content, verdict := range newlyBlocked {
+		s.reportBlocked(true, content, verdict, "operator")
 	}
 }
 
-// countKnown has Verdict look at the ledger once something is known; the caller holds mu.
-func (s *Service) countKnown() { s.known.Store(!s.ledger.Empty()) }
+// updateHasRecords makes Verdict consult the ledger if it holds any record. The caller holds mu.
+func (s *Service) updateHasRecords() { s.hasRecords.Store(!s.ledger.Empty()) }
 
-// note puts a crash into the ledger; the caller holds mu.
-func (s *Service) note(crash quarantine.Crash, now time.Time) bool {
-	news := s.ledger.Note(crash, now)
-	s.countKnown()
-	return news
+// recordCrash adds a crash to the ledger and reports whether it was new. The caller holds mu.
+func (s *Service) recordCrash(crash quarantine.Crash, now time.Time) bool {
+	isNew := s.ledger.Note(crash, now)
+	s.updateHasRecords()
+	return isNew
 }
 
-// noteOwn takes note that this node itself saw a crash; the caller holds mu.
-func (s *Service) noteOwn(crash quarantine.Crash) {
-	if s.own[crash.Content] == nil {
-		s.own[crash.Content] = make(map[uint64]bool)
+// recordOwnCrash records that this node saw a crash itself. The caller holds mu.
+func (s *Service) recordOwnCrash(crash quarantine.Crash) {
+	if s.ownCrashes[crash.Content] == nil {
+		s.ownCrashes[crash.Content] = make(map[uint64]bool)
 	}
-	s.own[crash.Content][crash.Engine] = true
+	s.ownCrashes[crash.Content][crash.Engine] = true
 }
 
-// noteBlocked reports whether a content has just become blocked; the caller holds mu.
-func (s *Service) noteBlocked(content quarantine.Digest, verdict quarantine.Verdict) bool {
-	if !verdict.Blocked || s.blocked[content] {
+// markBlocked reports whether a content has just become blocked. The caller holds mu.
+func (s *Service) markBlocked(content quarantine.Digest, verdict quarantine.Verdict) bool {
+	if !verdict.Blocked || s.loggedBlocked[content] {
 		return false
 	}
-	s.blocked[content] = true
+	s.loggedBlocked[content] = true
 	return true
 }
 
-func (s *Service) logBlocked(newly bool, content quarantine.Digest, verdict quarantine.Verdict, source string) {
-	if newly {
+func (s *Service) reportBlocked(newlyBlocked bool, content quarantine.Digest, verdict quarantine.Verdict, source string) {
+	if newlyBlocked {
 		defer s.onBlocked(content)
 		events.ContentBlocked.Log(s.Logger, zap.Stringer("content", content), zap.Int("crashes", verdict.Crashes), zap.Float64("evidence", verdict.Evidence),
 			zap.Duration("for", time.Until(verdict.Until)), zap.String("source", source))
 	}
 }
 
-// Blocked gives the contents that are blocked.
+// Blocked returns the contents that are blocked.
 func (s *Service) Blocked() []quarantine.BlockedContent {
 	now := time.Now()
 	s.mu.Lock()
@@ -291,15 +294,15 @@
 	return s.ledger.Blocked(now)
 }
 
-// signal has what is new told and kept.
-func (s *Service) signal() {
-	signalOne(s.wake)
-	signalOne(s.toKeep)
+// signalBoth wakes the sender and the persister.
+func (s *Service) signalBoth() {
+	notify(s.sendSignal)
+	notify(s.persistSignal)
 }
 
-func signalOne(work chan struct{}) {
+func notify(signal chan struct{}) {
 	select {
-	case work <- struct{}{}:
-	default: // it is on its way
+	case signal <- struct{}{}:
+	default: // a token is pending already
 	}
 }
--- a/internal/passthrough/guard/guard_test.go
+++ b/internal/passthrough/guard/guard_test.go
@@ -12,12 +12,12 @@
 	"ringstream.example/ringstream/internal/core/quarantine"
 )
 
-// network notes when a crash was first told to a node.
+// network records when each crash was first sent, and how often.
 type network struct {
-	mu    sync.Mutex
-	begun time.Time
-	first map[quarantine.Crash]time.Duration
-	times map[quarantine.Crash]int
+	mu         sync.Mutex
+	started    time.Time
+	firstSent  map[quarantine.Crash]time.Duration
+	sendCounts map[quarantine.Crash]int
 }
 
 func (n *network) SendCrashes(_ string, crashes []quarantine.Crash) {
@@ -25,19 +25,19 @@
 	defer n.mu.Unlock()
 	for _, crash := range crashes {
 		crash.Age = 0
-		if _, told := n.first[crash]; !told {
-			n.first[crash] = time.Since(n.begun)
+		if _, sent := n.firstSent[crash]; !sent {
+			n.firstSent[crash] = time.Since(n.started)
 		}
-		n.times[crash]++
+		n.sendCounts[crash]++
 	}
 }
 
 func (n *network) AskCrashes(string) {}
 
-// stuckStore takes a second for each write.
-type stuckStore struct{}
+// slowStore takes one second for each write.
+type slowStore struct{}
 
-func (stuckStore) KeepCrashes(ctx context.Context, _ string, _ []quarantine.Crash) error {
+func (slowStore) KeepCrashes(ctx context.Context, _ string, _ []quarantine.Crash) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -46,25 +46,17 @@
 	}
 }
 
-// TestCrashIsToldAtOnceWhileMoreCome.
-//
-// Symptom: on a busy machine a request ended eight engines, the last two 30 ms after two nodes
-// had it blocked.
-//
-// Sequence: while engines end, each node hears of crashes every few milliseconds. Each of these
-// put off what the node itself had to tell by five more, and while a write to the store was under
-// way it told nothing.
-//
-// Cause: the pause in which crashes are gathered began anew with each, and one goroutine told and kept.
-//
-// What settled it: "engine ended under a request" at one node at 17.998, "crashes learned" from it at
-// the others at 18.036, with five "crashes learned" of its own in between.
+// TestCrashIsToldAtOnceWhileMoreCome guards against a crash that is sent late because more
+// crashes arrive. The gathering delay used to restart with each crash heard from another node,
+// every few milliseconds while engines ended, and one goroutine both sent and stored crashes, so
+// that it sent nothing during a write to the store. On a busy machine a request ended eight
+// engines, the last two 30 ms after two nodes had blocked it.
 func TestCrashIsToldAtOnceWhileMoreCome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told := &network{begun: time.Now(), first: make(map[quarantine.Crash]time.Duration), times: make(map[quarantine.Crash]int)}
+		transport := &network{started: time.Now(), firstSent: make(map[quarantine.Crash]time.Duration), sendCounts: make(map[quarantine.Crash]int)}
 		s := New(quarantine.DefaultConfig(), Dependencies{Logger: zap.NewNop(), Peers: func() []string { return []string{"peer"} }})
-		s.UseTransport(told)
-		s.KeepBy(stuckStore{})
+		s.UseTransport(transport)
+		s.KeepBy(slowStore{})
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx) }()
@@ -72,25 +64,25 @@
 		for engine := range uint64(crashes) {
 			crash := quarantine.Crash{Content: quarantine.Content{Host: "h"}.Digest(), Engine: engine}
 			s.mu.Lock()
-			s.fresh = append(s.fresh, crash)
-			s.unkept[crash.Content] = true
+			s.unsent = append(s.unsent, crash)
+			s.unpersisted[crash.Content] = true
 			s.mu.Unlock()
-			s.signal()
+			s.signalBoth()
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		stop()
 		<-done
-		for crash, at := range told.first {
-			if late := at - time.Duration(crash.Engine)*time.Millisecond; late > gatherFor+time.Millisecond {
-				t.Errorf("crash %d was told %v after it came", crash.Engine, late)
+		for crash, at := range transport.firstSent {
+			if late := at - time.Duration(crash.Engine)*time.Millisecond; late > gatherDelay+time.Millisecond {
+				t.Errorf("crash %d was sent %v after it was recorded", crash.Engine, late)
 			}
-			if told.times[crash] != tries {
-				t.Errorf("crash %d was told %d times, want %d", crash.Engine, told.times[crash], tries)
+			if transport.sendCounts[crash] != sendAttempts {
+				t.Errorf("crash %d was sent %d times, want %d", crash.Engine, transport.sendCounts[crash], sendAttempts)
 			}
 		}
-		if len(told.first) != crashes {
-			t.Errorf("%d crashes were told", len(told.first))
+		if len(transport.firstSent) != crashes {
+			t.Errorf("%d crashes were sent", len(transport.firstSent))
 		}
 	})
 }
--- a/internal/passthrough/guard/metrics.go
+++ b/internal/passthrough/guard/metrics.go
@@ -2,13 +2,14 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts engines that ended under requests, and requests that were refused for it.
+// Metrics counts engines that ended under requests and requests that were refused for that
+// reason.
 type Metrics struct {
 	crashes prometheus.Counter
 	refused *prometheus.CounterVec
 }
 
-// NewMetrics makes and registers the metrics; registerer may be nil.
+// NewMetrics returns the metrics. It registers them unless registerer is nil.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	metrics := &Metrics{
 		crashes: prometheus.NewCounter(prometheus.CounterOpts{Name: "ringstream_pass_engine_crashes_total", Help: "Runs of requests under which an engine ended that was not leaving."}),
@@ -22,5 +23,5 @@
 
 func (m *Metrics) crashed() { m.crashes.Inc() }
 
-// Refused counts a request of a route that is refused.
+// Refused counts a refused request of a route.
 func (m *Metrics) Refused(route string) { m.refused.WithLabelValues(route).Inc() }
--- a/internal/passthrough/guard/restarts.go
+++ b/internal/passthrough/guard/restarts.go
@@ -6,15 +6,15 @@
 	"ringstream.example/ringstream/internal/core/enginechoice"
 )
 
-// restartSeenWithin is how long after a run broke the entry of the engine's next
-// incarnation may come for the run to count as one that its engine ended under. An engine
-// that was not yet back was found ended by the connection that is opened at once; the entry
-// of one that was comes with the next read of the store, some hundred milliseconds later.
-// Beyond that a run that a fault cut off would be held against its content.
-const restartSeenWithin = 2 * time.Second
+// restartDetectionWindow is how long after a run broke the entry of the engine's next incarnation
+// counts as evidence that the engine ended under the run. If the engine is not yet back, the
+// connection that is opened at once shows that it ended. If it is back, its entry arrives with
+// the next read of the store, some hundred milliseconds later. A longer window would blame
+// contents for runs that a network fault cut off.
+const restartDetectionWindow = 2 * time.Second
 
-// mostBroken bounds the runs that are kept for the news of a restart.
-const mostBroken = 1024
+// maxBrokenRuns bounds the broken runs that are kept until their engine is seen to restart.
+const maxBrokenRuns = 1024
 
 // brokenRun is a run that broke at an engine that still listened.
 type brokenRun struct {
@@ -22,54 +22,55 @@
 	at  time.Time
 }
 
-// awaitRestart keeps a run that broke, in case its engine has started again since.
-func (s *Service) awaitRestart(run Run) {
+// addBrokenRun keeps a broken run in case its engine has restarted meanwhile.
+func (s *Service) addBrokenRun(run Run) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetBroken(now)
-	if len(s.broken) < mostBroken {
-		s.broken = append(s.broken, brokenRun{run: run, at: now})
+	s.expireBrokenRuns(now)
+	if len(s.brokenRuns) < maxBrokenRuns {
+		s.brokenRuns = append(s.brokenRuns, brokenRun{run: run, at: now})
 	}
 }
 
-// takeBroken gives the runs that broke lately at an incarnation, and forgets them.
-func (s *Service) takeBroken(engine enginechoice.Incarnation) []Run {
+// takeBrokenRuns removes and returns the recent broken runs at an incarnation.
+func (s *Service) takeBrokenRuns(engine enginechoice.Incarnation) []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetBroken(time.Now())
+	s.expireBrokenRuns(time.Now())
 	var runs []Run
-	kept := s.broken[:0]
-	for _, known := range s.broken {
-		if known.run.Engine.Engine == engine {
-			runs = append(runs, known.run)
+	remaining := s.brokenRuns[:0]
+	for _, broken := range s.brokenRuns {
+		if broken.run.Engine.Engine == engine {
+			runs = append(runs, broken.run)
 		} else {
-			kept = append(kept, known)
+			remaining = append(remaining, broken)
 		}
 	}
-	s.broken = kept
+	s.brokenRuns = remaining
 	return runs
 }
 
-// forgetBroken forgets runs whose engine was not seen to start again; the caller holds mu.
-func (s *Service) forgetBroken(now time.Time) {
-	old := 0
-	for old < len(s.broken) && now.Sub(s.broken[old].at) > restartSeenWithin {
-		old++
+// expireBrokenRuns removes runs whose engine was not seen to restart within
+// restartDetectionWindow. The caller holds mu.
+func (s *Service) expireBrokenRuns(now time.Time) {
+	expired := 0
+	for expired < len(s.brokenRuns) && now.Sub(s.brokenRuns[expired].at) > restartDetectionWindow {
+		expired++
 	}
-	s.broken = append(s.broken[:0], s.broken[old:]...)
+	s.brokenRuns = append(s.brokenRuns[:0], s.brokenRuns[expired:]...)
 }
 
-// Restarted takes word that an engine has started again: the incarnation before has ended
-// under the runs that broke there.
+// Restarted handles the restart of an engine: the former incarnation ended under the runs that
+// broke there.
 func (s *Service) Restarted(former enginechoice.Incarnation) {
-	for _, run := range s.takeBroken(former) {
-		s.noteEnd(run)
+	for _, run := range s.takeBrokenRuns(former) {
+		s.recordEngineEnd(run)
 	}
 }
 
-// stateOf gives what is known of an engine; one that is not known counts as leaving.
-func (s *Service) stateOf(engine enginechoice.Incarnation) enginechoice.State {
+// engineState returns the state of an engine. An unknown engine counts as leaving.
+func (s *Service) engineState(engine enginechoice.Incarnation) enginechoice.State {
 	state := enginechoice.Leaving
 	s.Engines.Use(func(set *enginechoice.Set, _ time.Time) {
 		if listed, found := set.Find(engine); found {
--- a/internal/passthrough/guard/restarts_test.go
+++ b/internal/passthrough/guard/restarts_test.go
@@ -13,9 +13,9 @@
 	"ringstream.example/ringstream/internal/passthrough/engineconn"
 )
 
-// TestRunThatBrokeLongBeforeARestartCountsForNothing has runs break at an engine that
-// listens: those just before it is known to have started again ended with it, once each; one
-// from long before, one at another incarnation, and one at an engine that was leaving did not.
+// TestRunThatBrokeLongBeforeARestartCountsForNothing breaks runs at engines that still listen. A
+// run that broke just before its engine is known to have restarted counts once as a crash. A run
+// from long before, a run at another incarnation and a run at a leaving engine do not count.
 func TestRunThatBrokeLongBeforeARestartCountsForNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		former, next := enginechoice.Incarnation{ID: "e0", Born: 1000}, enginechoice.Incarnation{ID: "e0", Born: 2000}
@@ -26,15 +26,15 @@
 			set.Upsert(enginechoice.Entry{ID: "e1", Born: leaving.Born, Pool: "p"}, enginechoice.Leaving, now)
 		})
 		s := New(quarantine.DefaultConfig(), Dependencies{Engines: engines, Logger: zap.NewNop(), Metrics: NewMetrics(nil)})
-		broke := func(body string, engine enginechoice.Incarnation) quarantine.Digest {
+		addRun := func(body string, engine enginechoice.Incarnation) quarantine.Digest {
 			content := quarantine.Content{Host: "h", Body: []byte(body)}.Digest()
-			s.awaitRestart(Run{Request: body, Content: content, Engine: engineconn.Key{Engine: engine}})
+			s.addBrokenRun(Run{Request: body, Content: content, Engine: engineconn.Key{Engine: engine}})
 			return content
 		}
-		early := broke("early", former)
-		time.Sleep(restartSeenWithin + time.Millisecond)
-		late, elsewhere, planned := broke("late", former), broke("elsewhere", next), broke("planned", leaving)
-		time.Sleep(restartSeenWithin / 2)
+		early := addRun("early", former)
+		time.Sleep(restartDetectionWindow + time.Millisecond)
+		late, elsewhere, planned := addRun("late", former), addRun("elsewhere", next), addRun("planned", leaving)
+		time.Sleep(restartDetectionWindow / 2)
 		engines.Use(func(set *enginechoice.Set, now time.Time) {
 			set.Upsert(enginechoice.Entry{ID: "e0", Born: next.Born, Pool: "p"}, enginechoice.Ready, now)
 			set.Upsert(enginechoice.Entry{ID: "e1", Born: next.Born, Pool: "p"}, enginechoice.Ready, now)
@@ -48,7 +48,7 @@
 			want    int
 		}{"early": {early, 0}, "late": {late, 1}, "elsewhere": {elsewhere, 0}, "planned": {planned, 0}} {
 			if got := s.Verdict(test.content).Crashes; got != test.want {
-				t.Errorf("%s: %d engines ended under it, want %d", name, got, test.want)
+				t.Errorf("%s: %d crashes recorded, want %d", name, got, test.want)
 			}
 		}
 	})
--- a/internal/passthrough/guard/spread.go
+++ b/internal/passthrough/guard/spread.go
@@ -14,37 +14,39 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Times and bounds of telling. A crash reaches a node that one datagram in four is lost to
-// with 63 in 64 of its first three tries; what is still missing comes with the gravest.
+// Intervals and bounds of sending. If one datagram in four to a node is lost, the three
+// sendAttempts deliver a crash with a probability of 63/64. What is still missing arrives with
+// the gravest crashes.
 const (
-	// gatherFor is how long crashes are gathered before they are told: all requests of an
+	// gatherDelay is how long crashes are gathered before they are sent. All requests of an
 	// engine break within some milliseconds.
-	gatherFor = 5 * time.Millisecond
-	// againEvery and tries say how often a crash is told to all.
-	againEvery = 150 * time.Millisecond
-	tries      = 3
-	// perMessage bounds the crashes of one message, some 40 bytes each.
-	perMessage = 200
-	// gravestEvery is the pause between two tellings of the gravest crashes to one node
-	// by chance: 2 KB/s at the most, none while no content has ended two engines.
-	gravestEvery = time.Second
-	gravest      = 50
-	// gravestOldest is how old the newest crash of a content that is told so may be: a
-	// node that started since has it from the store.
-	gravestOldest = 2 * time.Minute
-	expireEvery   = 10 * time.Second
+	gatherDelay = 5 * time.Millisecond
+	// resendInterval and sendAttempts set how often a crash is sent to all nodes.
+	resendInterval = 150 * time.Millisecond
+	sendAttempts   = 3
+	// maxCrashesPerMessage bounds the crashes of one message, about 40 bytes each.
+	maxCrashesPerMessage = 200
+	// gravestInterval is the interval at which the gravest crashes are sent to one node chosen at
+	// random. This takes at most 2 KB/s, and nothing while no content has ended two engines.
+	gravestInterval   = time.Second
+	maxGravestCrashes = 50
+	// gravestMaxAge is the maximum age of the newest crash of a content that is sent this way. A
+	// node that has started since then reads the content from the store.
+	gravestMaxAge  = 2 * time.Minute
+	expireInterval = 10 * time.Second
 )
 
-// A node that has just started asks some others each askEvery, for askFor: all may have been
-// restarted while the store took no writes, and one of them may have been spared.
+// A node that has just started asks some other nodes for their crashes every requestInterval,
+// for requestPeriod. The nodes may have restarted while the store accepted no writes, and a node
+// that did not restart still has the crashes.
 const (
-	askEvery = 200 * time.Millisecond
-	askFor   = 3 * time.Second
-	asked    = 5
+	requestInterval   = 200 * time.Millisecond
+	requestPeriod     = 3 * time.Second
+	maxRequestedPeers = 5
 )
 
-// ask asks some nodes for what this one must know.
-func (s *Service) ask() {
+// requestCrashes asks some nodes for the crashes that this node must know.
+func (s *Service) requestCrashes() {
 	if s.transport == nil {
 		return
 	}
@@ -53,34 +55,34 @@
 		peers = slices.Clone(s.Seeds())
 	}
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, peer := range peers[:min(asked, len(peers))] {
+	for _, peer := range peers[:min(maxRequestedPeers, len(peers))] {
 		s.transport.AskCrashes(peer)
 	}
 }
 
-// repeated is a crash that is told again.
-type repeated struct {
-	crash quarantine.Crash
-	from  time.Time // Age is as of then
-	at    time.Time // of the next telling
-	left  int
+// resend is a crash that is still to be sent, for the first time or again.
+type resend struct {
+	crash        quarantine.Crash
+	ageAsOf      time.Time // when crash.Age was correct
+	nextSend     time.Time // when it is sent next
+	attemptsLeft int
 }
 
-// Run tells and keeps what is new until ctx ends. The two do not wait for each other: a
-// write to the store may take long.
+// Run sends and stores new crashes until ctx ends. Sending does not wait for the store, since a
+// write may take long.
 func (s *Service) Run(ctx context.Context) error {
 	var group sync.WaitGroup
-	group.Go(func() { s.keepAll(ctx) })
-	s.tellAll(ctx)
+	group.Go(func() { s.runPersister(ctx) })
+	s.runSender(ctx)
 	group.Wait()
 	return nil
 }
 
-// tellAll tells other nodes what is new, gathered for a moment from the first news on, and
-// does what is due now and then.
-func (s *Service) tellAll(ctx context.Context) {
-	begun := time.Now()
-	gravestAt, expireAt, askAt := begun.Add(gravestEvery), begun.Add(expireEvery), begun
+// runSender sends new crashes to other nodes, gathered for gatherDelay after the first one, and
+// does the periodic work.
+func (s *Service) runSender(ctx context.Context) {
+	started := time.Now()
+	gravestAt, expireAt, requestAt := started.Add(gravestInterval), started.Add(expireInterval), started
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -88,132 +90,133 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-s.wake:
-			if !wait.For(ctx, gatherFor) {
+		case <-s.sendSignal:
+			if !wait.For(ctx, gatherDelay) {
 				return
 			}
 		}
 		now := time.Now()
-		if now.Sub(begun) < askFor && !now.Before(askAt) {
-			s.ask()
-			askAt = now.Add(askEvery)
+		if now.Sub(started) < requestPeriod && !now.Before(requestAt) {
+			s.requestCrashes()
+			requestAt = now.Add(requestInterval)
 		}
-		s.tellFresh(now)
+		s.sendDue(now)
 		if now.After(gravestAt) {
-			s.tellGravest(now)
-			gravestAt = now.Add(gravestEvery)
+			s.sendGravest(now)
+			gravestAt = now.Add(gravestInterval)
 		}
 		if now.After(expireAt) {
 			s.expire(now)
-			expireAt = now.Add(expireEvery)
+			expireAt = now.Add(expireInterval)
 		}
-		next := s.nextRepeat(gravestAt)
-		if now.Sub(begun) < askFor && askAt.Before(next) {
-			next = askAt
+		next := s.nextSendTime(gravestAt)
+		if now.Sub(started) < requestPeriod && requestAt.Before(next) {
+			next = requestAt
 		}
 		timer.Reset(max(next.Sub(now), time.Millisecond))
 	}
 }
 
-// nextRepeat gives when a crash is next told again, or a later time.
-func (s *Service) nextRepeat(next time.Time) time.Time {
+// nextSendTime returns when a crash is to be sent next, or the given time if that is earlier.
+func (s *Service) nextSendTime(next time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, known := range s.repeat {
-		if known.at.Before(next) {
-			next = known.at
+	for _, pending := range s.resends {
+		if pending.nextSend.Before(next) {
+			next = pending.nextSend
 		}
 	}
 	return next
 }
 
-// tellFresh tells all nodes what is new, and again what was new a moment ago.
-func (s *Service) tellFresh(now time.Time) {
+// sendDue sends new crashes to all nodes, and resends earlier ones that are due.
+func (s *Service) sendDue(now time.Time) {
 	if s.transport == nil {
 		s.mu.Lock()
-		s.fresh = nil
+		s.unsent = nil
 		s.mu.Unlock()
 		return
 	}
 	s.mu.Lock()
-	for _, crash := range s.fresh {
-		s.repeat = append(s.repeat, repeated{crash: crash, from: now, at: now, left: tries})
+	for _, crash := range s.unsent {
+		s.resends = append(s.resends, resend{crash: crash, ageAsOf: now, nextSend: now, attemptsLeft: sendAttempts})
 	}
-	s.fresh = nil
+	s.unsent = nil
 	var due []quarantine.Crash
-	for i := range s.repeat {
-		known := &s.repeat[i]
-		if known.at.After(now) {
+	for i := range s.resends {
+		pending := &s.resends[i]
+		if pending.nextSend.After(now) {
 			continue
 		}
-		crash := known.crash
-		crash.Age += now.Sub(known.from)
+		crash := pending.crash
+		crash.Age += now.Sub(pending.ageAsOf)
 		due = append(due, crash)
-		known.at = now.Add(againEvery)
-		known.left--
+		pending.nextSend = now.Add(resendInterval)
+		pending.attemptsLeft--
 	}
-	s.repeat = slices.DeleteFunc(s.repeat, func(known repeated) bool { return known.left == 0 })
+	s.resends = slices.DeleteFunc(s.resends, func(pending resend) bool { return pending.attemptsLeft == 0 })
 	s.mu.Unlock()
 	if len(due) == 0 {
 		return
 	}
 	for _, peer := range s.Peers() {
-		s.tell(peer, due)
+		s.sendCrashes(peer, due)
 	}
 }
 
-func (s *Service) tell(peer string, crashes []quarantine.Crash) {
-	for part := range slices.Chunk(crashes, perMessage) {
+func (s *Service) sendCrashes(peer string, crashes []quarantine.Crash) {
+	for part := range slices.Chunk(crashes, maxCrashesPerMessage) {
 		s.transport.SendCrashes(peer, part)
 	}
 }
 
-// tellGravest tells one node what all must know in the end.
-func (s *Service) tellGravest(now time.Time) {
-	if s.transport == nil || !s.known.Load() {
+// sendGravest sends the gravest crashes to one node chosen at random, so that all nodes learn of
+// them eventually.
+func (s *Service) sendGravest(now time.Time) {
+	if s.transport == nil || !s.hasRecords.Load() {
 		return
 	}
 	s.mu.Lock()
-	crashes := s.ledger.Gravest(gravest, gravestOldest, now)
+	crashes := s.ledger.Gravest(maxGravestCrashes, gravestMaxAge, now)
 	s.mu.Unlock()
 	peers := s.Peers()
 	if len(crashes) > 0 && len(peers) > 0 {
-		s.tell(peers[rand.IntN(len(peers))], crashes)
+		s.sendCrashes(peers[rand.IntN(len(peers))], crashes)
 	}
 }
 
-// expire forgets what is too old.
+// expire removes records that are too old.
 func (s *Service) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Expire(now)
-	for content := range s.own {
+	for content := range s.ownCrashes {
 		if !s.ledger.Knows(content) {
-			delete(s.own, content)
+			delete(s.ownCrashes, content)
 		}
 	}
-	for content := range s.blocked {
+	for content := range s.loggedBlocked {
 		if !s.ledger.Verdict(content, now).Blocked {
-			delete(s.blocked, content)
+			delete(s.loggedBlocked, content)
 		}
 	}
-	s.countKnown()
+	s.updateHasRecords()
 }
 
-// keptFrom is how many engines end under a content before its crashes are kept in the
-// store. Of each engine's requests some end under one engine only, for which nothing
-// needs to outlive a restart.
-const keptFrom = 2
+// minPersistedCrashes is the number of crashes of a content from which on they are written to the
+// store. Of the requests at an engine that ended, some have only this one crash, which need not
+// survive a restart.
+const minPersistedCrashes = 2
 
-// keepTime bounds one write; what fails is tried again.
-const keepTime = 1500 * time.Millisecond
+// persistTimeout bounds one write. A failed write is retried.
+const persistTimeout = 1500 * time.Millisecond
 
-// keepAgain is the pause after a write that failed: the store may be down for long, and
-// prices each call.
-const keepAgain = 500 * time.Millisecond
+// persistRetryDelay is the delay after a failed write. The store may be down for a long time, and
+// each call has a cost.
+const persistRetryDelay = 500 * time.Millisecond
 
-// keepAll writes the crashes that this node saw until ctx ends, one row a content.
-func (s *Service) keepAll(ctx context.Context) {
+// runPersister writes the crashes that this node saw until ctx ends, one row per content.
+func (s *Service) runPersister(ctx context.Context) {
 	if s.keeper == nil {
 		return
 	}
@@ -221,39 +224,39 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.toKeep:
+		case <-s.persistSignal:
 		}
-		for content, found := s.nextUnkept(); found && ctx.Err() == nil; content, found = s.nextUnkept() {
-			if !s.keep(ctx, content) {
-				wait.For(ctx, keepAgain)
+		for content, found := s.takeUnpersisted(); found && ctx.Err() == nil; content, found = s.takeUnpersisted() {
+			if !s.persist(ctx, content) {
+				wait.For(ctx, persistRetryDelay)
 			}
 		}
 	}
 }
 
-// nextUnkept takes a content whose crashes are to be written.
-func (s *Service) nextUnkept() (quarantine.Digest, bool) {
+// takeUnpersisted removes and returns a content whose crashes are to be written.
+func (s *Service) takeUnpersisted() (quarantine.Digest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for content := range s.unkept {
-		delete(s.unkept, content)
+	for content := range s.unpersisted {
+		delete(s.unpersisted, content)
 		return content, true
 	}
 	return quarantine.Digest{}, false
 }
 
-// keep writes what is known of a content; false when that failed.
-func (s *Service) keep(ctx context.Context, content quarantine.Digest) bool {
+// persist writes the crashes of a content to the store. It returns false if the write failed.
+func (s *Service) persist(ctx context.Context, content quarantine.Digest) bool {
 	s.mu.Lock()
 	crashes := s.ledger.Crashes(content, time.Now())
 	s.mu.Unlock()
-	call, cancel := context.WithTimeout(ctx, keepTime)
+	call, cancel := context.WithTimeout(ctx, persistTimeout)
 	defer cancel()
 	err := s.keeper.KeepCrashes(call, content.Key()+"/"+s.Self, crashes)
 	events.CrashesKept.Log(s.Logger, zap.Stringer("content", content), zap.Int("crashes", len(crashes)), zap.Error(err))
 	if err != nil {
 		s.mu.Lock()
-		s.unkept[content] = true
+		s.unpersisted[content] = true
 		s.mu.Unlock()
 	}
 	return err == nil
