--- a/internal/passthrough/replicas/follow.go
+++ b/internal/passthrough/replicas/follow.go
@@ -8,74 +8,75 @@
 	"ringstream.example/ringstream/internal/peer/sharing"
 )
 
-// Relay gives this service as the followers of tables ask it.
+// Relay returns the interface by which this node's followers of tables use the service.
 func (s *Service) Relay() catalog.Relay { return relay{s} }
 
-// Tables gives this service as other nodes ask it.
+// Tables returns the interface by which other nodes use the service.
 func (s *Service) Tables() sharing.Tables { return tables{s} }
 
-// relay asks the source.
+// relay forwards requests for tables to the source.
 type relay struct{ *Service }
 
 // Follow implements catalog.Relay.
 func (r relay) Follow(ctx context.Context, table string, since int64, hold time.Duration) (catalog.Told, bool) {
-	from, after := r.sourceOf(ctx, table)
+	from, after := r.sourceForTable(ctx, table)
 	if from == nil {
 		return catalog.Told{}, false
 	}
 	suspensions := r.watch.Count()
-	answered, sent, err := r.Peers.Follow(ctx, from.address, sharing.FollowCall{Table: table, Since: since, Hold: hold, After: after})
+	answer, sent, err := r.Peers.Follow(ctx, from.address, sharing.FollowCall{Table: table, Since: since, Hold: hold, After: after})
 	if ctx.Err() != nil {
-		return catalog.Told{}, false // its caller ended it, or its time was up
+		return catalog.Told{}, false // the caller ended the call, or its time was up
 	}
-	if err == nil && answered.Refusal == sharing.TooOld {
-		return catalog.Told{}, false // the store is asked for this table, and the source again after it
+	if err == nil && answer.Refusal == sharing.TooOld {
+		return catalog.Told{}, false // the store is asked for this table, and the source again afterwards
 	}
-	if err != nil || answered.Refusal != sharing.NotRefused {
-		r.leave(from, err)
+	if err != nil || answer.Refusal != sharing.NotRefused {
+		r.leaveSource(from, err)
 		return catalog.Told{}, false
 	}
-	told := catalog.Told{Whole: answered.Whole, Rows: answered.Rows, Version: answered.Version, StoreAt: answered.StoreAt, Renewing: answered.Renewing}
+	told := catalog.Told{Whole: answer.Whole, Rows: answer.Rows, Version: answer.Version, StoreAt: answer.StoreAt, Renewing: answer.Renewing}
 	for i := range told.Rows {
 		told.Rows[i].Table = table
 	}
 	if r.watch.Count() == suspensions {
-		told.AsOf = r.asOf(from, table, answered, sent)
+		told.AsOf = r.answerAsOf(from, table, answer, sent)
 	}
 	return told, true
 }
 
-// asOf gives the moment, on this node's clock, as of which an answer was complete at the earliest.
-func (s *Service) asOf(from *source, table string, answered sharing.FollowAnswer, sent time.Time) time.Time {
+// answerAsOf returns the earliest moment, on this node's clock, as of which an answer was
+// complete.
+func (s *Service) answerAsOf(from *source, table string, answer sharing.FollowAnswer, sent time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from.after[table] = answered.AsOf
-	from.clock.Observe(sent, answered.At)
-	made := from.clock.MadeAt(sent, time.Now(), answered.At)
-	return made.Add(answered.AsOf - answered.At)
+	from.completeAsOf[table] = answer.AsOf
+	from.clock.Observe(sent, answer.At)
+	made := from.clock.MadeAt(sent, time.Now(), answer.At)
+	return made.Add(answer.AsOf - answer.At)
 }
 
-// sourceOf gives whom to ask about a table; nil: the store. While this node has just started it
-// waits for its first search, and longer where a holder is listing the tables.
-func (s *Service) sourceOf(ctx context.Context, table string) (from *source, after time.Duration) {
-	if !s.awaitSearch(ctx, s.config.SearchFor, s.listing) {
-		s.awaitSearch(ctx, s.config.SearchFor+s.config.ListFor, nil)
+// sourceForTable returns the source to ask about a table, or nil for the store. Just after its
+// start this node waits for its first search, and longer if a holder is listing the tables.
+func (s *Service) sourceForTable(ctx context.Context, table string) (from *source, after time.Duration) {
+	if !s.waitForSearch(ctx, s.config.SearchTimeout, s.holderListing) {
+		s.waitForSearch(ctx, s.config.SearchTimeout+s.config.ListTimeout, nil)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.source == nil || time.Since(s.doubted[table]) < s.config.DoubtFor {
+	if s.source == nil || time.Since(s.doubtedAt[table]) < s.config.DoubtPeriod {
 		return nil, 0
 	}
-	return s.source, s.source.after[table]
+	return s.source, s.source.completeAsOf[table]
 }
 
-// awaitSearch waits until the first search is over, no longer than until this node has run for some
-// time, or until ctx ends; false: a holder was found before that lists its tables.
-func (s *Service) awaitSearch(ctx context.Context, until time.Duration, listing <-chan struct{}) bool {
+// waitForSearch waits until the first search is over, this node has run for the given time, or
+// ctx ends. It returns false if a holder that is listing its tables is found before that.
+func (s *Service) waitForSearch(ctx context.Context, until time.Duration, listing <-chan struct{}) bool {
 	limit := time.NewTimer(max(time.Until(s.started.Add(until)), time.Nanosecond))
 	defer limit.Stop()
 	select {
-	case <-s.decided:
+	case <-s.searchDone:
 	case <-listing:
 		return false
 	case <-limit.C:
@@ -88,7 +89,7 @@
 func (r relay) Doubt(table string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doubted[table] = time.Now()
+	r.doubtedAt[table] = time.Now()
 }
 
 // tables answers other nodes.
@@ -103,14 +104,14 @@
 	if copied == nil {
 		return sharing.FollowAnswer{Refusal: sharing.NoRelay}
 	}
-	t.await(ctx, copied, call)
+	t.waitForChanges(ctx, copied, call)
 	t.watch.Look()
 	told, listed := copied.Since(call.Since)
 	now := time.Now()
 	switch {
 	case !listed || told.AsOf.IsZero():
 		return sharing.FollowAnswer{Refusal: sharing.NotYet}
-	case now.Sub(told.AsOf) > t.freshFor(told.Renewing):
+	case now.Sub(told.AsOf) > t.maxCopyAge(told.Renewing):
 		return sharing.FollowAnswer{Refusal: sharing.TooOld}
 	}
 	return sharing.FollowAnswer{
@@ -119,10 +120,11 @@
 	}
 }
 
-// await lets an answer wait for news, no longer than until the copy is too old to be followed.
-func (t tables) await(ctx context.Context, copied *catalog.Copy, call sharing.FollowCall) {
-	fresh := t.freshFor(copied.Renewing()) - time.Since(copied.AsOf())
-	hold := min(call.Hold, longestHold, fresh+time.Millisecond)
+// waitForChanges delays an answer until there are changes, but no longer than until the copy is
+// too old to be followed.
+func (t tables) waitForChanges(ctx context.Context, copied *catalog.Copy, call sharing.FollowCall) {
+	fresh := t.maxCopyAge(copied.Renewing()) - time.Since(copied.AsOf())
+	hold := min(call.Hold, maxHold, fresh+time.Millisecond)
 	if hold <= 0 {
 		return
 	}
@@ -131,27 +133,27 @@
 	copied.Await(waiting, call.Since, t.started.Add(call.After))
 }
 
-// freshFor is how old a copy may be for others to follow it.
-func (s *Service) freshFor(renewing bool) time.Duration {
+// maxCopyAge returns the maximum age of a copy that others may follow.
+func (s *Service) maxCopyAge(renewing bool) time.Duration {
 	if renewing {
-		return s.config.RenewFor
+		return s.config.MaxRenewingAge
 	}
-	return s.config.FreshFor
+	return s.config.MaxCopyAge
 }
 
-// refusal says why this node cannot be followed.
+// refusal returns why this node cannot be followed.
 func (s *Service) refusal() sharing.FollowRefusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.claims:
+	case s.claiming:
 		return sharing.NotYet
 	case s.mode != holding || s.Leaving():
-		return sharing.NoRelay // who asks a new life of a former holder is not to wait for it
+		return sharing.NoRelay // a node that asks a new incarnation of a former holder must not wait for it
 	default:
 		return sharing.NotRefused
 	}
 }
 
-// longestHold bounds how long an answer waits for news.
-const longestHold = 2 * time.Second
+// maxHold bounds how long an answer waits for changes.
+const maxHold = 2 * time.Second
--- a/internal/passthrough/replicas/harness_test.go
+++ b/internal/passthrough/replicas/harness_test.go
@@ -18,26 +18,26 @@
 	"ringstream.example/ringstream/internal/peer/sharing"
 )
 
-// slotsTable is the rows of slots, as all nodes of a test see them.
+// slotsTable is an in-memory table of slot rows that all nodes of a test share.
 type slotsTable struct {
 	passthrough.Rows
-	mu      sync.Mutex
-	rows    map[string]passthrough.Row
-	version int64
-	lost    bool
-	began   time.Time
+	mu          sync.Mutex
+	rows        map[string]passthrough.Row
+	version     int64
+	unavailable bool
+	began       time.Time
 }
 
 func (t *slotsTable) List(_ context.Context, _, part, from, to string, _ int) (passthrough.Snapshot, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lost {
+	if t.unavailable {
 		return passthrough.Snapshot{}, passthrough.ErrNothingDone
 	}
 	snapshot := passthrough.Snapshot{Version: t.version, StoreAt: time.Since(t.began)}
-	for _, place := range slices.Sorted(maps.Keys(t.rows)) {
-		if place >= part+"/"+from && place < part+"/"+to {
-			snapshot.Rows = append(snapshot.Rows, t.rows[place])
+	for _, key := range slices.Sorted(maps.Keys(t.rows)) {
+		if key >= part+"/"+from && key < part+"/"+to {
+			snapshot.Rows = append(snapshot.Rows, t.rows[key])
 		}
 	}
 	return snapshot, nil
@@ -46,72 +46,73 @@
 func (t *slotsTable) Commit(_ context.Context, transaction passthrough.Transaction) (passthrough.CommitResult, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lost {
+	if t.unavailable {
 		return passthrough.CommitResult{}, passthrough.ErrNothingDone
 	}
 	expected, put := transaction.Expected[0], transaction.Put[0]
-	place := expected.Part + "/" + expected.Key
-	if current := t.rows[place]; current.Version != expected.Version {
+	key := expected.Part + "/" + expected.Key
+	if current := t.rows[key]; current.Version != expected.Version {
 		return passthrough.CommitResult{Current: []passthrough.Row{current}, Version: t.version}, nil
 	}
 	t.version++
 	put.Version = t.version
-	t.rows[place] = put
+	t.rows[key] = put
 	return passthrough.CommitResult{Applied: true, Version: t.version}, nil
 }
 
-func (t *slotsTable) setLost(lost bool) {
+func (t *slotsTable) setUnavailable(unavailable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lost = lost
+	t.unavailable = unavailable
 }
 
-// neighbours are nodes that reach each other by their addresses. An answer takes its time both ways.
-type neighbours struct {
-	mu     sync.Mutex
-	nodes  map[string]*Service
-	silent map[string]bool
-	way    time.Duration
+// testPeers are nodes that reach each other by their addresses. Each call takes oneWayDelay in
+// both directions.
+type testPeers struct {
+	mu          sync.Mutex
+	nodes       map[string]*Service
+	silent      map[string]bool
+	oneWayDelay time.Duration
 }
 
 var errSilent = errors.New("no answer")
 
-func (n *neighbours) Follow(ctx context.Context, peer string, call sharing.FollowCall) (sharing.FollowAnswer, time.Time, error) {
+func (n *testPeers) Follow(ctx context.Context, peer string, call sharing.FollowCall) (sharing.FollowAnswer, time.Time, error) {
 	sent := time.Now()
-	time.Sleep(n.way)
+	time.Sleep(n.oneWayDelay)
 	n.mu.Lock()
 	node, silent := n.nodes[peer], n.silent[peer]
 	n.mu.Unlock()
 	if node == nil || silent {
 		return sharing.FollowAnswer{}, sent, errSilent
 	}
-	answered := node.Tables().Follow(ctx, call)
-	time.Sleep(n.way)
-	return answered, sent, nil
+	answer := node.Tables().Follow(ctx, call)
+	time.Sleep(n.oneWayDelay)
+	return answer, sent, nil
 }
 
-func (n *neighbours) Forget(string) {}
+func (n *testPeers) Forget(string) {}
 
-func (n *neighbours) setSilent(peer string, silent bool) {
+func (n *testPeers) setSilent(peer string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent[peer] = silent
 }
 
-// zone is nodes of one slot, each of which follows an empty table.
+// zone is a set of nodes, each of which follows an empty table.
 type zone struct {
-	slots *slotsTable
-	peers *neighbours
-	store *quietStore
-	began time.Time
-	count int // of slots
+	slots     *slotsTable
+	peers     *testPeers
+	store     *quietStore
+	began     time.Time
+	slotCount int // slots of the zone
 }
 
 func newZone() *zone {
 	return &zone{
-		began: time.Now(), store: newQuietStore(time.Now()), count: 1,
+		began: time.Now(), store: newQuietStore(time.Now()), slotCount: 1,
 		slots: &slotsTable{rows: make(map[string]passthrough.Row), began: time.Now()},
-		peers: &neighbours{nodes: make(map[string]*Service), silent: make(map[string]bool), way: 2 * time.Millisecond},
+		peers: &testPeers{nodes: make(map[string]*Service), silent: make(map[string]bool), oneWayDelay: 2 * time.Millisecond},
 	}
 }
 
@@ -120,34 +121,34 @@
 func (emptySink) Replace([]passthrough.Row, int64) {}
 func (emptySink) Change([]passthrough.Row)         {}
 
-// quietStore has an empty table in which nothing changes, and a clock.
+// quietStore is a store with a clock and an empty table in which nothing changes.
 type quietStore struct {
 	passthrough.Rows
 	began time.Time
 
-	mu       sync.Mutex               // guards the rest
-	listings map[string]int           // by node
-	forgets  map[string]time.Duration // nodes whose next call for changes finds the history gone
-	listing  map[string]time.Duration // how long their listings after it take
-	refused  map[string]bool          // nodes whose calls it refuses
-	asked    map[string]int           // calls for changes, by node
+	mu          sync.Mutex               // guards the fields below
+	listings    map[string]int           // number of listings, by node
+	historyGone map[string]time.Duration // nodes whose next call for changes finds the history gone, with the time of the listing after it
+	listingTime map[string]time.Duration // how long a node's next listing takes
+	refused     map[string]bool          // nodes whose calls are refused
+	feedCalls   map[string]int           // calls for changes, by node
 }
 
 func newQuietStore(began time.Time) *quietStore {
-	return &quietStore{began: began, listings: make(map[string]int), forgets: make(map[string]time.Duration), listing: make(map[string]time.Duration), refused: make(map[string]bool), asked: make(map[string]int)}
+	return &quietStore{began: began, listings: make(map[string]int), historyGone: make(map[string]time.Duration), listingTime: make(map[string]time.Duration), refused: make(map[string]bool), feedCalls: make(map[string]int)}
 }
 
-// forget has the next call of each node for changes find the history gone, and the listing after it
-// take a time.
-func (s *quietStore) forget(nodes []string, listing time.Duration) {
+// dropHistory makes the next call of each node for changes find the history gone, and the listing
+// after it take the given time.
+func (s *quietStore) dropHistory(nodes []string, listing time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, name := range nodes {
-		s.forgets[name] = listing
+		s.historyGone[name] = listing
 	}
 }
 
-// refuse has the store refuse the calls of some nodes, and of no others.
+// refuse makes the store refuse the calls of the given nodes, and of no others.
 func (s *quietStore) refuse(nodes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +164,7 @@
 	return s.refused[node]
 }
 
-func (s *quietStore) listedBy() int {
+func (s *quietStore) nodesThatListed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.listings)
@@ -182,8 +183,8 @@
 func (r rowsOf) List(context.Context, string, string, string, string, int) (passthrough.Snapshot, error) {
 	r.mu.Lock()
 	r.listings[r.node]++
-	listing := r.listing[r.node]
-	delete(r.listing, r.node)
+	listing := r.listingTime[r.node]
+	delete(r.listingTime, r.node)
 	r.mu.Unlock()
 	time.Sleep(listing)
 	if r.refuses(r.node) {
@@ -194,11 +195,11 @@
 
 func (r rowsOf) Feed(ctx context.Context, _ string, _ int64, hold time.Duration) (passthrough.Snapshot, error) {
 	r.mu.Lock()
-	r.asked[r.node]++
-	listing, forgotten := r.forgets[r.node]
+	r.feedCalls[r.node]++
+	listing, forgotten := r.historyGone[r.node]
 	if forgotten {
-		delete(r.forgets, r.node)
-		r.listing[r.node] = listing
+		delete(r.historyGone, r.node)
+		r.listingTime[r.node] = listing
 	}
 	r.mu.Unlock()
 	if forgotten {
@@ -218,7 +219,7 @@
 // start starts a node with a follower.
 func (z *zone) start(ctx context.Context, name string, capacity float64) (*Service, *catalog.Follower) {
 	config := DefaultConfig()
-	config.Slots = z.count
+	config.Slots = z.slotCount
 	storeTime := catalog.NewStoreTime()
 	service := New(config, Dependencies{
 		Rows: z.slots, Peers: z.peers, StoreTime: storeTime, Logger: zap.NewNop(), Name: name, Life: name + "/1", Zone: "z", Address: name, Capacity: capacity,
@@ -236,25 +237,25 @@
 	return service, follower
 }
 
-func inBubble(t *testing.T, test func(t *testing.T, ctx context.Context)) {
+func runInBubble(t *testing.T, test func(t *testing.T, ctx context.Context)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		test(t, ctx)
 		cancel()
-		time.Sleep(10 * time.Second) // all calls under way end
+		time.Sleep(10 * time.Second) // until all calls in flight have ended
 	})
 }
 
-func (s *Service) modeNow() mode {
+func (s *Service) currentMode() mode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mode
 }
 
-// startMany starts nodes of a zone with four slots, and gives them once they have found each other.
+// startMany starts nodes of a zone with four slots and waits until they have found each other.
 func startMany(ctx context.Context, z *zone) (services []*Service, followers []*catalog.Follower) {
-	z.count = 4
+	z.slotCount = 4
 	for i := range 12 {
 		service, follower := z.start(ctx, fmt.Sprint("node-", i), 0.2)
 		services, followers = append(services, service), append(followers, follower)
@@ -263,7 +264,7 @@
 	return services, followers
 }
 
-// readers gives the nodes that read the store for others.
+// readers returns the names of the nodes that read the store for others.
 func readers(services []*Service) (names []string) {
 	for _, service := range services {
 		if _, reads := service.ReadsStore(); reads {
@@ -273,7 +274,7 @@
 	return names
 }
 
-// sources gives whom the nodes follow, by their names.
+// sources returns the address that each node follows, by the node's name.
 func sources(services []*Service) map[string]string {
 	followed := make(map[string]string, len(services))
 	for _, service := range services {
@@ -284,19 +285,20 @@
 	return followed
 }
 
-// askedBy gives the nodes that have asked the store for changes since it was last called.
-func (s *quietStore) askedBy() []string {
+// takeFeedCallers returns the nodes that have asked the store for changes since the last call.
+func (s *quietStore) takeFeedCallers() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer clear(s.asked)
-	return slices.Sorted(maps.Keys(s.asked))
+	defer clear(s.feedCalls)
+	return slices.Sorted(maps.Keys(s.feedCalls))
 }
 
-// expectFresh checks for a time that no node's copy is 2 s old, except one's.
-func expectFresh(t *testing.T, services []*Service, followers []*catalog.Follower, during time.Duration, except string) {
+// expectFresh checks for the given time that the copy of every node but one stays younger than
+// 2 s.
+func expectFresh(t *testing.T, services []*Service, followers []*catalog.Follower, duration time.Duration, except string) {
 	t.Helper()
 	const step = 50 * time.Millisecond
-	for range during / step {
+	for range duration / step {
 		time.Sleep(step)
 		for i, follower := range followers {
 			if age := time.Since(follower.Health().AsOf); services[i].Name != except && age >= 2*time.Second {
--- a/internal/passthrough/replicas/replicas_test.go
+++ b/internal/passthrough/replicas/replicas_test.go
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// A large machine and small ones start together, and later the holder falls silent, and the store
-// with it. One reads for all; the next one does as soon as the store takes its claim; meanwhile
-// each asks the store for itself.
+// TestOneNodeOfASlotReadsForAll starts a large machine and small ones together. The large one
+// reads the store for all. When it and the store become unreachable, the others fall back to the
+// store, and one of them takes the slot as soon as the store accepts its claim.
 func TestOneNodeOfASlotReadsForAll(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context) {
+	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		small, _ := z.start(ctx, "small", 0.2)
 		large, _ := z.start(ctx, "large", 0.8)
 		other, _ := z.start(ctx, "other", 0.2)
 		time.Sleep(2 * time.Second)
-		if large.modeNow() != holding || small.modeNow() != following || other.modeNow() != following {
-			t.Errorf("large %v, small %v, other %v", large.modeNow(), small.modeNow(), other.modeNow())
+		if large.currentMode() != holding || small.currentMode() != following || other.currentMode() != following {
+			t.Errorf("large %v, small %v, other %v", large.currentMode(), small.currentMode(), other.currentMode())
 		}
 		z.peers.setSilent("large", true)
-		z.slots.setLost(true)
+		z.slots.setUnavailable(true)
 		time.Sleep(4 * time.Second)
-		if small.modeNow() != alone || other.modeNow() != alone {
-			t.Errorf("without holder and store: small %v, other %v", small.modeNow(), other.modeNow())
+		if small.currentMode() != alone || other.currentMode() != alone {
+			t.Errorf("without holder and store: small %v, other %v", small.currentMode(), other.currentMode())
 		}
-		z.slots.setLost(false)
+		z.slots.setUnavailable(false)
 		time.Sleep(4 * time.Second)
-		if one, two := small.modeNow(), other.modeNow(); one+two != holding+following {
+		if one, two := small.currentMode(), other.currentMode(); one+two != holding+following {
 			t.Errorf("the store is back: small %v, other %v", one, two)
 		}
 		z.peers.setSilent("large", false)
-		time.Sleep(2 * large.config.CheckEvery)
-		if large.modeNow() != following {
-			t.Errorf("the former holder: %v", large.modeNow())
+		time.Sleep(2 * large.config.CheckInterval)
+		if large.currentMode() != following {
+			t.Errorf("the former holder: %v", large.currentMode())
 		}
 	})
 }
 
-// What a follower knows is never said to be newer than the holder knew it. It is less than 2 s old
-// while nothing changes, for nothing is decided by a copy that is older.
+// TestFollowerIsAsOfWhatTheHolderKnew checks that a follower's copy never counts as newer than
+// the holder's copy, and that it stays younger than 2 s while nothing changes, because an older
+// copy must not be used for decisions.
 func TestFollowerIsAsOfWhatTheHolderKnew(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context) {
+	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		_, read := z.start(ctx, "large", 0.8)
 		time.Sleep(500 * time.Millisecond)
@@ -53,7 +54,7 @@
 			time.Sleep(37 * time.Millisecond)
 			holder, follower := read.Health().AsOf, followed.Health().AsOf
 			if follower.After(holder) {
-				t.Errorf("the follower is as of %v after what the holder knew", follower.Sub(holder))
+				t.Errorf("the follower's copy counts as %v newer than the holder's", follower.Sub(holder))
 			}
 			if behind := time.Since(follower); behind >= 2*time.Second {
 				t.Errorf("the follower is %v behind", behind)
@@ -62,11 +63,12 @@
 	})
 }
 
-// Each of the eight holders of a zone's slots read the store for itself: forty of them read each row
-// of 10,000 engines in a fleet of five zones, most of 0.197 GB in a quiet minute. One of
-// a zone reads it now; when it falls silent another does, and nobody's copy gets older than 2 s.
+// TestOneNodeOfAZoneReadsTheStore checks that one holder of a zone reads the store, and that
+// another one takes over when it stops answering, while no copy gets older than 2 s. When each
+// holder of the eight slots of a zone read the store, forty nodes read each row of 10,000 engines
+// in a fleet of five zones, which was most of 0.197 GB in a quiet minute.
 func TestOneNodeOfAZoneReadsTheStore(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context) {
+	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		services, followers := startMany(ctx, z)
 		before := readers(services)
@@ -75,36 +77,37 @@
 		}
 		z.peers.setSilent(before[0], true)
 		expectFresh(t, services, followers, 8*time.Second, "")
-		time.Sleep(2 * services[0].config.CheckEvery)
+		time.Sleep(2 * services[0].config.CheckInterval)
 		for _, service := range services {
-			if mode := service.modeNow(); mode != holding && mode != following {
+			if mode := service.currentMode(); mode != holding && mode != following {
 				t.Errorf("%s is %v", service.Name, mode)
 			}
 		}
 	})
 }
 
-// A store that forgets its history has its readers list the tables anew. 10,000 engines take a small
-// machine more than 1.2 s, after which its followers took its copies for too old and listed
-// the tables themselves, up to 25 at a time. They wait for the reader, 2 s here, and one
-// whose listing takes longer than a leaving engine may get requests is left.
+// TestFollowersWaitForAReaderThatListsAnew drops the store's history, so that its readers list
+// the tables again. Listing 10,000 engines takes a small machine more than 1.2 s. Followers then
+// took its copies for too old and listed the tables themselves, up to 25 at a time. They now wait
+// for the reader, here 2 s, but leave a reader whose listing takes longer than a leaving engine
+// may get requests.
 func TestFollowersWaitForAReaderThatListsAnew(t *testing.T) {
 	for _, test := range []struct {
 		listing time.Duration
 		waits   bool
 	}{{2 * time.Second, true}, {4 * time.Second, false}} {
-		inBubble(t, func(t *testing.T, ctx context.Context) {
+		runInBubble(t, func(t *testing.T, ctx context.Context) {
 			z := newZone()
 			services, followers := startMany(ctx, z)
 			reads := readers(services)
-			listed := z.store.listedBy()
+			listed := z.store.nodesThatListed()
 			names := make([]string, 0, len(services))
 			for _, service := range services {
 				names = append(names, service.Name)
 			}
-			z.store.forget(names, test.listing)
+			z.store.dropHistory(names, test.listing)
 			time.Sleep(test.listing + time.Second)
-			if waits := z.store.listedBy() == listed; waits != test.waits {
+			if waits := z.store.nodesThatListed() == listed; waits != test.waits {
 				t.Errorf("a listing of %v: the followers wait: %v", test.listing, waits)
 			}
 			if !test.waits {
@@ -118,11 +121,13 @@
 	}
 }
 
-// A store whose feeds told nothing for a second had 980 nodes leave their sources at one moment, since
-// all copies were too old to be followed. The store told them no more than it told those; 166 found
-// the history gone and listed the jobs. They stay now, and ask the store beside.
+// TestNobodyLeavesASourceThatKnowsAsMuch guards against followers that leave their source when
+// the store sends changes to no node. After one second without changes all copies were too old to
+// be followed, and 980 nodes left their sources at the same moment although the store told them
+// no more; 166 found the history gone and listed the jobs. Followers now keep their source and
+// ask the store in addition.
 func TestNobodyLeavesASourceThatKnowsAsMuch(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context) {
+	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		services, _ := startMany(ctx, z)
 		before := sources(services)
@@ -133,15 +138,16 @@
 		z.store.refuse(names...)
 		time.Sleep(8 * time.Second)
 		if now := sources(services); !maps.Equal(now, before) {
-			t.Errorf("followed are %v, before the store told nothing %v", now, before)
+			t.Errorf("the sources are %v, before the store refused calls %v", now, before)
 		}
 	})
 }
 
-// A reader that alone is refused by the store knows less than those who follow it. Nobody's copy gets
-// older than 2 s meanwhile, and another node reads for all soon.
+// TestReaderThatTheStoreRefusesIsReplaced makes the store refuse only the reader, so that its
+// followers have newer copies. Another node soon reads for all, and no other node's copy gets
+// older than 2 s meanwhile.
 func TestReaderThatTheStoreRefusesIsReplaced(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context) {
+	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		services, followers := startMany(ctx, z)
 		lost := readers(services)[0]
@@ -149,17 +155,19 @@
 		expectFresh(t, services, followers, 15*time.Second, lost)
 		for name, followed := range sources(services) {
 			if followed == lost {
-				t.Errorf("%s still follows the reader that knows nothing", name)
+				t.Errorf("%s still follows the reader that the store refuses", name)
 			}
 		}
 	})
 }
 
-// A reader whose feed lacks what the store is known to have says so by the age of its copies. Its
-// followers asked the store themselves then, 985 at one moment, and took the same silent feed for fresh,
-// since nothing had shown them otherwise. They go by the reader, which lists the table each 2 s.
+// TestFollowersDoNotAskAFeedThatTheirReaderDoubts guards against followers that ask the store
+// because their reader's feed lacks a known change. The reader shows this by the age of its
+// copies. Followers then asked the store themselves, 985 at the same moment, and took the same
+// incomplete feed for fresh because they did not know of the change. They now rely on the reader,
+// which lists the table every 2 s.
 func TestFollowersDoNotAskAFeedThatTheirReaderDoubts(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context) {
+	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		services, followers := startMany(ctx, z)
 		reads := readers(services)
@@ -168,9 +176,9 @@
 				followers[i].Expect("", "row that the feed does not tell", 7)
 			}
 		}
-		z.store.askedBy()
-		time.Sleep(8 * time.Second) // in which the table is listed each 1 to 2 s
-		if asked := z.store.askedBy(); !slices.Equal(asked, reads) {
+		z.store.takeFeedCallers()
+		time.Sleep(8 * time.Second) // the table is listed every 1 to 2 s meanwhile
+		if asked := z.store.takeFeedCallers(); !slices.Equal(asked, reads) {
 			t.Errorf("%q asked the store, %q reads it", asked, reads)
 		}
 	})
--- a/internal/passthrough/replicas/source.go
+++ b/internal/passthrough/replicas/source.go
@@ -13,23 +13,24 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-var errNoAnswer = errors.New("replicas: the holder does not answer, or is none any more")
+var errNoAnswer = errors.New("replicas: the holder does not answer or no longer holds the slot")
 
-// source is a node whose copies are followed, or may be. Service.mu guards clock and after once
-// the service follows it.
+// source is a node whose copies are followed or may be followed. Service.mu guards clock and
+// completeAsOf once the service follows the source.
 type source struct {
-	address string
-	clock   storeclock.Clock
-	after   map[string]time.Duration // by table: as of when its copy is known to be complete
-	// suspensions is how many this node had gone through when it began to ask the source.
+	address      string
+	clock        storeclock.Clock
+	completeAsOf map[string]time.Duration // by table: as of when the source's copy is known to be complete
+	// suspensions is this node's suspension count when it began to query the source.
 	suspensions uint64
 }
 
 func (s *Service) newSource(address string) *source {
-	return &source{address: address, after: make(map[string]time.Duration), suspensions: s.watch.Count()}
+	return &source{address: address, completeAsOf: make(map[string]time.Duration), suspensions: s.watch.Count()}
 }
 
-// name gives the address; that of the store, which is no source, is empty.
+// name returns the source's address, or an empty string for the store, which is represented by a
+// nil source.
 func (from *source) name() string {
 	if from == nil {
 		return ""
@@ -37,10 +38,11 @@
 	return from.address
 }
 
-// trust forgets what is known of a source's clock when a suspension fell into the search for it, for
-// which only the clock of the source that is followed is corrected. The caller does not hold mu:
-// whoever asks for suspensions has this service's beliefs corrected.
-func (s *Service) trust(from *source) {
+// discardStaleClock discards the estimate of a source's clock if this node was suspended during
+// the search for the source. Only the clock of the followed source is corrected after a
+// suspension. The caller must not hold mu, because a suspension that watch.Count detects makes
+// the service correct its state under mu.
+func (s *Service) discardStaleClock(from *source) {
 	if from == nil {
 		return
 	}
@@ -53,8 +55,8 @@
 	}
 }
 
-// current gives the source that is followed where it has an address; else nil.
-func (s *Service) current(address string) *source {
+// currentSource returns the followed source if it has the given address, and nil otherwise.
+func (s *Service) currentSource(address string) *source {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.source.name() != address {
@@ -63,134 +65,136 @@
 	return s.source
 }
 
-// leave stops following a source.
-func (s *Service) leave(from *source, why error) {
+// leaveSource stops following a source.
+func (s *Service) leaveSource(from *source, reason error) {
 	s.mu.Lock()
-	left := s.source == from
-	if left {
+	wasCurrent := s.source == from
+	if wasCurrent {
 		s.source = nil
 		if s.mode == following {
 			s.mode = alone
 		}
 	}
 	s.mu.Unlock()
-	if !left {
+	if !wasCurrent {
 		return
 	}
 	s.Peers.Forget(from.address)
-	events.ReplicaLeft.Log(s.Logger, zap.String("holder", from.address), zap.Error(why))
+	events.ReplicaLeft.Log(s.Logger, zap.String("holder", from.address), zap.Error(reason))
 	select {
-	case s.lost <- struct{}{}:
+	case s.sourceLost <- struct{}{}:
 	default:
 	}
 }
 
-// lower gives the holder of the lowest slot below the own that can be followed; nil: none can, and
-// the store is to be read. Where each holder read the store, a zone read each row eight times.
-func (s *Service) lower(ctx context.Context, rows []slotRow) *source {
+// findLowerHolder returns the holder of the lowest slot below this node's slot that can be
+// followed, or nil if there is none and the store is to be read. When each holder read the store,
+// a zone read each row eight times.
+func (s *Service) findLowerHolder(ctx context.Context, rows []slotRow) *source {
 	for _, row := range rows {
 		if row.slot >= s.slot {
 			return nil
 		}
-		if from := s.awaitHolder(ctx, row.holder.Address); from != nil {
+		if from := s.waitForHolder(ctx, row.holder.Address); from != nil {
 			return from
 		}
 	}
 	return nil
 }
 
-// awaitHolder gives a holder as a source if it can be followed; one that is still listing the tables
-// is waited for.
-func (s *Service) awaitHolder(ctx context.Context, holder string) *source {
+// waitForHolder returns a holder as a source if it can be followed, and nil otherwise. It waits
+// for a holder that is still listing the tables.
+func (s *Service) waitForHolder(ctx context.Context, holder string) *source {
 	if holder == "" || holder == s.Address {
 		return nil
 	}
-	from := s.current(holder)
+	from := s.currentSource(holder)
 	if from == nil {
 		from = s.newSource(holder)
 	}
-	silent, patience := 0, s.config.SearchFor
+	silent, patience := 0, s.config.SearchTimeout
 	for began := time.Now(); ctx.Err() == nil && time.Since(began) < patience; {
-		switch s.ask(ctx, from) {
+		switch s.queryHolder(ctx, from) {
 		case canFollow:
 			return from
 		case noHolder:
 			return nil
 		case noAnswer:
-			if silent++; silent > silentTries {
+			if silent++; silent > maxSilentRetries {
 				return nil
 			}
-		case tooOld:
-			if s.current(holder) == from {
+		case staleCopy:
+			if s.currentSource(holder) == from {
 				return from
 			}
 		case notListed:
-			patience = s.config.ListFor
-			s.hearListing()
+			patience = s.config.ListTimeout
+			s.signalHolderListing()
 		}
-		wait.For(ctx, s.config.AskEvery)
+		wait.For(ctx, s.config.PollInterval)
 	}
 	return nil
 }
 
-// hearListing takes note that a holder is listing its tables.
-func (s *Service) hearListing() {
+// signalHolderListing records that a holder is listing its tables.
+func (s *Service) signalHolderListing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.heard {
-		s.heard = true
-		close(s.listing)
+	if !s.holderListingClosed {
+		s.holderListingClosed = true
+		close(s.holderListing)
 	}
 }
 
-// silentTries is how often a holder that does not answer is asked again: one that has just taken
-// its slot may not hear others yet.
-const silentTries = 2
+// maxSilentRetries is how often a holder that does not answer is queried again. A holder that has
+// just taken its slot may not accept calls yet.
+const maxSilentRetries = 2
 
-// word is what a node said when it was asked whether it can be followed.
-type word uint8
+// holderStatus is the result of a query whether a node can be followed.
+type holderStatus uint8
 
 const (
-	noAnswer word = iota
+	noAnswer holderStatus = iota
 	noHolder
 	notListed
-	tooOld // a copy is
+	staleCopy // a copy is too old to be followed
 	canFollow
 )
 
-// ask asks a node whether all its copies can be followed. The quick answers show its clock.
-func (s *Service) ask(ctx context.Context, from *source) word {
+// queryHolder asks a node whether all its copies can be followed. The node answers at once, which
+// shows its clock.
+func (s *Service) queryHolder(ctx context.Context, from *source) holderStatus {
 	for table := range s.copies {
 		sent, suspensions := time.Now(), s.watch.Count()
-		answered, _, err := s.Peers.Follow(ctx, from.address, sharing.FollowCall{Table: table, Since: everything})
+		answer, _, err := s.Peers.Follow(ctx, from.address, sharing.FollowCall{Table: table, Since: versionBeyondAll})
 		switch {
 		case err != nil:
 			return noAnswer
-		case answered.Refusal == sharing.NotYet:
+		case answer.Refusal == sharing.NotYet:
 			return notListed
-		case answered.Refusal == sharing.TooOld && s.knowsBetter(table):
+		case answer.Refusal == sharing.TooOld && s.hasFreshCopy(table):
 			return noHolder
-		case answered.Refusal == sharing.TooOld:
-			return tooOld
-		case answered.Refusal != sharing.NotRefused:
+		case answer.Refusal == sharing.TooOld:
+			return staleCopy
+		case answer.Refusal != sharing.NotRefused:
 			return noHolder
 		}
 		if s.watch.Count() == suspensions {
 			s.mu.Lock()
-			from.clock.Observe(sent, answered.At)
+			from.clock.Observe(sent, answer.At)
 			s.mu.Unlock()
 		}
 	}
 	return canFollow
 }
 
-// knowsBetter says whether this node's own copy of a table is fresh, by what the store tells it. A
-// source whose copy is not is to be left: it is cut off, or slow. Where the store tells
-// nobody of changes, leaving it helps nobody: 980 nodes did so at one moment, found their
-// history gone at the store, and listed tables 166 times.
-func (s *Service) knowsBetter(table string) bool {
-	return time.Since(s.copies[table].AsOf()) <= s.config.FreshFor
+// hasFreshCopy reports whether this node's own copy of a table is fresh. If it is and the
+// source's copy is not, the source is cut off or slow and is to be left. If the store sends
+// changes to no node, leaving the source does not help: 980 nodes once left their sources at the
+// same moment, found their history gone at the store, and listed tables 166 times.
+func (s *Service) hasFreshCopy(table string) bool {
+	return time.Since(s.copies[table].AsOf()) <= s.config.MaxCopyAge
 }
 
-// everything is a version after which nothing has changed.
-const everything = int64(1) << 62
+// versionBeyondAll is a version after which nothing has changed.
+const versionBeyondAll = int64(1) << 62
--- a/internal/passthrough/replicas/suspension_test.go
+++ b/internal/passthrough/replicas/suspension_test.go
@@ -10,9 +10,11 @@
 	"ringstream.example/ringstream/internal/suspension/suspensiontest"
 )
 
-// A node that chose its source asked for suspensions while it held its lock. The asking corrects all
-// beliefs, this one's under the same lock: a suspension that fell into the search stopped the node's
-// reading for good. What is known of the clock of a source that was found before is forgotten.
+// TestSuspensionDuringTheSearchForASource guards against a deadlock. A node that chose its source
+// asked for suspensions while it held its lock, and a detected suspension makes the service
+// correct its state under the same lock. A suspension during the search then stopped the node's
+// reading for good. The clock estimate of a source that was found before the suspension must be
+// discarded.
 func TestSuspensionDuringTheSearchForASource(t *testing.T) {
 	clock := &suspensiontest.Clock{}
 	service := New(DefaultConfig(), Dependencies{Logger: zap.NewNop(), Name: "node", Life: "node/1", Zone: "z", Address: "node"})
@@ -22,15 +24,15 @@
 	clock.Suspend(time.Minute)
 	entered := make(chan struct{})
 	go func() {
-		service.enter(following, found)
+		service.setMode(following, found)
 		close(entered)
 	}()
 	select {
 	case <-entered:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the node does not get over the suspension")
+		t.Fatal("setMode did not return after a suspension")
 	}
 	if sent := time.Now(); !found.clock.MadeAt(sent, sent.Add(time.Hour), time.Minute).Equal(sent) {
-		t.Error("the source's clock from before the suspension is used")
+		t.Error("the source's clock estimate from before the suspension is still used")
 	}
 }
