--- a/internal/passthrough/catalog/copy.go
+++ b/internal/passthrough/catalog/copy.go
@@ -10,82 +10,85 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// Copy keeps the rows of a followed table, so that this node can tell others what has
-// changed in it. It is safe for concurrent use.
+// Copy keeps the rows of a followed table, so that this node can report to others what has changed
+// in it. It is safe for concurrent use.
 type Copy struct {
-	mu   sync.Mutex                   // guards the rest
-	rows map[rowPlace]passthrough.Row // the newest of each, removed ones too
-	// order has a place for each change, by rising versions; one whose row has changed again
-	// since is passed over.
-	order   []change
-	since   int64 // changes are known from this version on
-	version int64 // that the table was followed to
-	listed  bool
-	asOf    time.Time                      // when the copy was last known to be complete
-	storeAt time.Duration                  // by the store's clock
-	changed chan struct{}                  // closed at the next change or confirmation
-	hide    func(row passthrough.Row) bool // rows that others need not know
-	readAt  time.Time                      // when another node last read the copy
-	// whole is all rows that there are, by rising versions; nil: not made since the last change. It is
-	// not changed once it is made: all that list the table at one moment are told the same.
-	whole []passthrough.Row
-	// renewing: the table is being listed anew, or was and lacks still what the store is known to
-	// have, here or where this copy comes from.
+	mu   sync.Mutex                // guards the rest
+	rows map[rowID]passthrough.Row // the newest version of each row, including removed rows
+	// changes has an entry for each change, by ascending version. An entry whose row has changed
+	// again since is skipped.
+	changes     []change
+	historyFrom int64 // changes after this version are known
+	version     int64 // the version that the table was followed to
+	listed      bool
+	asOf        time.Time                      // when the copy was last known to be complete
+	storeAt     time.Duration                  // asOf on the store's clock
+	updated     chan struct{}                  // closed and replaced by confirm
+	hide        func(row passthrough.Row) bool // reports rows that other nodes do not need
+	readAt      time.Time                      // when another node last read the copy
+	// listing holds all present rows by ascending version; nil if it was not built since the last
+	// change. It is never modified once built, since all readers that list the table share it.
+	listing []passthrough.Row
+	// renewing is set while the table is being listed again, or was listed but still lacks a row
+	// that the store is known to have, here or at the node that this copy is fed from.
 	renewing bool
 }
 
+// change records that a row changed at a version.
 type change struct {
-	place   rowPlace
+	id      rowID
 	version int64
 }
 
-// Bounds of what is remembered for nodes that ask. A fleet that replaces 1,000 engines a minute
-// removes 4,096 rows in four minutes; who has not asked for that long lists the table.
+// Bounds of the change history that is kept for other nodes. A fleet that replaces 1,000 engines a
+// minute removes 4,096 rows in four minutes; a node that has not asked for that long gets the
+// whole table.
 const (
-	mostGone    = 4096
-	orderSlack  = 1024
-	orderFactor = 2 // of the rows, that order may hold
+	maxRemoved       = 4096
+	maxExtraChanges  = 1024
+	maxChangesPerRow = 2 // changes is compacted above this number per row plus maxExtraChanges
 )
 
-// NewCopy makes an empty copy.
+// NewCopy returns an empty copy.
 func NewCopy() *Copy {
-	return &Copy{rows: make(map[rowPlace]passthrough.Row), changed: make(chan struct{}), hide: func(passthrough.Row) bool { return false }}
+	return &Copy{rows: make(map[rowID]passthrough.Row), updated: make(chan struct{}), hide: func(passthrough.Row) bool { return false }}
 }
 
-// Hide has the copy leave rows out that others need not know; called before it is used.
+// Hide sets which rows are left out because other nodes do not need them. It must be called before
+// the copy is used.
 func (c *Copy) Hide(hide func(row passthrough.Row) bool) { c.hide = hide }
 
-// hides says whether others are not told the row at a place.
-func (c *Copy) hides(place rowPlace) bool {
-	return c.hide(passthrough.Row{Part: place.part, Key: place.key})
+// isHidden reports whether other nodes do not get the row with an id.
+func (c *Copy) isHidden(id rowID) bool {
+	return c.hide(passthrough.Row{Part: id.part, Key: id.key})
 }
 
-// replace takes a whole listing as of a version.
-func (c *Copy) replace(rows []passthrough.Row, version int64) {
+// applyListing applies a whole listing as of a version.
+func (c *Copy) applyListing(rows []passthrough.Row, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	listed := make(map[rowPlace]bool, len(rows))
+	listed := make(map[rowID]bool, len(rows))
 	for _, row := range rows {
-		listed[rowPlace{row.Part, row.Key}] = true
+		listed[rowID{row.Part, row.Key}] = true
 		if !c.hide(row) {
 			c.put(row)
 		}
 	}
-	for place, known := range c.rows {
-		if !listed[place] && !known.Gone && known.Version <= version {
+	for id, known := range c.rows {
+		if !listed[id] && !known.Gone && known.Version <= version {
 			c.put(passthrough.Row{Table: known.Table, Part: known.Part, Key: known.Key, Version: version, Gone: true})
 		}
 	}
 	if !c.listed {
-		c.since = version
+		c.historyFrom = version
 	}
 	c.listed, c.version = true, max(c.version, version)
 	c.sort()
 	c.compact()
 }
 
-// change takes rows in the order of their versions.
-func (c *Copy) change(rows []passthrough.Row) {
+// applyChanges applies changed rows in the order of their versions.
+func (c *Copy) applyChanges(rows []passthrough.Row) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, row := range rows {
@@ -99,64 +102,66 @@
 }
 
 func (c *Copy) put(row passthrough.Row) {
-	place := rowPlace{row.Part, row.Key}
-	if known, found := c.rows[place]; found && known.Version >= row.Version {
+	id := rowID{row.Part, row.Key}
+	if known, found := c.rows[id]; found && known.Version >= row.Version {
 		return
 	}
-	c.rows[place], c.whole = row, nil
-	c.order = append(c.order, change{place: place, version: row.Version})
+	c.rows[id], c.listing = row, nil
+	c.changes = append(c.changes, change{id: id, version: row.Version})
 }
 
 func (c *Copy) sort() {
 	byVersion := func(a, b change) int { return cmp.Compare(a.version, b.version) }
-	if !slices.IsSortedFunc(c.order, byVersion) {
-		slices.SortStableFunc(c.order, byVersion)
+	if !slices.IsSortedFunc(c.changes, byVersion) {
+		slices.SortStableFunc(c.changes, byVersion)
 	}
 }
 
-// compact forgets changes that are overtaken, and the oldest removals of too many.
+// compact drops superseded changes, and the oldest removals if there are too many.
 func (c *Copy) compact() {
-	if len(c.order) <= orderFactor*len(c.rows)+orderSlack && len(c.order) <= len(c.rows)+mostGone {
+	if len(c.changes) <= maxChangesPerRow*len(c.rows)+maxExtraChanges && len(c.changes) <= len(c.rows)+maxRemoved {
 		return
 	}
-	c.order = slices.DeleteFunc(c.order, func(known change) bool { return c.rows[known.place].Version != known.version })
+	c.changes = slices.DeleteFunc(c.changes, func(entry change) bool { return c.rows[entry.id].Version != entry.version })
 	gone := 0
 	for _, row := range c.rows {
 		if row.Gone {
 			gone++
 		}
 	}
-	c.order = slices.DeleteFunc(c.order, func(known change) bool {
-		if gone <= mostGone/2 || !c.rows[known.place].Gone {
+	c.changes = slices.DeleteFunc(c.changes, func(entry change) bool {
+		if gone <= maxRemoved/2 || !c.rows[entry.id].Gone {
 			return false
 		}
 		gone--
-		delete(c.rows, known.place)
-		c.since = max(c.since, known.version)
+		delete(c.rows, entry.id)
+		c.historyFrom = max(c.historyFrom, entry.version)
 		return true
 	})
 }
 
-// confirm takes note that the copy was complete at a moment, and at a time of the store's clock; the
-// zero time: it is not known to have been. Who waits for news hears of what has come before.
+// confirm records that the copy was complete at a time, and when that was on the store's clock. A
+// zero asOf means that no such time is known. confirm wakes waiting readers, also for changes
+// applied before it.
 func (c *Copy) confirm(asOf time.Time, storeAt time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if asOf.After(c.asOf) {
 		c.asOf, c.storeAt = asOf, storeAt
 	}
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(c.updated)
+	c.updated = make(chan struct{})
 }
 
-// renew says whether the table is being listed anew, or is to be.
-func (c *Copy) renew(renewing bool) {
+// setRenewing records whether the table is being listed again or will be.
+func (c *Copy) setRenewing(renewing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.renewing = renewing
 }
 
-// Renewing says whether the table is being listed anew, here or where this copy comes from.
+// Renewing reports whether the table is being listed again, here or at the node that this copy is
+// fed from.
 func (c *Copy) Renewing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,57 +174,59 @@
 	c.asOf = c.asOf.Add(-gap)
 }
 
-// Told is what a copy tells.
+// Told is a copy's answer to a reader.
 type Told struct {
-	// Whole: Rows are all rows of the table. Else they are those that have changed, removed ones
-	// with Gone.
+	// Whole means that Rows are all rows of the table. Otherwise Rows are the changed ones, with
+	// Gone set on removed rows.
 	Whole   bool
-	Rows    []passthrough.Row // by rising versions; not to be changed, others are told the same
-	Version int64             // that the copy was followed to
-	AsOf    time.Time         // when the copy was complete, at the earliest
-	StoreAt time.Duration     // by the store's clock
-	// Renewing: the copy is older than usual because the table is being listed anew, or is to be.
+	Rows    []passthrough.Row // by ascending version; shared with other readers and not to be modified
+	Version int64             // the version that the copy was followed to
+	AsOf    time.Time         // a time as of which the copy was complete
+	StoreAt time.Duration     // AsOf on the store's clock
+	// Renewing means that the copy is staler than usual because the table is being listed again or
+	// will be.
 	Renewing bool
 }
 
-// Since gives what has changed after a version; all rows where that cannot be told.
-func (c *Copy) Since(version int64) (told Told, listed bool) {
+// Since returns what has changed after a version, or all rows if the changes are no longer known
+// that far back. listed reports whether the copy has ever had a whole listing.
+func (c *Copy) Since(version int64) (reply Told, listed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readAt = time.Now()
-	told = Told{Whole: version < c.since, Version: c.version, AsOf: c.asOf, StoreAt: c.storeAt, Renewing: c.renewing}
-	if told.Whole {
-		told.Rows = c.allRows()
+	reply = Told{Whole: version < c.historyFrom, Version: c.version, AsOf: c.asOf, StoreAt: c.storeAt, Renewing: c.renewing}
+	if reply.Whole {
+		reply.Rows = c.allRows()
 	} else {
-		told.Rows = c.changesSince(version)
+		reply.Rows = c.changesSince(version)
 	}
-	return told, c.listed
+	return reply, c.listed
 }
 
-// allRows gives the rows that there are; the caller holds mu.
+// allRows returns all present rows. The caller holds mu.
 func (c *Copy) allRows() []passthrough.Row {
-	if c.whole != nil {
-		return c.whole
+	if c.listing != nil {
+		return c.listing
 	}
 	whole := make([]passthrough.Row, 0, len(c.rows))
-	for _, known := range c.order {
-		if row := c.rows[known.place]; row.Version == known.version && !row.Gone {
+	for _, entry := range c.changes {
+		if row := c.rows[entry.id]; row.Version == entry.version && !row.Gone {
 			whole = append(whole, row)
 		}
 	}
-	c.whole = slices.Clip(whole) // who appends to it gets a list of its own
-	return c.whole
+	c.listing = slices.Clip(whole) // appending to the result allocates a new list
+	return c.listing
 }
 
-// changesSince gives the rows that have changed after a version, removed ones too; the caller
-// holds mu.
+// changesSince returns the rows that have changed after a version, including removed rows. The
+// caller holds mu.
 func (c *Copy) changesSince(version int64) (changed []passthrough.Row) {
-	first, _ := slices.BinarySearchFunc(c.order, version+1, func(known change, wanted int64) int { return cmp.Compare(known.version, wanted) })
-	for _, known := range c.order[first:] {
-		row := c.rows[known.place]
-		overtaken := row.Version != known.version
-		// A row that a listing has shown ahead of the feed: who took it would go on from its
-		// version, and miss what the feed tells before.
+	first, _ := slices.BinarySearchFunc(c.changes, version+1, func(entry change, wanted int64) int { return cmp.Compare(entry.version, wanted) })
+	for _, entry := range c.changes[first:] {
+		row := c.rows[entry.id]
+		overtaken := row.Version != entry.version
+		// A listing can contain a row that is ahead of the feed. A reader that took it would
+		// continue from its version, and miss the changes that the feed delivers before it.
 		ahead := row.Version > c.version
 		if !overtaken && !ahead {
 			changed = append(changed, row)
@@ -228,30 +235,30 @@
 	return changed
 }
 
-// followedWithin is how recently a copy was read that is followed by another node.
-const followedWithin = 3 * time.Second
+// readerTimeout is how long after its last read a copy still counts as followed by another node.
+const readerTimeout = 3 * time.Second
 
-// followed says whether another node follows the copy.
-func (c *Copy) followed() bool {
+// hasReaders reports whether another node follows the copy.
+func (c *Copy) hasReaders() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.readAt.IsZero() && time.Since(c.readAt) < followedWithin
+	return !c.readAt.IsZero() && time.Since(c.readAt) < readerTimeout
 }
 
-// AsOf gives when the copy was last known to be complete.
+// AsOf returns when the copy was last known to be complete.
 func (c *Copy) AsOf() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.asOf
 }
 
-// Await waits until the copy knows of a change after a version, or is known to be complete as of a
-// later moment than one given, or ctx ends.
+// Await waits until the copy contains a change after a version, is known to be complete as of a
+// later time than asOf, or ctx ends.
 func (c *Copy) Await(ctx context.Context, version int64, asOf time.Time) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		news := c.version > version || c.asOf.After(asOf)
-		changed := c.changed
+		changed := c.updated
 		c.mu.Unlock()
 		if news {
 			return
--- a/internal/passthrough/catalog/copy_test.go
+++ b/internal/passthrough/catalog/copy_test.go
@@ -15,18 +15,18 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// reader follows a copy as another node does: what is told replaces or changes what it has.
+// reader follows a copy as another node does: each answer replaces or changes its rows.
 type reader struct {
 	rows    map[string]int64 // versions by key
 	version int64
 }
 
-func (r *reader) take(told Told) {
-	if told.Whole {
+func (r *reader) apply(answer Told) {
+	if answer.Whole {
 		r.rows = make(map[string]int64)
 	}
 	last := int64(0)
-	for _, row := range told.Rows {
+	for _, row := range answer.Rows {
 		if row.Version < last {
 			panic("rows out of order")
 		}
@@ -36,19 +36,19 @@
 		} else {
 			r.rows[row.Key] = row.Version
 		}
-		if !told.Whole {
+		if !answer.Whole {
 			r.version = max(r.version, row.Version)
 		}
 	}
-	if told.Whole {
-		r.version = told.Version
+	if answer.Whole {
+		r.version = answer.Version
 	}
-	r.version = max(r.version, told.Version)
+	r.version = max(r.version, answer.Version)
 }
 
-// A copy is fed as a follower feeds it, by changes and by whole listings of a table that has lost
-// its history, and read now and then by others, some of them after a long time. Each has to
-// end with just the rows of the table.
+// A copy is fed as a follower feeds it, with changes and with whole listings after the history was
+// lost. Several readers read it at random times, some of them rarely. Each must end with exactly
+// the rows of the table.
 func TestCopyTellsEachReaderTheWholeTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copied := NewCopy()
@@ -56,7 +56,7 @@
 		table := make(map[string]int64)
 		readers := []*reader{{rows: map[string]int64{}}, {rows: map[string]int64{}}, {rows: map[string]int64{}}}
 		version := int64(1)
-		copied.replace(nil, version)
+		copied.applyListing(nil, version)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			var changes []passthrough.Row
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
@@ -73,23 +73,23 @@
 			switch rapid.IntRange(0, 4).Draw(t, "lost") {
 			case 0:
 				version++
-				copied.replace(rowsOf(table), version)
-			case 1: // the parts are listed one after another: later ones show rows that the feed has yet to tell
-				copied.replace(rowsOf(table), changes[0].Version-1)
+				copied.applyListing(rowsOf(table), version)
+			case 1: // parts are listed one after another, so later ones contain rows that the feed has yet to deliver
+				copied.applyListing(rowsOf(table), changes[0].Version-1)
 				early := readers[rapid.IntRange(0, len(readers)-1).Draw(t, "early")]
 				answer, _ := copied.Since(early.version)
-				early.take(answer)
-				copied.change(changes)
+				early.apply(answer)
+				copied.applyChanges(changes)
 			default:
-				copied.change(changes)
+				copied.applyChanges(changes)
 			}
-			told := readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")]
-			answer, listed := copied.Since(told.version)
+			current := readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")]
+			answer, listed := copied.Since(current.version)
 			if !listed {
-				t.Fatal("not listed")
+				t.Fatal("the copy was never listed")
 			}
-			told.take(answer)
-			if difference := cmp.Diff(visible(table), told.rows); difference != "" {
+			current.apply(answer)
+			if difference := cmp.Diff(visible(table), current.rows); difference != "" {
 				t.Fatal(difference)
 			}
 		}
@@ -115,81 +115,83 @@
 	return seen
 }
 
-// What a copy remembers of removed rows is bounded; who asks after that gets the whole table.
+// The number of remembered removals is bounded. A reader that asks for changes from before them
+// gets the whole table.
 func TestCopyForgetsOldRemovals(t *testing.T) {
 	copied := NewCopy()
-	copied.replace(nil, 1)
+	copied.applyListing(nil, 1)
 	version := int64(1)
-	late := &reader{rows: map[string]int64{"old": 1}, version: 1}
-	for i := range 5 * mostGone {
+	lagging := &reader{rows: map[string]int64{"old": 1}, version: 1}
+	for i := range 5 * maxRemoved {
 		key := fmt.Sprint("engine-", i)
 		version += 2
-		copied.change([]passthrough.Row{{Key: key, Version: version - 1}, {Key: key, Version: version, Gone: true}})
+		copied.applyChanges([]passthrough.Row{{Key: key, Version: version - 1}, {Key: key, Version: version, Gone: true}})
 	}
-	if len(copied.rows) > 2*mostGone || len(copied.order) > 4*mostGone {
-		t.Errorf("%d rows and %d changes are kept", len(copied.rows), len(copied.order))
+	if len(copied.rows) > 2*maxRemoved || len(copied.changes) > 4*maxRemoved {
+		t.Errorf("the copy keeps %d rows and %d changes", len(copied.rows), len(copied.changes))
 	}
-	answer, _ := copied.Since(late.version)
-	if late.take(answer); !answer.Whole || len(late.rows) != 0 {
-		t.Errorf("whole: %v, %d rows", answer.Whole, len(late.rows))
+	answer, _ := copied.Since(lagging.version)
+	if lagging.apply(answer); !answer.Whole || len(lagging.rows) != 0 {
+		t.Errorf("whole listing: %v, the reader has %d rows", answer.Whole, len(lagging.rows))
 	}
 }
 
-// A test of this hung in one run of many under load: the reader waited already when the change came,
-// and nothing woke it. A node told its followers of changes only together with the moment as of which
-// its copy was complete; while its copy was known to lack something they heard of none until their
-// calls had waited their time. Readers wait here before there is news, and hear of each.
+// Guards against a lost wake-up: a copy woke its waiting readers only together with a new time as
+// of which it was complete. While the copy was known to lack something, they learned of no change
+// until their calls timed out. Here each reader waits before there is a change, and must be woken
+// by it.
 func TestCopyWaitsForNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		copied := NewCopy()
-		copied.replace([]passthrough.Row{{Key: "a", Version: 3}}, 5)
+		copied.applyListing([]passthrough.Row{{Key: "a", Version: 3}}, 5)
 		now := time.Now()
 		copied.confirm(now, time.Second)
-		told := make(chan Told, 1)
+		answers := make(chan Told, 1)
 		await := func(version int64) {
 			go func() {
 				copied.Await(t.Context(), version, now)
 				answer, _ := copied.Since(version)
-				told <- answer
+				answers <- answer
 			}()
 			synctest.Wait()
 		}
 		await(5)
-		copied.change([]passthrough.Row{{Key: "b", Version: 7}})
-		copied.confirm(time.Time{}, 0) // known to lack something
-		if answer := <-told; len(answer.Rows) != 1 || answer.Rows[0].Key != "b" || answer.AsOf != now {
-			t.Errorf("told %+v", answer)
+		copied.applyChanges([]passthrough.Row{{Key: "b", Version: 7}})
+		copied.confirm(time.Time{}, 0) // the copy is known to lack something
+		if answer := <-answers; len(answer.Rows) != 1 || answer.Rows[0].Key != "b" || answer.AsOf != now {
+			t.Errorf("unexpected answer: %+v", answer)
 		}
 		await(7)
 		copied.confirm(time.Time{}, 0)
 		synctest.Wait()
-		if len(told) > 0 {
-			t.Errorf("without news: told %+v", <-told)
+		if len(answers) > 0 {
+			t.Errorf("reader woken without a change: %+v", <-answers)
 		}
 		copied.confirm(now.Add(time.Millisecond), 2*time.Second)
-		if answer := <-told; len(answer.Rows) != 0 || answer.StoreAt != 2*time.Second {
-			t.Errorf("told %+v", answer)
+		if answer := <-answers; len(answer.Rows) != 0 || answer.StoreAt != 2*time.Second {
+			t.Errorf("unexpected answer: %+v", answer)
 		}
 	})
 }
 
-// Followers that list a large table at one moment, since the store has forgotten its history, are
-// told the same rows: 31 lists of 10,000 rows are 27 MB (worked out, 88 bytes a row) beside what is
-// sent, on a machine of 184 MB. A change makes a new list, and leaves the one that was told as it was.
-func TestListingsOfAnUnchangedTableAreOne(t *testing.T) {
+// Followers that list a large table at the same time, because the store has discarded its history,
+// get the same slice of rows. Separate slices for 31 readers of 10,000 rows would take 27 MB (88
+// bytes a row) beside the sent data, on a machine of 184 MB. A change produces a new slice and
+// leaves the old one unmodified.
+func TestListingsOfUnchangedTableShareRows(t *testing.T) {
 	copied := NewCopy()
-	copied.replace([]passthrough.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 5)
+	copied.applyListing([]passthrough.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 5)
 	first, _ := copied.Since(0)
 	second, _ := copied.Since(0)
 	if len(first.Rows) != 2 || &first.Rows[0] != &second.Rows[0] {
-		t.Errorf("two lists: %+v, %+v", first.Rows, second.Rows)
+		t.Errorf("two listings do not share their rows: %+v, %+v", first.Rows, second.Rows)
 	}
-	copied.change([]passthrough.Row{{Key: "a", Version: 6, Gone: true}, {Key: "c", Version: 7}})
+	copied.applyChanges([]passthrough.Row{{Key: "a", Version: 6, Gone: true}, {Key: "c", Version: 7}})
 	third, _ := copied.Since(0)
 	if len(third.Rows) != 2 || third.Rows[0].Key != "b" || third.Rows[1].Key != "c" {
-		t.Errorf("after a change: %+v", third.Rows)
+		t.Errorf("listing after a change: %+v", third.Rows)
 	}
 	if first.Rows[0].Key != "a" || first.Rows[0].Gone {
-		t.Errorf("what was told has changed: %+v", first.Rows)
+		t.Errorf("the first listing was modified: %+v", first.Rows)
 	}
 }
--- a/internal/passthrough/catalog/engines.go
+++ b/internal/passthrough/catalog/engines.go
@@ -14,20 +14,21 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// An entry that goes while the store was sick within sickBefore says little:
-// leases of live engines run out meanwhile, and they list themselves again
-// with their next heartbeat. Such an engine is used until the store was heard
-// well for relistTime: longer than a heartbeat, and shorter than a leaving
-// engine may get work.
+// If an engine's entry is removed within storeFailureWindow after a failure of the store, the
+// removal is doubtful: leases of live engines expire during such a failure, and the engines list
+// themselves again with their next heartbeat. Such an engine stays in use until the store has
+// answered without failure for relistTimeout, which is longer than a heartbeat and shorter than
+// the time for which a draining engine may get work.
 const (
-	sickBefore  = 4 * time.Second
-	relistTime  = 1500 * time.Millisecond
-	expireEvery = 100 * time.Millisecond
-	// idleEvery is the pause between two looks while no engine is to expire.
-	idleEvery = 400 * time.Millisecond
+	storeFailureWindow = 4 * time.Second
+	relistTimeout      = 1500 * time.Millisecond
+	expireInterval     = 100 * time.Millisecond
+	// idleExpireInterval is the check interval while no engine waits to expire.
+	idleExpireInterval = 400 * time.Millisecond
 )
 
-// Engines keeps the engines of all pools, shared by all requests of a node.
+// Engines holds the engines of all pools. All requests of a node share it. It is safe for
+// concurrent use.
 type Engines struct {
 	documents passthrough.Documents
 	routes    *Routes
@@ -35,83 +36,85 @@
 	logger    *zap.Logger
 	refusals  *Refusals
 
-	mu       sync.Mutex // guards the rest
-	set      *enginechoice.Set
-	listed   map[string]listedEntry     // those with a row, by their ids
-	gone     map[string]int64           // versions at which the rows of others went, by their ids
-	texts    map[string]string          // that many entries have, such as the names of zones
-	newest   int64                      // the highest version of a row that was taken
-	copied   *Copy                      // of the store's rows, for peers
-	told     map[string]passthrough.Row // by peers, which copied does not have yet
-	judgedBy *passroute.Table           // that the entries were last judged by
-	// many: so many entries are being taken that they are logged as one.
-	many bool
-	// listedAt is the version of the last listing: what it lacked was gone by then.
-	listedAt int64
+	mu             sync.Mutex // guards the rest
+	set            *enginechoice.Set
+	listed         map[string]listedEntry     // engines with a row, by id
+	removed        map[string]int64           // versions at which other engines' rows were removed, by id
+	interned       map[string]string          // strings that many entries contain, such as zone names
+	newestVersion  int64                      // the highest row version applied
+	tableCopy      *Copy                      // the copy of the store's rows, for peers
+	fromPeers      map[string]passthrough.Row // rows from peers that tableCopy does not contain yet
+	checkedAgainst *passroute.Table           // the routes that the entries were last checked against
+	// summarize is set while so many entries are applied that they are logged in one line.
+	summarize bool
+	// listedVersion is the version of the last listing. A row that the listing lacked was removed
+	// by then.
+	listedVersion int64
 
-	onRestart func(former enginechoice.Incarnation)
-	restarted []enginechoice.Incarnation // that onRestart has not heard of
+	onRestart       func(former enginechoice.Incarnation)
+	pendingRestarts []enginechoice.Incarnation // restarts that onRestart has not been called for
 }
 
-// NewEngines makes an empty list for a node.
+// NewEngines returns an empty set of engines for a node.
 func NewEngines(node string, documents passthrough.Documents, routes *Routes, logger *zap.Logger) *Engines {
 	return &Engines{
 		documents: documents, routes: routes, logger: logger,
-		refusals: NewRefusals(nil, logger),
-		health:   func() Health { return Health{} },
-		set:      enginechoice.NewSet(node),
-		listed:   make(map[string]listedEntry),
-		gone:     make(map[string]int64),
-		told:     make(map[string]passthrough.Row),
-		texts:    make(map[string]string),
-		copied:   NewCopy(),
+		refusals:  NewRefusals(nil, logger),
+		health:    func() Health { return Health{} },
+		set:       enginechoice.NewSet(node),
+		listed:    make(map[string]listedEntry),
+		removed:   make(map[string]int64),
+		fromPeers: make(map[string]passthrough.Row),
+		interned:  make(map[string]string),
+		tableCopy: NewCopy(),
 
 		onRestart: func(enginechoice.Incarnation) {},
 	}
 }
 
-// JudgeBy has the list ask how well the store is followed; called before Run.
+// JudgeBy sets the function that reports how well the store is followed. It must be called before
+// Run.
 func (e *Engines) JudgeBy(health func() Health) { e.health = health }
 
-// CountBy has refused entries counted; called before Run.
+// CountBy sets the counter of refused entries. It must be called before Run.
 func (e *Engines) CountBy(refusals *Refusals) { e.refusals = refusals }
 
-// Use runs a function on the set under its lock.
+// Use calls a function with the set while holding its lock.
 func (e *Engines) Use(do func(set *enginechoice.Set, now time.Time)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.judgeAnew()
+	e.reevaluate()
 	do(e.set, time.Now())
 }
 
-// Replace implements Sink: engines that the listing lacks are gone, unless
-// something newer than the listing is known of them.
+// Replace implements Sink. Engines that the listing lacks are removed, unless their known row is
+// newer than the listing.
 func (e *Engines) Replace(rows []passthrough.Row, version int64) {
-	defer e.tellRestarts()
+	defer e.notifyRestarts()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	listed := make(map[string]bool, len(rows))
-	e.many = e.listedAt == 0 // the listing is logged as one
+	e.summarize = e.listedVersion == 0 // the first listing is logged in one line
 	for _, row := range rows {
 		listed[row.Key] = true
 		e.apply(row)
 	}
-	e.many = false
+	e.summarize = false
 	for id := range e.listed {
 		if !listed[id] && e.listed[id].version <= version {
 			e.remove(id, version)
 		}
 	}
-	e.listedAt = max(e.listedAt, version)
+	e.listedVersion = max(e.listedVersion, version)
 }
 
 // Change implements Sink.
 func (e *Engines) Change(rows []passthrough.Row) {
-	defer e.tellRestarts()
+	defer e.notifyRestarts()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.many = len(rows) > mostSeenLines
-	defer e.tellMany(len(rows))
+	e.summarize = len(rows) > maxEntryLines
+	defer e.logSummary(len(rows))
 	for _, row := range rows {
 		if !e.outdated(row) {
 			e.apply(row)
@@ -119,9 +122,10 @@
 	}
 }
 
-// Learn takes rows that a peer has told, and tells them to others until the store does.
+// Learn applies rows received from a peer, and passes them on to other peers until the store
+// reports them.
 func (e *Engines) Learn(rows []passthrough.Row) {
-	defer e.tellRestarts()
+	defer e.notifyRestarts()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, row := range rows {
@@ -129,25 +133,25 @@
 			continue
 		}
 		if version, _ := e.version(row.Key); row.Version > version {
-			e.told[row.Key] = row
+			e.fromPeers[row.Key] = row
 		}
 		e.apply(row)
 	}
 }
 
-// outdated says whether a row is of before the last listing, which lacked it: it comes from a peer
-// that lags behind.
+// outdated reports whether a row is older than the last listing, which lacked it. Such a row comes
+// from a peer that lags behind.
 func (e *Engines) outdated(row passthrough.Row) bool {
 	_, known := e.version(row.Key)
-	return !known && row.Version < e.listedAt
+	return !known && row.Version < e.listedVersion
 }
 
-// version gives the newest version that is known of a row, removed ones too.
+// version returns the newest known version of a row, including removed rows.
 func (e *Engines) version(id string) (version int64, known bool) {
 	if entry, listed := e.listed[id]; listed {
 		return entry.version, true
 	}
-	version, known = e.gone[id]
+	version, known = e.removed[id]
 	return version, known
 }
 
@@ -155,20 +159,20 @@
 	version, _ := e.version(row.Key)
 	_, listed := e.listed[row.Key]
 	if row.Version < version || row.Version == version && listed && !row.Gone {
-		return // older, or the same again: a listing of 10,000 engines tells a handful of news
+		return // older or unchanged; a listing of 10,000 engines contains only a few changes
 	}
-	e.newest = max(e.newest, row.Version)
+	e.newestVersion = max(e.newestVersion, row.Version)
 	if row.Gone {
 		e.remove(row.Key, row.Version)
 		return
 	}
-	e.judgeAnew()
-	delete(e.gone, row.Key)
+	e.reevaluate()
+	delete(e.removed, row.Key)
 	entry, err := e.documents.Engine(row.Key, row.Value)
-	e.judge(row.Key, listedEntry{entry: entry, unread: err, version: row.Version})
+	e.evaluate(row.Key, listedEntry{entry: entry, readErr: err, version: row.Version})
 }
 
-func (e *Engines) take(entry passthrough.EngineEntry, version int64) {
+func (e *Engines) applyEntry(entry passthrough.EngineEntry, version int64) {
 	now := time.Now()
 	state := enginechoice.Ready
 	if entry.State == passthrough.EngineDraining {
@@ -182,22 +186,22 @@
 		known.ColdUntil = now.Add(entry.ColdFor)
 	}
 	former, _ := e.set.Newest(entry.ID)
-	if entry.BornMs == 0 { // it says nothing of a start: it speaks of the newest
+	if entry.BornMs == 0 { // without a start time the entry refers to the newest incarnation
 		known.Born = former.Born
 	}
-	e.noteNews(e.set.Upsert(known, state, now), known, state, former, version)
+	e.recordNews(e.set.Upsert(known, state, now), known, state, former, version)
 }
 
 func (e *Engines) remove(id string, version int64) {
-	e.gone[id] = version
-	e.newest = max(e.newest, version)
+	e.removed[id] = version
+	e.newestVersion = max(e.newestVersion, version)
 	if _, known := e.listed[id]; !known {
 		return
 	}
 	delete(e.listed, id)
 	now := time.Now()
 	health := e.health()
-	sick := !health.LastBad.IsZero() && now.Sub(health.LastBad) < sickBefore
+	sick := !health.LastBad.IsZero() && now.Sub(health.LastBad) < storeFailureWindow
 	engine, _ := e.set.Newest(id)
 	e.set.Remove(engine, sick, now)
 	events.EngineGone.Log(e.logger, zap.Stringer("engine", engine), zap.Bool("store_was_sick", sick), zap.Int64("store_version", version))
@@ -205,12 +209,12 @@
 
 // Run expires engines that were not listed again, until ctx ends.
 func (e *Engines) Run(ctx context.Context) error {
-	for pause := expireEvery; wait.For(ctx, pause); {
+	for pause := expireInterval; wait.For(ctx, pause); {
 		e.expire(time.Now())
-		e.tellRestarts() // of entries that newer routes have named
-		pause = idleEvery
+		e.notifyRestarts() // for entries that newer routes have made usable
+		pause = idleExpireInterval
 		if e.anyUnlisted() {
-			pause = expireEvery
+			pause = expireInterval
 		}
 	}
 	return nil
@@ -224,37 +228,38 @@
 
 func (e *Engines) expire(now time.Time) {
 	health := e.health()
-	if now.Sub(health.LastBad) < relistTime || now.Sub(health.AsOf) > relistTime {
-		return // the list still says little
+	if now.Sub(health.LastBad) < relistTimeout || now.Sub(health.AsOf) > relistTimeout {
+		return // the list is not reliable yet
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, engine := range e.set.ExpireUnlisted(now.Add(-relistTime), now) {
-		events.EngineExpired.Log(e.logger, zap.Stringer("engine", engine), zap.Duration("after", relistTime))
+	for _, engine := range e.set.ExpireUnlisted(now.Add(-relistTimeout), now) {
+		events.EngineExpired.Log(e.logger, zap.Stringer("engine", engine), zap.Duration("after", relistTimeout))
 	}
 }
 
-// Newest gives the newest version of a row that is known.
+// Newest returns the newest known row version.
 func (e *Engines) Newest() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.newest
+	return e.newestVersion
 }
 
-// CopyBy has peers told what a copy of the table has; called before Run.
-func (e *Engines) CopyBy(copied *Copy) { e.copied = copied }
+// CopyBy sets the copy of the table whose rows are passed on to peers. It must be called before
+// Run.
+func (e *Engines) CopyBy(copied *Copy) { e.tableCopy = copied }
 
-// Since gives the rows with versions above one, for a peer; where removed ones are not remembered
-// so long, those that there are.
+// Since returns the rows with versions above the given one, for a peer. If removals are no longer
+// remembered back to that version, it returns all present rows.
 func (e *Engines) Since(version int64) []passthrough.Row {
-	told, _ := e.copied.Since(version)
+	reply, _ := e.tableCopy.Since(version)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	rows := told.Rows
-	for id, row := range e.told {
+	rows := reply.Rows
+	for id, row := range e.fromPeers {
 		switch {
-		case row.Version <= told.Version:
-			delete(e.told, id)
+		case row.Version <= reply.Version:
+			delete(e.fromPeers, id)
 		case row.Version > version:
 			rows = append(rows, row)
 		}
--- a/internal/passthrough/catalog/entries.go
+++ b/internal/passthrough/catalog/entries.go
@@ -11,78 +11,77 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// listedEntry is the newest entry under an engine's id, whether it names an engine to
-// use or not.
+// listedEntry is the newest entry under an engine's id, whether or not it names a usable engine.
 type listedEntry struct {
 	entry   passthrough.EngineEntry
-	unread  error // why the document gave no entry; nil: it did
-	refused error // why the entry is not used; nil: it is
+	readErr error // why the document could not be read; nil if it could
+	refusal error // why the entry is not used; nil if it is
 	version int64 // of the row
 }
 
-// judge uses an entry, or withholds the engine; the caller holds mu. Each change of an
-// entry that is not used is told once.
-func (e *Engines) judge(id string, next listedEntry) {
-	next.entry.Pool, next.entry.Zone = e.common(next.entry.Pool), e.common(next.entry.Zone)
-	next.refused = e.refusalOf(next)
+// evaluate uses an entry or withholds its engine. Each change of an unused entry is logged once.
+// The caller holds mu.
+func (e *Engines) evaluate(id string, next listedEntry) {
+	next.entry.Pool, next.entry.Zone = e.intern(next.entry.Pool), e.intern(next.entry.Zone)
+	next.refusal = e.refusalOf(next)
 	former, known := e.listed[id]
 	e.listed[id] = next
-	if next.refused == nil {
-		e.take(next.entry, next.version)
+	if next.refusal == nil {
+		e.applyEntry(next.entry, next.version)
 		return
 	}
 	newest, _ := e.set.Newest(id)
 	e.set.Withhold(newest, time.Now())
-	told := known && former.refused != nil && former.version == next.version &&
-		passthrough.DocumentReasonOf(former.refused) == passthrough.DocumentReasonOf(next.refused)
-	if !told {
-		e.refusals.note(engineDocument, events.EngineWithheld, next.refused, zap.Stringer("engine", newest), zap.Int64("store_version", next.version))
+	logged := known && former.refusal != nil && former.version == next.version &&
+		passthrough.DocumentReasonOf(former.refusal) == passthrough.DocumentReasonOf(next.refusal)
+	if !logged {
+		e.refusals.note(engineDocument, events.EngineWithheld, next.refusal, zap.Stringer("engine", newest), zap.Int64("store_version", next.version))
 	}
 }
 
-// mostCommon bounds the texts that common keeps.
-const mostCommon = 1024
+// maxInterned bounds the number of strings that intern keeps.
+const maxInterned = 1024
 
-// common gives a text as many entries have it, kept once for all of them; the caller holds mu.
-func (e *Engines) common(text string) string {
-	known, found := e.texts[text]
+// intern returns a shared copy of a string that many entries contain. The caller holds mu.
+func (e *Engines) intern(text string) string {
+	known, found := e.interned[text]
 	if found {
 		return known
 	}
-	if len(e.texts) < mostCommon {
-		e.texts[text] = text
+	if len(e.interned) < maxInterned {
+		e.interned[text] = text
 	}
 	return text
 }
 
-// refusalOf gives why an entry is not used; nil: it is. Before the first routes every
-// service may be named yet.
+// refusalOf returns why an entry is not used, or nil if it is. Until the first routes are known,
+// every service name is accepted.
 func (e *Engines) refusalOf(listed listedEntry) error {
-	if listed.unread != nil {
-		return listed.unread
+	if listed.readErr != nil {
+		return listed.readErr
 	}
-	if e.judgedBy == nil || e.judgedBy.HasPool(listed.entry.Pool) {
+	if e.checkedAgainst == nil || e.checkedAgainst.HasPool(listed.entry.Pool) {
 		return nil
 	}
 	return &passthrough.DocumentError{
 		Reason: passthrough.DocumentUnknownService, Field: "service",
-		Detail: fmt.Sprintf("%q is not named by version %d of the configuration", listed.entry.Pool, e.judgedBy.Version()),
+		Detail: fmt.Sprintf("%q is not named by version %d of the configuration", listed.entry.Pool, e.checkedAgainst.Version()),
 	}
 }
 
-// judgeAnew judges the entries by the routes in force, where these have changed; the
-// caller holds mu. Since it comes before each use of the engines, a request that is
-// routed by a table finds the engines that this table names.
-func (e *Engines) judgeAnew() {
+// reevaluate checks all entries against the routes in force if these have changed. The caller
+// holds mu. It runs before each use of the engines, so a request that is routed by a table finds
+// the engines of the pools that this table names.
+func (e *Engines) reevaluate() {
 	table := e.tableInForce()
-	if table == e.judgedBy {
+	if table == e.checkedAgainst {
 		return
 	}
-	e.judgedBy = table
+	e.checkedAgainst = table
 	for id, listed := range e.listed {
-		used := listed.refused == nil
-		if listed.unread == nil && used != (e.refusalOf(listed) == nil) {
-			e.judge(id, listed)
+		used := listed.refusal == nil
+		if listed.readErr == nil && used != (e.refusalOf(listed) == nil) {
+			e.evaluate(id, listed)
 		}
 	}
 }
--- a/internal/passthrough/catalog/entries_test.go
+++ b/internal/passthrough/catalog/entries_test.go
@@ -18,13 +18,13 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// plainDocuments reads entries of the form "POOL STATE" and configurations of the form
-// "VERSION POOL..."; others are of no engine and no routes.
-type plainDocuments struct{}
+// textDocuments reads entries of the form "POOL STATE" and configurations of the form "VERSION
+// POOL...". It refuses other documents.
+type textDocuments struct{}
 
-func (plainDocuments) Places() passthrough.Places { return passthrough.Places{RoutesKey: "routes"} }
+func (textDocuments) Places() passthrough.Places { return passthrough.Places{RoutesKey: "routes"} }
 
-func (plainDocuments) Routes(document []byte) (*passroute.Table, error) {
+func (textDocuments) Routes(document []byte) (*passroute.Table, error) {
 	words := strings.Fields(string(document))
 	if len(words) == 0 {
 		return nil, errors.New("empty")
@@ -40,7 +40,7 @@
 	return passroute.NewTable(version, nil, pools, passroute.Limits{}, passroute.Tenants{}), nil
 }
 
-func (plainDocuments) Engine(id string, document []byte) (passthrough.EngineEntry, error) {
+func (textDocuments) Engine(id string, document []byte) (passthrough.EngineEntry, error) {
 	pool, state, found := strings.Cut(string(document), " ")
 	if !found {
 		return passthrough.EngineEntry{}, &passthrough.DocumentError{Reason: passthrough.DocumentMissingField, Field: "state", Detail: "not there"}
@@ -52,8 +52,8 @@
 	return entry, nil
 }
 
-// listing is a list of engines with the routes that it is judged by.
-type listing struct {
+// engineList is a set of engines with the routes that its entries are checked against.
+type engineList struct {
 	t       *testing.T
 	engines *Engines
 	routes  *Routes
@@ -62,34 +62,34 @@
 	version int64
 }
 
-func newListing(t *testing.T) *listing {
+func newEngineList(t *testing.T) *engineList {
 	core, lines := observer.New(zap.InfoLevel)
 	logger := zap.New(core)
-	l := &listing{t: t, metrics: prometheus.NewRegistry(), lines: lines}
-	l.routes = NewRoutes(plainDocuments{}, logger)
-	l.engines = NewEngines("n1", plainDocuments{}, l.routes, logger)
+	l := &engineList{t: t, metrics: prometheus.NewRegistry(), lines: lines}
+	l.routes = NewRoutes(textDocuments{}, logger)
+	l.engines = NewEngines("n1", textDocuments{}, l.routes, logger)
 	refusals := NewRefusals(l.metrics, logger)
 	l.routes.CountBy(refusals)
 	l.engines.CountBy(refusals)
 	return l
 }
 
-func (l *listing) put(id, document string) {
+func (l *engineList) put(id, document string) {
 	l.version++
 	l.engines.Change([]passthrough.Row{{Key: id, Value: []byte(document), Version: l.version}})
 }
 
-func (l *listing) remove(id string) {
+func (l *engineList) remove(id string) {
 	l.version++
 	l.engines.Change([]passthrough.Row{{Key: id, Version: l.version, Gone: true}})
 }
 
-// expect checks which engines of a pool would get a request.
-func (l *listing) expect(when, pool string, want ...string) {
+// expect checks which engines of a pool can be picked for a request.
+func (l *engineList) expect(when, pool string, want ...string) {
 	l.t.Helper()
 	l.engines.Use(func(set *enginechoice.Set, now time.Time) {
 		if serving := set.Serving(pool); serving != len(want) {
-			l.t.Errorf("%s: %d engines of %s serve, want %v", when, serving, pool, want)
+			l.t.Errorf("%s: %d engines of pool %s are in use, want %v", when, serving, pool, want)
 		}
 		exclude := make(map[enginechoice.Incarnation]bool)
 		for range want {
@@ -98,14 +98,14 @@
 		}
 		for _, id := range want {
 			if !exclude[enginechoice.Incarnation{ID: id}] {
-				l.t.Errorf("%s: picked of %s are %v, want %v", when, pool, exclude, want)
+				l.t.Errorf("%s: engines picked from pool %s are %v, want %v", when, pool, exclude, want)
 			}
 		}
 	})
 }
 
-// warnings gives the reasons of the entries that were warned of.
-func (l *listing) warnings() []string {
+// warnings returns the reasons of the logged refusals of entries.
+func (l *engineList) warnings() []string {
 	var reasons []string
 	for _, line := range l.lines.FilterMessage(events.EngineWithheld.Name).All() {
 		reasons = append(reasons, fmt.Sprint(line.ContextMap()["reason"]))
@@ -113,8 +113,8 @@
 	return reasons
 }
 
-// count gives a count as it stands on the metrics.
-func (l *listing) count(document, reason string) float64 {
+// count returns the value of the refusal counter for a document kind and reason.
+func (l *engineList) count(document, reason string) float64 {
 	l.t.Helper()
 	families, err := l.metrics.Gather()
 	if err != nil {
@@ -134,16 +134,11 @@
 	return 0
 }
 
-// TestUnreadableEntryTakesItsEngineOutOfUse.
-//
-// Symptom: an engine whose entry had turned unreadable kept getting requests, for as long as
-// the entry lay there.
-//
-// Cause: an entry that could not be read was logged and passed over; what was known of the
-// engine before stayed in force, and its removal later was passed over where nothing had been
-// known.
+// Guards against an engine that keeps getting requests after its entry has become unreadable. An
+// entry that could not be read was logged and skipped: what was known of the engine before stayed
+// in force, and its later removal was skipped if nothing had been known.
 func TestUnreadableEntryTakesItsEngineOutOfUse(t *testing.T) {
-	l := newListing(t)
+	l := newEngineList(t)
 	l.routes.Take([]byte("1 chat"), "test")
 	l.put("e0", "chat ready")
 	l.put("e1", "chat ready")
@@ -154,37 +149,37 @@
 	l.expect("unreadable", "chat", "e1")
 	l.engines.Use(func(set *enginechoice.Set, _ time.Time) {
 		if set.Own()[enginechoice.Incarnation{ID: "e0"}].Online != 1 {
-			t.Error("what ran there is no longer counted")
+			t.Error("the request in flight at the engine is no longer counted")
 		}
 	})
 	l.put("e0", "chat ready")
 	l.expect("readable again", "chat", "e0", "e1")
 	l.put("e0", "unreadable")
 	l.remove("e0")
-	l.expect("gone", "chat", "e1")
+	l.expect("removed", "chat", "e1")
 	l.put("e2", "unreadable")
 	l.remove("e2")
 	l.put("e2", "chat ready")
-	l.expect("came unreadable, went and came whole", "chat", "e1", "e2")
+	l.expect("unreadable, removed and added as readable", "chat", "e1", "e2")
 }
 
-func TestRemovedUnreadableEntryIsToldOnAsGone(t *testing.T) {
-	l := newListing(t)
-	copied := NewCopy() // as the follower keeps it
+func TestRemovalOfUnreadableEntryIsPassedOn(t *testing.T) {
+	l := newEngineList(t)
+	copied := NewCopy() // fed as the follower feeds it
 	l.engines.CopyBy(copied)
-	copied.replace(nil, 0)
+	copied.applyListing(nil, 0)
 	l.put("e0", "unreadable")
-	copied.change([]passthrough.Row{{Key: "e0", Version: l.version}})
+	copied.applyChanges([]passthrough.Row{{Key: "e0", Version: l.version}})
 	l.engines.Replace(nil, l.version+1)
-	copied.replace(nil, l.version+1)
+	copied.applyListing(nil, l.version+1)
 	if rows := l.engines.Since(0); len(rows) != 1 || !rows[0].Gone {
-		t.Errorf("told to peers: %+v", rows)
+		t.Errorf("rows for peers: %+v", rows)
 	}
 }
 
 func TestEntryOfAServiceThatIsNotNamed(t *testing.T) {
-	t.Run("the entry comes first", func(t *testing.T) {
-		l := newListing(t)
+	t.Run("entry before configuration", func(t *testing.T) {
+		l := newEngineList(t)
 		l.put("e0", "chat ready")
 		l.put("e1", "other ready")
 		l.routes.Take([]byte("1 chat"), "test")
@@ -195,23 +190,23 @@
 		l.routes.Take([]byte("3 other"), "test")
 		l.expect("version 3", "chat")
 		if got := l.warnings(); fmt.Sprint(got) != "[unknown_service unknown_service]" {
-			t.Errorf("warned: %v", got)
+			t.Errorf("logged reasons: %v", got)
 		}
 	})
-	t.Run("the configuration comes first", func(t *testing.T) {
-		l := newListing(t)
+	t.Run("configuration before entry", func(t *testing.T) {
+		l := newEngineList(t)
 		l.routes.Take([]byte("1 chat"), "test")
 		l.put("e1", "other ready")
 		l.expect("version 1", "other")
 		l.routes.Take([]byte("2 chat other"), "test")
 		l.expect("version 2", "other", "e1")
 		l.put("e1", "third ready")
-		l.expect("the entry names another", "other")
+		l.expect("entry with another unknown service", "other")
 	})
 }
 
-func TestEachChangeOfARefusedEntryIsWarnedOfOnce(t *testing.T) {
-	l := newListing(t)
+func TestEachChangeOfRefusedEntryIsLoggedOnce(t *testing.T) {
+	l := newEngineList(t)
 	l.routes.Take([]byte("1 chat"), "test")
 	l.put("e0", "unreadable")
 	for range 5 {
@@ -223,42 +218,42 @@
 	l.put("e0", "chat ready")
 	l.put("e0", "unreadable")
 	if got := l.warnings(); fmt.Sprint(got) != "[missing_field missing_field unknown_service missing_field]" {
-		t.Errorf("warned: %v", got)
+		t.Errorf("logged reasons: %v", got)
 	}
 	if got := l.count("engine", "missing_field"); got != 3 {
-		t.Errorf("counted %v", got)
+		t.Errorf("refusal counter is %v", got)
 	}
 	if got := l.count("engine", "unknown_service"); got != 1 {
-		t.Errorf("counted %v", got)
+		t.Errorf("refusal counter is %v", got)
 	}
 }
 
 func TestFloodOfBadEntriesDoesNotFloodTheLog(t *testing.T) {
 	const entries = 5000
-	l := newListing(t)
+	l := newEngineList(t)
 	for i := range entries {
 		l.put(fmt.Sprint("e", i), "unreadable")
 	}
-	// At most 20 lines are written in 10 s; a run that crosses a tick may write those of two.
+	// The logger writes at most 20 lines in 10 s. A run that crosses a tick may write the lines of two.
 	if got := len(l.warnings()); got < 20 || got > 40 {
-		t.Errorf("%d lines", got)
+		t.Errorf("%d log lines", got)
 	}
 	if got := l.count("engine", "missing_field"); got != entries {
-		t.Errorf("counted %v", got)
+		t.Errorf("refusal counter is %v", got)
 	}
 }
 
 func TestRefusedRoutesLeaveTheFormerInForce(t *testing.T) {
-	l := newListing(t)
+	l := newEngineList(t)
 	l.routes.Take([]byte("4 chat"), "test")
 	l.routes.Change([]passthrough.Row{{Key: "routes", Value: []byte("five chat"), Version: 9}, {Key: "routes", Value: nil, Version: 10}})
 	if table, _ := l.routes.Table(); table.Version() != 4 {
-		t.Errorf("version %d is in force", table.Version())
+		t.Errorf("version %d is in force, want 4", table.Version())
 	}
 	if wrong, unreadable := l.count("routes", "wrong_type"), l.count("routes", "unreadable"); wrong != 1 || unreadable != 1 {
-		t.Errorf("counted %v and %v", wrong, unreadable)
+		t.Errorf("counted %v of wrong type and %v unreadable, want 1 of each", wrong, unreadable)
 	}
 	if lines := l.lines.FilterMessage(events.RoutesRefused.Name).Len(); lines != 2 {
-		t.Errorf("%d lines", lines)
+		t.Errorf("%d log lines", lines)
 	}
 }
--- a/internal/passthrough/catalog/evidence.go
+++ b/internal/passthrough/catalog/evidence.go
@@ -10,32 +10,34 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// How often a table is listed anew since its feed passed something over: a feed that only lags
-// must not have all nodes list all the time, 870 calls a second in a fleet of 71 without a pause.
+// A table is listed again when its feed has skipped something, but not without a pause: a feed
+// that merely lags must not make all nodes list all the time. Without the pause a fleet of 71
+// nodes made 870 calls a second.
 const (
-	relistPauseMin  = time.Second
-	relistPauseMost = 2 * time.Second
-	relistCalm      = 30 * time.Second // without such a listing the pause begins anew
+	relistPauseMin   = time.Second
+	relistPauseMax   = 2 * time.Second
+	relistResetAfter = 30 * time.Second // after this long without such a listing, the pause starts from zero again
 )
 
-// alarm is what a follower keeps of feeds that pass changes over; guarded by Follower.mu.
+// alarm is a follower's record of changes that its feed skipped. It is guarded by Follower.mu.
 type alarm struct {
 	count       int
-	consecutive int // without a calm between
+	consecutive int // without relistResetAfter between them
 	last        time.Time
-	// relist: the table is to be listed anew, by word of this follower or another.
-	relist bool
-	armed  bool               // a look at what is overdue is to come
-	cancel context.CancelFunc // of the call that waits for changes; nil: none does
-	broken bool               // that call was broken off by a look
+	// relistRequested means that the table must be listed again, as found by this follower or
+	// requested by another.
+	relistRequested bool
+	checkScheduled  bool               // a call of checkOverdue is scheduled
+	cancel          context.CancelFunc // cancels the call that waits for changes; nil if there is none
+	interrupted     bool               // interruptCall ended that call
 }
 
-// raise notes an alarm, unless the table was listed for one just before.
+// raise records an alarm and reports true, unless the table was listed for one too recently.
 func (a *alarm) raise(now time.Time) bool {
-	if now.Sub(a.last) > relistCalm {
+	if now.Sub(a.last) > relistResetAfter {
 		a.consecutive = 0
 	}
-	if pause := min(relistPauseMin*time.Duration(a.consecutive), relistPauseMost); now.Sub(a.last) < pause {
+	if pause := min(relistPauseMin*time.Duration(a.consecutive), relistPauseMax); now.Sub(a.last) < pause {
 		return false
 	}
 	a.count++
@@ -44,74 +46,74 @@
 	return true
 }
 
-// Expect tells the follower of a row that a call beside the feed has shown in the store. If the feed
-// doesn't tell it within Patience, the table is listed anew: a feed that passes changes over
-// is found by the calls that are made anyway, at the least by the node's own sign of life.
+// Expect records a row that a call other than the feed has shown to be in the store. If the feed
+// does not deliver it within MaxFeedLag, the table is listed again. The calls that the node makes
+// anyway, at the least its own heartbeat, thus reveal a feed that skips changes.
 func (f *Follower) Expect(part, key string, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told.expect(rowPlace{part, key}, version, time.Now())
-	if len(f.told.expected) > 0 && !f.alarm.armed {
-		f.alarm.armed = true
-		time.AfterFunc(f.config.Patience, f.lookForOverdue)
+	f.progress.expect(rowID{part, key}, version, time.Now())
+	if len(f.progress.expected) > 0 && !f.alarm.checkScheduled {
+		f.alarm.checkScheduled = true
+		time.AfterFunc(f.config.MaxFeedLag, f.checkOverdue)
 	}
 }
 
-// lookForOverdue breaks a waiting call off whose answer should have come: the store had what the
-// call waits for before that was sent, or told it now.
-func (f *Follower) lookForOverdue() {
+// checkOverdue interrupts a waiting call whose answer is overdue: either the store already had the
+// expected change when the call was sent, or it should have delivered the change by now.
+func (f *Follower) checkOverdue() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.alarm.armed = false
-	if len(f.told.expected) == 0 {
+	f.alarm.checkScheduled = false
+	if len(f.progress.expected) == 0 {
 		return
 	}
-	pause := f.config.Patience
-	if oldest := time.Since(f.told.oldestExpected()); oldest < pause {
+	pause := f.config.MaxFeedLag
+	if oldest := time.Since(f.progress.oldestExpectation()); oldest < pause {
 		pause -= oldest
 	} else {
-		f.breakOff()
+		f.interruptCall()
 	}
-	f.alarm.armed = true
-	time.AfterFunc(pause, f.lookForOverdue)
+	f.alarm.checkScheduled = true
+	time.AfterFunc(pause, f.checkOverdue)
 }
 
-// breakOff ends the call that waits for changes; the caller holds mu.
-func (f *Follower) breakOff() {
+// interruptCall ends the call that waits for changes. The caller holds mu.
+func (f *Follower) interruptCall() {
 	if f.alarm.cancel != nil {
-		f.alarm.broken = true
+		f.alarm.interrupted = true
 		f.alarm.cancel()
 	}
 }
 
-// Relist has the table listed anew.
+// Relist makes the follower list the table again.
 func (f *Follower) Relist() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.alarm.relist = true
-	f.breakOff()
+	f.alarm.relistRequested = true
+	f.interruptCall()
 }
 
-// OnPassedOver has a function hear that the feed has passed something over, so that other tables
-// of the same store are listed anew as well; called before Run.
-func (f *Follower) OnPassedOver(hear func()) { f.passedOverHeard = hear }
+// OnPassedOver sets a function that is called when the feed has skipped something, so that other
+// tables of the same store are listed again as well. It must be called before Run.
+func (f *Follower) OnPassedOver(notify func()) { f.onSkipped = notify }
 
-// ask asks for changes after a version, a relay where there is one. While something is overdue
-// nobody is let wait: an answer at once shows whether the feed tells it.
-func (f *Follower) ask(ctx context.Context, version int64) (told answered, err error) {
+// fetchChanges asks for changes after a version, from a relay if there is one. While something is
+// overdue the call is not held: an immediate answer shows whether the feed delivers it.
+func (f *Follower) fetchChanges(ctx context.Context, version int64) (answer feedAnswer, err error) {
 	call, cancel := context.WithTimeout(ctx, f.config.Wait+f.config.Slack)
 	defer cancel()
 	f.mu.Lock()
-	hold := f.hold()
-	if _, _, late := f.told.passedOver(time.Now(), f.config.Patience); late || f.alarm.relist {
+	hold := f.holdTime()
+	if _, _, late := f.progress.overdueRow(time.Now(), f.config.MaxFeedLag); late || f.alarm.relistRequested {
 		hold = 0
 	} else {
 		f.alarm.cancel = cancel
 	}
 	f.mu.Unlock()
-	told, found := f.askRelay(call, version, min(hold, f.config.Wait/2))
+	answer, found := f.fetchFromRelay(call, version, min(hold, f.config.Wait/2))
 	if !found && call.Err() == nil {
-		told, err = f.askStore(call, version, hold)
+		answer, err = f.fetchFromStore(call, version, hold)
 	} else if !found {
 		err = call.Err()
 	}
@@ -119,119 +121,121 @@
 	defer f.mu.Unlock()
 	f.alarm.cancel = nil
 	if err == nil {
-		f.alarm.broken = false
+		f.alarm.interrupted = false
 	}
-	return told, err
+	return answer, err
 }
 
-// hold is how long the store may hold a call. It is shorter while other nodes follow this one's
-// copy: what they go by is older by their own calls, and has to be as fresh as
-// configurations ask, also where this node turns slow.
-func (f *Follower) hold() time.Duration {
-	if f.copy.followed() {
+// holdTime returns how long the store may hold a call. It is shorter while other nodes follow this
+// node's copy: their copies are staler by the duration of their own calls, and must be as fresh as
+// configurations ask, also when this node becomes slow.
+func (f *Follower) holdTime() time.Duration {
+	if f.copy.hasReaders() {
 		return f.config.Wait / 2
 	}
 	return f.config.Wait
 }
 
-// askStore asks the store's feed. A copy that has grown old, by a long listing or by a relay that fell
-// silent, is confirmed at once, since others may wait for it; not more often than
-// calls are made that wait, when the store confirms nothing either.
-func (f *Follower) askStore(ctx context.Context, version int64, hold time.Duration) (answered, error) {
+// fetchFromStore asks the store's feed. A copy that has become stale, through a long listing or a
+// relay that stopped answering, is confirmed by a call without hold, since others may wait for it.
+// If the store confirms nothing either, such calls are no more frequent than held ones.
+func (f *Follower) fetchFromStore(ctx context.Context, version int64, hold time.Duration) (feedAnswer, error) {
 	old := time.Since(f.copy.AsOf()) > f.config.Wait
-	if old && time.Since(f.storeAsked) > f.config.Wait {
+	if old && time.Since(f.storeCalledAt) > f.config.Wait {
 		hold = 0
 	}
-	f.storeAsked = time.Now()
+	f.storeCalledAt = time.Now()
 	sent, suspensions := time.Now(), f.watch.Count()
 	snapshot, err := f.rows.Feed(ctx, f.table, version, hold)
 	if err != nil {
-		return answered{}, err
+		return feedAnswer{}, err
 	}
-	asOf := f.hearClock(sent, suspensions, snapshot.StoreAt)
-	return answered{rows: snapshot.Rows, asOf: asOf, shownBy: sent, storeAt: snapshot.StoreAt}, nil
+	asOf := f.observeStoreClock(sent, suspensions, snapshot.StoreAt)
+	return feedAnswer{rows: snapshot.Rows, asOf: asOf, expectedAsOf: sent, storeAt: snapshot.StoreAt}, nil
 }
 
-// brokenOff says whether the last call was ended by a look at what is overdue, once.
-func (f *Follower) brokenOff() bool {
+// wasInterrupted reports whether interruptCall ended the last call, and clears that flag.
+func (f *Follower) wasInterrupted() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	broken := f.alarm.broken
-	f.alarm.broken = false
-	return broken
+	interrupted := f.alarm.interrupted
+	f.alarm.interrupted = false
+	return interrupted
 }
 
-// finding is what an answer of the feed shows of the feed itself.
-type finding uint8
+// feedVerdict is what an answer shows about the feed itself.
+type feedVerdict uint8
 
 const (
-	inOrder finding = iota // it lacks nothing that is known otherwise
-	overdue                // it lacks something, and the table was listed for such a lack just before
-	relist                 // the table is to be listed anew
+	feedComplete    feedVerdict = iota // the answer lacks nothing that other calls have shown
+	feedOverdue                        // it lacks something, but the table was listed for such a gap just before
+	feedNeedsRelist                    // the table must be listed again
 )
 
-// judge says what an answer shows whose call was sent at a moment.
-func (f *Follower) judge(sent time.Time) finding {
+// checkFeed judges the feed by an answer to a call that was sent at a time.
+func (f *Follower) checkFeed(sent time.Time) feedVerdict {
 	f.mu.Lock()
-	if f.alarm.relist {
-		f.alarm.relist = false
+	if f.alarm.relistRequested {
+		f.alarm.relistRequested = false
 		f.mu.Unlock()
-		return relist
+		return feedNeedsRelist
 	}
-	place, missing, found := f.told.passedOver(sent, f.config.Patience)
+	id, missing, found := f.progress.overdueRow(sent, f.config.MaxFeedLag)
 	raised := found && f.alarm.raise(time.Now())
-	followedTo := f.told.followedTo
+	followedTo := f.progress.followedTo
 	f.mu.Unlock()
 	switch {
 	case raised:
-		f.tellPassedOver(place, missing.version, followedTo, time.Since(missing.since))
-		return relist
+		f.reportSkipped(id, missing.version, followedTo, time.Since(missing.since))
+		return feedNeedsRelist
 	case found:
-		return overdue
+		return feedOverdue
 	default:
-		return inOrder
+		return feedComplete
 	}
 }
 
-func (f *Follower) tellPassedOver(place rowPlace, version, followedTo int64, knownFor time.Duration) {
-	events.FeedPassedOver.Log(f.logger, zap.String("table", f.table), zap.String("row", place.part+"/"+place.key),
+func (f *Follower) reportSkipped(id rowID, version, followedTo int64, knownFor time.Duration) {
+	events.FeedPassedOver.Log(f.logger, zap.String("table", f.table), zap.String("row", id.part+"/"+id.key),
 		zap.Int64("row_version", version), zap.Int64("followed_to", followedTo), zap.Duration("known_for", knownFor))
-	f.passedOverHeard()
+	f.onSkipped()
 }
 
-// audit lists the next page of the table, part after part, and compares it with what was told. It
-// finds what no other call of this node has shown. Rows that the feed has yet to tell are expected of
-// it, and not applied: a queue's row would come before the job that it counts. It says whether the
-// table is to be listed anew. A page at a time: a whole part of 10,000 engines is 2 MB.
+// audit lists the next page of the table, part by part, and compares it with what the feed has
+// delivered. It finds changes that no other call of this node has shown. Rows that the feed must
+// still deliver are expected but not applied: otherwise a queue's row would be applied before the
+// job that it counts. audit works page by page since a whole part with 10,000 engines is 2 MB. It
+// reports whether the table must be listed again.
 func (f *Follower) audit(ctx context.Context) bool {
 	parts, err := f.parts(ctx)
 	if err != nil || len(parts) == 0 {
-		return false // the next call for changes tells of a store that is lost
+		return false // the next call for changes reports a lost store
 	}
-	part := parts[f.audits%len(parts)]
+	part := parts[f.partsAudited%len(parts)]
 	page, err := f.listPage(ctx, part, f.auditFrom)
 	if err != nil {
 		return false // as above
 	}
 	keys := keyRange{from: f.auditFrom, to: nextKey(page)}
 	if f.auditFrom = keys.to; keys.to == "" {
-		f.audits++
+		f.partsAudited++
 	}
 	f.mu.Lock()
-	lacked, ahead := f.told.audit(part, keys, page.Rows, page.Version, time.Now())
-	if len(lacked)+ahead == 0 && len(parts) == 1 && keys.whole() {
-		f.told.followedTo = max(f.told.followedTo, page.Version) // all that was written up to then is known
+	skipped, ahead := f.progress.audit(part, keys, page.Rows, page.Version, time.Now())
+	if len(skipped)+ahead == 0 && len(parts) == 1 && keys.unbounded() {
+		f.progress.followedTo = max(f.progress.followedTo, page.Version) // everything written up to that version is known
 	}
-	followedTo := f.told.followedTo
-	found := len(lacked) > 0 && f.alarm.raise(time.Now())
+	followedTo := f.progress.followedTo
+	found := len(skipped) > 0 && f.alarm.raise(time.Now())
 	f.mu.Unlock()
 	if found {
-		f.tellPassedOver(rowPlace{lacked[0].Part, lacked[0].Key}, lacked[0].Version, followedTo, 0)
+		f.reportSkipped(rowID{skipped[0].Part, skipped[0].Key}, skipped[0].Version, followedTo, 0)
 	}
 	return found
 }
 
-// nextKey gives the key from which a list goes on after a page; empty: it was the last.
+// nextKey returns the key at which the listing continues after a page, or "" if the page was the
+// last.
 func nextKey(page passthrough.Snapshot) string {
 	if !page.More || len(page.Rows) == 0 {
 		return ""
--- a/internal/passthrough/catalog/follower_test.go
+++ b/internal/passthrough/catalog/follower_test.go
@@ -18,7 +18,7 @@
 	for _, test := range []struct {
 		factor float64
 		want   time.Duration
-	}{{0, config.Pace}, {1, config.Pace}, {2, 2 * config.Pace}, {100, config.PaceMost}} {
+	}{{0, config.Pace}, {1, config.Pace}, {2, 2 * config.Pace}, {100, config.PaceMax}} {
 		follower := NewFollower(config, nil, "t", nil, nil, zap.NewNop())
 		follower.SlowBy(func() float64 { return test.factor })
 		if got := follower.pace(); got != test.want {
@@ -30,25 +30,25 @@
 func TestRetryPauseIsBoundedAndJittered(t *testing.T) {
 	follower := NewFollower(DefaultFollowConfig(), nil, "t", nil, nil, zap.NewNop())
 	for attempt := range 40 {
-		if pause := follower.pause(attempt); pause < follower.config.RetryMin/2 || pause > follower.config.RetryMax {
-			t.Errorf("attempt %d: %s", attempt, pause)
+		if pause := follower.retryPause(attempt); pause < follower.config.RetryMin/2 || pause > follower.config.RetryMax {
+			t.Errorf("attempt %d: pause of %s", attempt, pause)
 		}
 	}
 }
 
-// quietRows has no changes, and counts the calls for them.
-type quietRows struct {
+// unchangedRows has no changes, and counts the calls for them.
+type unchangedRows struct {
 	passthrough.Rows
 	feeds atomic.Int64
 }
 
 // List implements passthrough.Rows.
-func (r *quietRows) List(context.Context, string, string, string, string, int) (passthrough.Snapshot, error) {
+func (r *unchangedRows) List(context.Context, string, string, string, string, int) (passthrough.Snapshot, error) {
 	return passthrough.Snapshot{Version: 1}, nil
 }
 
 // Feed implements passthrough.Rows.
-func (r *quietRows) Feed(context.Context, string, int64, time.Duration) (passthrough.Snapshot, error) {
+func (r *unchangedRows) Feed(context.Context, string, int64, time.Duration) (passthrough.Snapshot, error) {
 	r.feeds.Add(1)
 	return passthrough.Snapshot{Version: 1}, nil
 }
@@ -58,54 +58,54 @@
 func (noSink) Replace([]passthrough.Row, int64) {}
 func (noSink) Change([]passthrough.Row)         {}
 
-// TestHurryAsksAtOnce has one who waits for a change not wait for the pace:
-// hand-ins that met another's on the quota row took a pace more for each.
+// Hurry must not wait for the pace. Job submissions that conflicted on the quota row took one pace
+// longer for each conflict.
 func TestHurryAsksAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := DefaultFollowConfig()
 		config.Pace = time.Minute
-		rows := &quietRows{}
+		rows := &unchangedRows{}
 		follower := NewFollower(config, rows, "table", []string{""}, noSink{}, zap.NewNop())
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = follower.Run(ctx) }()
 		synctest.Wait()
 		if got := rows.feeds.Load(); got != 1 {
-			t.Fatalf("%d calls at the start", got)
+			t.Fatalf("%d calls at the start, want 1", got)
 		}
 		follower.Hurry()
 		synctest.Wait()
 		if got := rows.feeds.Load(); got != 2 {
-			t.Errorf("%d calls after Hurry", got)
+			t.Errorf("%d calls after Hurry, want 2", got)
 		}
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		if got := rows.feeds.Load(); got != 2 {
-			t.Errorf("%d calls, the pace is not kept", got)
+			t.Errorf("%d calls without Hurry, want 2: the pace is not kept", got)
 		}
 	})
 }
 
-// sleepyRows answers calls for changes across a suspension of the machine.
-type sleepyRows struct {
-	quietRows
+// suspendingRows answers each call for changes across a suspension of the machine.
+type suspendingRows struct {
+	unchangedRows
 	suspended atomic.Int64
-	gap       time.Duration // of each such call
+	gap       time.Duration // length of each suspension
 }
 
-func (r *sleepyRows) Suspended() time.Duration { return time.Duration(r.suspended.Load()) }
+func (r *suspendingRows) Suspended() time.Duration { return time.Duration(r.suspended.Load()) }
 
 // Feed implements passthrough.Rows.
-func (r *sleepyRows) Feed(ctx context.Context, table string, since int64, wait time.Duration) (passthrough.Snapshot, error) {
+func (r *suspendingRows) Feed(ctx context.Context, table string, since int64, wait time.Duration) (passthrough.Snapshot, error) {
 	r.suspended.Add(int64(r.gap))
-	return r.quietRows.Feed(ctx, table, since, wait)
+	return r.unchangedRows.Feed(ctx, table, since, wait)
 }
 
-// TestAnswerFromBeforeASuspensionConfirmsNothing: it may be as old as that was long.
+// An answer that spans a suspension may be as old as the suspension was long.
 func TestAnswerFromBeforeASuspensionConfirmsNothing(t *testing.T) {
 	for _, gap := range []time.Duration{0, 5 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			rows := &sleepyRows{gap: gap}
+			rows := &suspendingRows{gap: gap}
 			follower := NewFollower(DefaultFollowConfig(), rows, "t", []string{""}, noSink{}, zap.NewNop())
 			follower.WatchBy(suspension.NewWatch(rows))
 			ctx, cancel := context.WithCancel(t.Context())
@@ -116,7 +116,7 @@
 			cancel()
 			<-done
 			if fresh := age < time.Second; fresh != (gap == 0) {
-				t.Errorf("suspended for %v in each call: the last word is %v old", gap, age)
+				t.Errorf("suspended for %v in each call: the last confirmation is %v old", gap, age)
 			}
 		})
 	}
--- a/internal/passthrough/catalog/refusals.go
+++ b/internal/passthrough/catalog/refusals.go
@@ -23,7 +23,7 @@
 	logger  *zap.Logger
 }
 
-// NewRefusals makes and registers the count; registerer may be nil.
+// NewRefusals creates and registers the counter. registerer may be nil.
 func NewRefusals(registerer prometheus.Registerer, logger *zap.Logger) *Refusals {
 	counter := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ringstream_pass_documents_refused_total", Help: "Documents of other programs that were not used as they stood, one for each change, by kind and reason.",
@@ -34,7 +34,7 @@
 	return &Refusals{counter: counter, logger: events.Bounded(logger)}
 }
 
-// note counts a refusal, and logs it as an event with the fields given.
+// note counts a refusal and logs it as the given event with the given fields.
 func (r *Refusals) note(document documentKind, event events.Event, err error, fields ...zap.Field) {
 	reason := passthrough.DocumentReasonOf(err)
 	r.counter.WithLabelValues(string(document), reason.String()).Inc()
--- a/internal/passthrough/catalog/relay.go
+++ b/internal/passthrough/catalog/relay.go
@@ -5,54 +5,56 @@
 	"time"
 )
 
-// Relay asks another node's copy of a table. Where every node asked the store itself, 985 nodes
-// read 2 GB for one listing of 10,000 engines, and each forgotten history had them read it again.
+// Relay follows another node's copy of a table. When every node called the store itself, 985 nodes
+// read 2 GB for one listing of 10,000 engines, and read it again each time the store had discarded
+// its history.
 type Relay interface {
-	// Follow gives what has changed in a table after a version, as soon as there is something
-	// or the copy is known to be complete as of a later moment, or after hold. False: no relay
-	// could be asked, and the store is to be.
+	// Follow returns what has changed in a table after a version. It returns as soon as there is a
+	// change or the copy is known to be complete as of a later time, or after hold. It returns
+	// false if no relay could be asked; the caller must then ask the store.
 	Follow(ctx context.Context, table string, since int64, hold time.Duration) (Told, bool)
-	// Doubt says that a relay has passed changes over: it is not asked for some time.
+	// Doubt reports that a relay has skipped changes. The relay is not asked for some time.
 	Doubt(table string)
 }
 
-// askRelay asks a relay; false: there is none, or it could not answer.
-func (f *Follower) askRelay(ctx context.Context, version int64, hold time.Duration) (answered, bool) {
+// fetchFromRelay asks a relay for changes. It returns false if there is no relay or it could not
+// answer.
+func (f *Follower) fetchFromRelay(ctx context.Context, version int64, hold time.Duration) (feedAnswer, bool) {
 	if f.relay == nil {
-		return answered{}, false
+		return feedAnswer{}, false
 	}
 	suspensions := f.watch.Count()
-	told, found := f.relay.Follow(ctx, f.table, version, hold)
+	reply, found := f.relay.Follow(ctx, f.table, version, hold)
 	if !found {
-		return answered{}, false
+		return feedAnswer{}, false
 	}
-	asOf := f.confirmed(told.AsOf, suspensions)
+	asOf := f.confirmedAt(reply.AsOf, suspensions)
 	if !asOf.IsZero() {
-		f.clock(told.StoreAt, asOf)
+		f.clock(reply.StoreAt, asOf)
 	}
-	return answered{
-		rows: told.Rows, whole: told.Whole, version: told.Version, relayed: true, asOf: asOf, shownBy: told.AsOf,
-		storeAt: told.StoreAt, renewing: told.Renewing,
+	return feedAnswer{
+		rows: reply.Rows, whole: reply.Whole, version: reply.Version, relayed: true, asOf: asOf, expectedAsOf: reply.AsOf,
+		storeAt: reply.StoreAt, renewing: reply.Renewing,
 	}, true
 }
 
-// listByRelay brings the copy up to date by way of a relay, with what has changed since it was
-// followed, or with a whole listing.
-func (f *Follower) listByRelay(ctx context.Context) (version int64, listed bool) {
+// listFromRelay brings the copy up to date through a relay, with the changes since the followed
+// version or with a whole listing.
+func (f *Follower) listFromRelay(ctx context.Context) (version int64, listed bool) {
 	f.mu.Lock()
-	followedTo := f.told.followedTo
+	followedTo := f.progress.followedTo
 	f.mu.Unlock()
-	told, found := f.askRelay(ctx, followedTo, 0)
+	answer, found := f.fetchFromRelay(ctx, followedTo, 0)
 	if !found {
 		return 0, false
 	}
-	version = f.take(told)
-	f.succeeded(told.asOf, told.storeAt)
-	f.copy.renew(told.renewing)
+	version = f.apply(answer)
+	f.succeeded(answer.asOf, answer.storeAt)
+	f.copy.setRenewing(answer.renewing)
 	return version, true
 }
 
-// doubtRelay has the table listed from the store.
+// doubtRelay makes the next listing come from the store.
 func (f *Follower) doubtRelay() {
 	if f.relay != nil {
 		f.relay.Doubt(f.table)
--- a/internal/passthrough/catalog/relay_test.go
+++ b/internal/passthrough/catalog/relay_test.go
@@ -10,15 +10,15 @@
 	"go.uber.org/zap"
 )
 
-// tableRelay tells a table's changes while it is open.
+// tableRelay relays a table's changes while it is available.
 type tableRelay struct {
-	table *storedTable
-	shut  atomic.Bool
+	table       *storedTable
+	unavailable atomic.Bool
 }
 
 // Follow implements Relay.
 func (r *tableRelay) Follow(ctx context.Context, _ string, since int64, hold time.Duration) (Told, bool) {
-	if r.shut.Load() {
+	if r.unavailable.Load() {
 		return Told{}, false
 	}
 	snapshot, err := r.table.Feed(ctx, "", since, hold)
@@ -31,13 +31,14 @@
 // Doubt implements Relay.
 func (r *tableRelay) Doubt(string) {}
 
-// When nodes that others follow were killed, 154 of 985 nodes asked the store themselves for half a
-// second. Each had last audited a table longer ago than an audit is due, since who follows another's
-// copy audits nothing, and so listed a page of 500 rows of every table at that moment: of ten such
-// ways to the store nine brought one. A moment at the store brings no audit.
-func TestShortWayToTheStoreBringsNoAudit(t *testing.T) {
+// Guards against audits by followers that fall back to the store for a moment. When nodes that
+// others follow were killed, 154 of 985 nodes asked the store themselves for half a second. A
+// follower of another node's copy audits nothing, so the last audit of each was longer ago than
+// AuditInterval, and each listed a page of 500 rows of every table at that moment: nine of ten
+// such fallbacks triggered an audit.
+func TestBriefFallbackToStoreTriggersNoAudit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const detours = 10
+		const fallbacks = 10
 		table, sink := newStoredTable(), &copySink{versions: make(map[string]int64)}
 		follower := NewFollower(DefaultFollowConfig(), table, "table", []string{""}, sink, zap.NewNop())
 		relay := &tableRelay{table: table}
@@ -45,16 +46,16 @@
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
-		for range detours {
-			time.Sleep(follower.config.AuditEvery + time.Second)
-			relay.shut.Store(true)
+		for range fallbacks {
+			time.Sleep(follower.config.AuditInterval + time.Second)
+			relay.unavailable.Store(true)
 			time.Sleep(follower.config.Wait) // one answer of the store
-			relay.shut.Store(false)
+			relay.unavailable.Store(false)
 		}
 		stop()
 		<-ended
-		if listed := table.listed(); listed != 0 {
-			t.Errorf("%d detours brought %d lists", detours, listed)
+		if listed := table.listCount(); listed != 0 {
+			t.Errorf("%d fallbacks to the store triggered %d listings", fallbacks, listed)
 		}
 	})
 }
--- a/internal/passthrough/catalog/restarts.go
+++ b/internal/passthrough/catalog/restarts.go
@@ -7,46 +7,47 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// OnRestart has a function hear of each incarnation that another has taken the place of; no
-// lock is held meanwhile. Called before Run.
-func (e *Engines) OnRestart(hear func(former enginechoice.Incarnation)) { e.onRestart = hear }
+// OnRestart sets a function that is called with each incarnation that a later one has replaced. No
+// lock is held during the call. OnRestart must be called before Run.
+func (e *Engines) OnRestart(notify func(former enginechoice.Incarnation)) { e.onRestart = notify }
 
-// noteNews logs what an entry meant; former is the newest incarnation before it. The caller
-// holds mu.
-func (e *Engines) noteNews(news enginechoice.News, entry enginechoice.Entry, state enginechoice.State, former enginechoice.Incarnation, version int64) {
+// recordNews logs what an entry changed, and records a restart. former is the newest incarnation
+// before the entry. The caller holds mu.
+func (e *Engines) recordNews(news enginechoice.News, entry enginechoice.Entry, state enginechoice.State, former enginechoice.Incarnation, version int64) {
 	fields := []zap.Field{zap.Stringer("engine", entry.Incarnation()), zap.String("address", entry.Address), zap.Stringer("state", state), zap.Int64("store_version", version)}
 	switch news {
 	case enginechoice.Unchanged:
 	case enginechoice.Changed:
-		if e.many {
+		if e.summarize {
 			return
 		}
 		events.EngineSeen.Log(e.logger, fields...)
 	case enginechoice.Restarted:
-		e.restarted = append(e.restarted, former)
+		e.pendingRestarts = append(e.pendingRestarts, former)
 		events.EngineRestarted.Log(e.logger, append(fields, zap.Stringer("former", former))...)
 	case enginechoice.Outdated:
 		events.EngineEntryOutdated.Log(e.logger, append(fields, zap.Stringer("newest", former))...)
 	}
 }
 
-// mostSeenLines is how many changed entries of one answer are logged each. A fleet of 10,000 engines
-// that starts with its nodes would have each of these log 10,000 lines.
-const mostSeenLines = 16
+// maxEntryLines is the number of changed entries in one answer up to which each is logged. Without
+// this limit each node would log 10,000 lines when a fleet of 10,000 engines starts together with
+// its nodes.
+const maxEntryLines = 16
 
-// tellMany logs entries that were not logged each; the caller holds mu.
-func (e *Engines) tellMany(rows int) {
-	if e.many {
-		e.many = false
-		events.EnginesSeen.Log(e.logger, zap.Int("rows", rows), zap.Int64("store_version", e.newest), zap.Int("engines", len(e.listed)))
+// logSummary logs one line for entries that were not logged separately. The caller holds mu.
+func (e *Engines) logSummary(rows int) {
+	if e.summarize {
+		e.summarize = false
+		events.EnginesSeen.Log(e.logger, zap.Int("rows", rows), zap.Int64("store_version", e.newestVersion), zap.Int("engines", len(e.listed)))
 	}
 }
 
-// tellRestarts tells of the restarts noted since the last call.
-func (e *Engines) tellRestarts() {
+// notifyRestarts calls onRestart for the restarts recorded since its last call.
+func (e *Engines) notifyRestarts() {
 	e.mu.Lock()
-	restarted := e.restarted
-	e.restarted = nil
+	restarted := e.pendingRestarts
+	e.pendingRestarts = nil
 	e.mu.Unlock()
 	for _, former := range restarted {
 		e.onRestart(former)
--- a/internal/passthrough/catalog/restarts_test.go
+++ b/internal/passthrough/catalog/restarts_test.go
@@ -12,10 +12,10 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// writtenDocuments reads entries that are written as they are kept.
-type writtenDocuments struct{ passthrough.Documents }
+// jsonDocuments reads entries from JSON.
+type jsonDocuments struct{ passthrough.Documents }
 
-func (writtenDocuments) Engine(_ string, document []byte) (entry passthrough.EngineEntry, err error) {
+func (jsonDocuments) Engine(_ string, document []byte) (entry passthrough.EngineEntry, err error) {
 	err = json.Unmarshal(document, &entry)
 	return entry, err
 }
@@ -29,8 +29,8 @@
 	return passthrough.Row{Key: entry.ID, Version: version, Value: document}
 }
 
-// TestIncarnationsByRowsOfTheStore has an engine start again, and rows about it come by the
-// feed, in listings and from peers, in and out of order.
+// An engine restarts, and rows about it arrive through the feed, in listings and from peers, in
+// order and out of order.
 func TestIncarnationsByRowsOfTheStore(t *testing.T) {
 	const first, second, third = 1000, 2000, 3000
 	of := func(born int64) passthrough.EngineEntry {
@@ -48,13 +48,13 @@
 		restarts []enginechoice.Incarnation
 	}{
 		{
-			name:     "later start, nobody saw the row go",
+			name:     "later start, removal of the row not seen",
 			rows:     []passthrough.Row{engineRow(t, 1, of(first)), engineRow(t, 2, of(second))},
 			want:     enginechoice.Incarnation{ID: "e0", Born: second},
 			restarts: []enginechoice.Incarnation{{ID: "e0", Born: first}},
 		},
 		{
-			name: "same start after the row was gone",
+			name: "same start after removal of the row",
 			rows: []passthrough.Row{engineRow(t, 1, of(first)), {Key: "e0", Version: 2, Gone: true}, engineRow(t, 3, of(first))},
 			want: enginechoice.Incarnation{ID: "e0", Born: first},
 		},
@@ -65,19 +65,19 @@
 			restarts: []enginechoice.Incarnation{{ID: "e0", Born: first}},
 		},
 		{
-			name: "later start under an earlier version, as a peer tells that lags",
+			name: "later start under an earlier version, from a lagging peer",
 			rows: []passthrough.Row{engineRow(t, 5, of(first)), engineRow(t, 4, of(second))},
 			want: enginechoice.Incarnation{ID: "e0", Born: first},
 		},
 		{
-			name:     "the row that a former incarnation wrote late goes",
+			name:     "removal of a row that a former incarnation wrote late",
 			rows:     []passthrough.Row{engineRow(t, 1, of(first)), engineRow(t, 2, of(second)), engineRow(t, 3, of(first)), {Key: "e0", Version: 4, Gone: true}},
 			want:     enginechoice.Incarnation{ID: "e0", Born: second},
 			state:    enginechoice.Leaving,
 			restarts: []enginechoice.Incarnation{{ID: "e0", Born: first}},
 		},
 		{
-			name:  "no start: of the newest",
+			name:  "no start time: refers to the newest",
 			rows:  []passthrough.Row{engineRow(t, 1, of(first)), engineRow(t, 2, leaving(of(0)))},
 			want:  enginechoice.Incarnation{ID: "e0", Born: first},
 			state: enginechoice.Leaving,
@@ -90,23 +90,23 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			engines := NewEngines("n1", writtenDocuments{}, &Routes{}, zap.NewNop())
+			engines := NewEngines("n1", jsonDocuments{}, &Routes{}, zap.NewNop())
 			var restarts []enginechoice.Incarnation
 			engines.OnRestart(func(former enginechoice.Incarnation) {
-				engines.Use(func(*enginechoice.Set, time.Time) {}) // no lock is held
+				engines.Use(func(*enginechoice.Set, time.Time) {}) // would deadlock if a lock were held
 				restarts = append(restarts, former)
 			})
 			engines.Change(test.rows)
 			engines.Use(func(set *enginechoice.Set, _ time.Time) {
 				if newest, _ := set.Newest("e0"); newest != test.want {
-					t.Errorf("the newest is %v", newest)
+					t.Errorf("newest incarnation is %v", newest)
 				}
 				if listed, found := set.Find(test.want); !found || listed.State != test.state {
-					t.Errorf("%v is %v", test.want, listed.State)
+					t.Errorf("state of %v is %v", test.want, listed.State)
 				}
 			})
 			if !slices.Equal(restarts, test.restarts) {
-				t.Errorf("told of %v", restarts)
+				t.Errorf("reported restarts: %v", restarts)
 			}
 		})
 	}
--- a/internal/passthrough/catalog/routes.go
+++ b/internal/passthrough/catalog/routes.go
@@ -13,8 +13,8 @@
 	"ringstream.example/ringstream/internal/suspension"
 )
 
-// Routes keeps the routes in force. Only higher versions are taken, so that a
-// node never goes back within its life.
+// Routes holds the routes in force. It accepts only higher versions, so a node never returns to
+// older routes while it runs. It is safe for concurrent use.
 type Routes struct {
 	documents passthrough.Documents
 	logger    *zap.Logger
@@ -24,26 +24,27 @@
 	table    *passroute.Table
 	document []byte
 	learned  time.Time
-	// confirmed is when the table was last known to be the newest.
+	// confirmed is when a peer last knew the table to be the newest version.
 	confirmed time.Time
-	health    func() Health // of the following of the store
+	health    func() Health // how well the store is followed
 	splitter  *passroute.Splitter
 	changed   []func(*passroute.Table)
 }
 
-// NewRoutes makes a holder that knows no routes yet.
+// NewRoutes returns a Routes that knows no routes yet.
 func NewRoutes(documents passthrough.Documents, logger *zap.Logger) *Routes {
 	return &Routes{documents: documents, logger: logger, refusals: NewRefusals(nil, logger), splitter: passroute.NewSplitter(rand.Float64), health: func() Health { return Health{} }}
 }
 
-// CountBy has refused documents counted; called before Run.
+// CountBy sets the counter of refused documents. It must be called before Run.
 func (r *Routes) CountBy(refusals *Refusals) { r.refusals = refusals }
 
-// JudgeBy has the routes ask how well the store is followed; called before Run.
+// JudgeBy sets the function that reports how well the store is followed. It must be called before
+// Run.
 func (r *Routes) JudgeBy(health func() Health) { r.health = health }
 
-// WatchBy has the routes correct the age of what peers confirmed after a suspension;
-// called before Run.
+// WatchBy corrects the time of the last peer confirmation after suspensions of the machine. It
+// must be called before Run.
 func (r *Routes) WatchBy(watch *suspension.Watch) {
 	watch.OnWake(func(gap time.Duration) {
 		r.mu.Lock()
@@ -54,7 +55,7 @@
 	})
 }
 
-// Confirm takes word of a peer that a version was the newest at a time.
+// Confirm records a peer's report that a version was the newest at a time.
 func (r *Routes) Confirm(version int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,15 +66,17 @@
 
 // Known is what a node knows of the routes at one moment.
 type Known struct {
-	Table    *passroute.Table // nil before the first
-	Document []byte           // behind Table
-	Learned  time.Time        // when Table was taken
-	// AsOf is when Table was last known to be the newest, by the store's word or a peer's.
+	Table    *passroute.Table // nil before the first routes
+	Document []byte           // the document that Table was read from
+	Learned  time.Time        // when Table came into force
+	// AsOf is when Table was last known to be the newest, by an answer of the store or a report of
+	// a peer.
 	AsOf time.Time
 }
 
-// Known gives the routes in force and of when they are. What the store's word rests on is
-// asked before the routes are read: they may then be newer than AsOf says, and never older.
+// Known returns the routes in force and the time as of which they are known to be the newest. It
+// reads the follower's health before the routes, so the routes may be newer than AsOf says but
+// never older.
 func (r *Routes) Known() Known {
 	asOf := r.health().AsOf
 	r.mu.RLock()
@@ -84,23 +87,25 @@
 	return Known{Table: r.table, Document: r.document, Learned: r.learned, AsOf: asOf}
 }
 
-// Age gives how long ago the routes in force were known to be the newest.
+// Age returns the time since the routes in force were last known to be the newest.
 func (r *Routes) Age() time.Duration { return time.Since(r.Known().AsOf) }
 
-// OnChange adds a function that hears of each version taken. It is called
-// before Run, and must not block.
-func (r *Routes) OnChange(hear func(*passroute.Table)) {
-	r.changed = append(r.changed, hear)
+// OnChange adds a function that is called with each version that comes into force. It must not
+// block. OnChange must be called before Run.
+func (r *Routes) OnChange(notify func(*passroute.Table)) {
+	r.changed = append(r.changed, notify)
 }
 
-// Table gives the routes in force and since when; nil before the first.
+// Table returns the routes in force and when they came into force. The table is nil before the
+// first routes.
 func (r *Routes) Table() (table *passroute.Table, learned time.Time) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.table, r.learned
 }
 
-// Document gives the document in force and its version; nil before the first.
+// Document returns the document in force and its version. The document is nil before the first
+// routes.
 func (r *Routes) Document() (document []byte, version int64) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -110,15 +115,15 @@
 	return r.document, r.table.Version()
 }
 
-// Pool chooses the pool of a route's next request.
+// Pool chooses the pool for a route's next request.
 func (r *Routes) Pool(route *passroute.Route) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.splitter.Choose(route)
 }
 
-// Take applies a document when its version is higher than the one in force.
-// Source says in the log where it came from.
+// Take applies a document if its version is higher than the one in force, and reports whether it
+// did. The source is logged.
 func (r *Routes) Take(document []byte, source string) bool {
 	table, err := r.documents.Routes(document)
 	if err != nil {
@@ -141,8 +146,8 @@
 	for _, problem := range table.Tenants().Problems {
 		events.TenantProblem.Log(r.logger, zap.Int64("version", table.Version()), zap.String("tenant", problem.Tenant), zap.Error(problem))
 	}
-	for _, hear := range r.changed {
-		hear(table)
+	for _, notify := range r.changed {
+		notify(table)
 	}
 	return true
 }
--- a/internal/passthrough/catalog/routes_test.go
+++ b/internal/passthrough/catalog/routes_test.go
@@ -11,50 +11,50 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// versions reads a document that is the version of its routes.
-type versions struct{ passthrough.Documents }
+// versionDocuments reads a document that consists of the version of its routes.
+type versionDocuments struct{ passthrough.Documents }
 
 // Routes implements passthrough.Documents.
-func (versions) Routes(document []byte) (*passroute.Table, error) {
+func (versionDocuments) Routes(document []byte) (*passroute.Table, error) {
 	version, err := strconv.Atoi(string(document))
 	return passroute.NewTable(int64(version), nil, nil, passroute.Limits{}, passroute.Tenants{}), err
 }
 
-// TestRoutesAreNoOlderThanTheirAge: the front door read the routes, then a request's body for
-// as long as its client took, and only then how long ago the store was last heard. A request
-// of 20 s was judged by routes of 20 s ago whose age was given as that of the newest ones:
-// keys that had been withdrawn passed, and new ones were unknown. Here the store tells of
-// version 2 just when it is asked how long ago it was heard.
+// Guards against routes that are older than their reported age. The gateway read the routes, then
+// a request's body for as long as its client took, and only then the time of the store's last
+// answer. A request that took 20 s was checked against routes of 20 s ago that were reported as
+// fresh: withdrawn keys passed, and new ones were unknown. Here version 2 arrives while the time
+// of the last answer is being read.
 func TestRoutesAreNoOlderThanTheirAge(t *testing.T) {
-	routes := NewRoutes(versions{}, zap.NewNop())
+	routes := NewRoutes(versionDocuments{}, zap.NewNop())
 	routes.Take([]byte("1"), "test")
-	heard := time.Now()
+	lastAnswer := time.Now()
 	routes.JudgeBy(func() Health {
 		routes.Take([]byte("2"), "test")
-		return Health{AsOf: heard}
+		return Health{AsOf: lastAnswer}
 	})
-	if known := routes.Known(); known.Table.Version() != 2 || string(known.Document) != "2" || !known.AsOf.Equal(heard) {
-		t.Errorf("version %d, document %s, as of %v", known.Table.Version(), known.Document, known.AsOf.Sub(heard))
+	if known := routes.Known(); known.Table.Version() != 2 || string(known.Document) != "2" || !known.AsOf.Equal(lastAnswer) {
+		t.Errorf("version %d, document %s, as of %v after the store's last answer", known.Table.Version(), known.Document, known.AsOf.Sub(lastAnswer))
 	}
 }
 
-// TestWordOfPeersHoldsForItsVersion takes such word before and after the store's.
-func TestWordOfPeersHoldsForItsVersion(t *testing.T) {
-	routes := NewRoutes(versions{}, zap.NewNop())
-	heard := time.Now()
-	routes.JudgeBy(func() Health { return Health{AsOf: heard} })
+// Peer confirmations arrive before and after the time of the store's last answer.
+func TestPeerConfirmationHoldsForItsVersion(t *testing.T) {
+	routes := NewRoutes(versionDocuments{}, zap.NewNop())
+	lastAnswer := time.Now()
+	routes.JudgeBy(func() Health { return Health{AsOf: lastAnswer} })
 	routes.Take([]byte("1"), "test")
-	routes.Confirm(1, heard.Add(-time.Second))
-	routes.Confirm(2, heard.Add(time.Second))
-	if known := routes.Known(); !known.AsOf.Equal(heard) {
-		t.Errorf("as of %v after the store was heard", known.AsOf.Sub(heard))
+	routes.Confirm(1, lastAnswer.Add(-time.Second))
+	routes.Confirm(2, lastAnswer.Add(time.Second))
+	if known := routes.Known(); !known.AsOf.Equal(lastAnswer) {
+		t.Errorf("as of %v after the store's last answer", known.AsOf.Sub(lastAnswer))
 	}
-	routes.Confirm(1, heard.Add(time.Second))
-	if known := routes.Known(); !known.AsOf.Equal(heard.Add(time.Second)) {
-		t.Errorf("as of %v after the store was heard", known.AsOf.Sub(heard))
+	routes.Confirm(1, lastAnswer.Add(time.Second))
+	if known := routes.Known(); !known.AsOf.Equal(lastAnswer.Add(time.Second)) {
+		t.Errorf("as of %v after the store's last answer", known.AsOf.Sub(lastAnswer))
 	}
 	routes.Take([]byte("2"), "test")
-	if known := routes.Known(); !known.AsOf.Equal(heard) {
-		t.Errorf("version 2 is confirmed by word on version 1, as of %v", known.AsOf.Sub(heard))
+	if known := routes.Known(); !known.AsOf.Equal(lastAnswer) {
+		t.Errorf("version 2 is confirmed by a report on version 1, as of %v after the store's last answer", known.AsOf.Sub(lastAnswer))
 	}
 }
--- a/internal/passthrough/catalog/storetime.go
+++ b/internal/passthrough/catalog/storetime.go
@@ -8,17 +8,18 @@
 	"ringstream.example/ringstream/internal/suspension"
 )
 
-// StoreTime is what a node knows of the store's clock, shared by all that call the store: a quick call
-// of one shows how old a held answer of another is. It is safe for concurrent use.
+// StoreTime estimates the store's clock from its answers. All callers of the store on a node share
+// it, so that a fast answer to one of them helps to date a delayed answer to another. It is safe
+// for concurrent use.
 type StoreTime struct {
 	mu    sync.Mutex
 	clock storeclock.Clock
 }
 
-// NewStoreTime makes one that knows nothing yet.
+// NewStoreTime returns a StoreTime without any observation.
 func NewStoreTime() *StoreTime { return &StoreTime{} }
 
-// WatchBy corrects it after suspensions; called before Run.
+// WatchBy corrects the estimate after suspensions of the machine. It must be called before Run.
 func (t *StoreTime) WatchBy(watch *suspension.Watch) {
 	watch.OnWake(func(gap time.Duration) {
 		t.mu.Lock()
@@ -27,8 +28,8 @@
 	})
 }
 
-// MadeAt takes an answer that names the store's time, by the moment its call was sent, and gives
-// the moment before which it was certainly not made.
+// MadeAt records an answer that carries the store's time, and returns a lower bound of the time at
+// which the answer was made. sent is when its call was sent.
 func (t *StoreTime) MadeAt(sent time.Time, storeAt time.Duration) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/passthrough/catalog/told.go
+++ b/internal/passthrough/catalog/told.go
@@ -6,160 +6,162 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// rowPlace is where a row lies in its table.
-type rowPlace struct{ part, key string }
+// rowID identifies a row within its table.
+type rowID struct{ part, key string }
 
-// shown is a version of a row that a call beside the feed has shown in the store.
-type shown struct {
+// observedVersion is a version of a row that a call other than the feed has shown to be in the
+// store.
+type observedVersion struct {
 	version int64
-	since   time.Time // when the call was answered
+	since   time.Time // when that call was answered
 }
 
-// expectation is what the feed has still to tell of a row. A row that is written again before
-// the feed tells it keeps the oldest version: else a sign of life each second would put off for
-// ever that a silent feed is noticed.
-type expectation struct{ oldest, newest shown }
+// expectation is what the feed must still deliver of a row. A row that is written again before the
+// feed delivers it keeps its oldest version. Otherwise a heartbeat written each second would
+// postpone the detection of a silent feed forever.
+type expectation struct{ oldest, newest observedVersion }
 
-// mostExpected bounds the rows that are waited for; further ones are not looked at.
-const mostExpected = 4096
+// maxExpected bounds the number of rows with an expectation. Further rows are not checked.
+const maxExpected = 4096
 
-// toldRows remembers up to which version a table was followed, at which version each of its
-// rows was last told, and which rows the feed has still to tell. So both a listing and
-// the calls that are made anyway show what a feed has passed over.
-type toldRows struct {
+// feedProgress tracks the version up to which a table was followed, the last delivered version of
+// each row, and the rows that the feed must still deliver. With it, listings and the other calls
+// that the node makes anyway reveal the changes that a feed has skipped.
+type feedProgress struct {
 	followedTo int64
-	versions   map[rowPlace]int64
-	expected   map[rowPlace]expectation
+	versions   map[rowID]int64
+	expected   map[rowID]expectation
 }
 
-func newToldRows() toldRows {
-	return toldRows{versions: make(map[rowPlace]int64), expected: make(map[rowPlace]expectation)}
+func newFeedProgress() feedProgress {
+	return feedProgress{versions: make(map[rowID]int64), expected: make(map[rowID]expectation)}
 }
 
-// change notes what the feed told. The table was followed to the newest version among
-// these rows and no further: an answer without rows says that the feed had nothing to tell,
-// not that nothing has changed.
-func (t *toldRows) change(rows []passthrough.Row) {
+// applyChanges records rows delivered by the feed. The table counts as followed to the newest
+// version among these rows and no further, since an answer without rows means only that the feed
+// had nothing to deliver, not that nothing has changed.
+func (t *feedProgress) applyChanges(rows []passthrough.Row) {
 	for _, row := range rows {
 		t.followedTo = max(t.followedTo, row.Version)
-		t.note(row)
+		t.record(row)
 	}
 }
 
-// note takes the newest version of a row, by whatever way.
-func (t *toldRows) note(row passthrough.Row) {
-	place := rowPlace{row.Part, row.Key}
-	t.satisfy(place, row.Version)
+// record records the newest version of a row, whichever way it was received.
+func (t *feedProgress) record(row passthrough.Row) {
+	id := rowID{row.Part, row.Key}
+	t.satisfy(id, row.Version)
 	if row.Gone {
-		delete(t.versions, place)
+		delete(t.versions, id)
 		return
 	}
-	t.versions[place] = max(t.versions[place], row.Version)
+	t.versions[id] = max(t.versions[id], row.Version)
 }
 
-// replace notes a whole listing as of a version, and gives the rows that the feed had
-// passed over: written at or before the version that it was followed to, and not told.
-func (t *toldRows) replace(rows []passthrough.Row, version int64) (lacked []passthrough.Row) {
-	listed := make(map[rowPlace]int64, len(rows))
+// applyListing records a whole listing as of a version. It returns the rows that the feed had
+// skipped: written at or before the followed version and not delivered.
+func (t *feedProgress) applyListing(rows []passthrough.Row, version int64) (skipped []passthrough.Row) {
+	listed := make(map[rowID]int64, len(rows))
 	for _, row := range rows {
-		place := rowPlace{row.Part, row.Key}
-		listed[place] = row.Version
-		t.satisfy(place, row.Version)
-		if row.Version <= t.followedTo && t.versions[place] < row.Version {
-			lacked = append(lacked, row)
+		id := rowID{row.Part, row.Key}
+		listed[id] = row.Version
+		t.satisfy(id, row.Version)
+		if row.Version <= t.followedTo && t.versions[id] < row.Version {
+			skipped = append(skipped, row)
 		}
 	}
 	t.versions = listed
 	t.followedTo = version
-	for place := range t.expected {
-		t.satisfy(place, version)
+	for id := range t.expected {
+		t.satisfy(id, version)
 	}
-	return lacked
+	return skipped
 }
 
-// keyRange is the keys from one on and before another; an empty one is open.
+// keyRange is the keys in [from, to). An empty bound is open.
 type keyRange struct{ from, to string }
 
-func (r keyRange) holds(key string) bool { return key >= r.from && (r.to == "" || key < r.to) }
+func (r keyRange) contains(key string) bool { return key >= r.from && (r.to == "" || key < r.to) }
 
-func (r keyRange) whole() bool { return r == keyRange{} }
+func (r keyRange) unbounded() bool { return r == keyRange{} }
 
-// audit compares a list of a part's keys in a range, as of a version, with what was told. It gives
-// the rows that the feed has passed over, and counts those that it has yet to tell, which are
-// expected from now on, as are removals.
-func (t *toldRows) audit(part string, keys keyRange, rows []passthrough.Row, version int64, now time.Time) (lacked []passthrough.Row, ahead int) {
-	listed := make(map[rowPlace]bool, len(rows))
+// audit compares a listing of a part's keys in a range, as of a version, with what the feed has
+// delivered. It returns the rows that the feed has skipped and the number of rows that it must
+// still deliver. The latter, and removals, are expected from now on.
+func (t *feedProgress) audit(part string, keys keyRange, rows []passthrough.Row, version int64, now time.Time) (skipped []passthrough.Row, ahead int) {
+	listed := make(map[rowID]bool, len(rows))
 	for _, row := range rows {
-		place := rowPlace{row.Part, row.Key}
-		listed[place] = true
+		id := rowID{row.Part, row.Key}
+		listed[id] = true
 		switch {
-		case t.versions[place] >= row.Version:
+		case t.versions[id] >= row.Version:
 		case row.Version <= t.followedTo:
-			lacked = append(lacked, row)
+			skipped = append(skipped, row)
 		default:
 			ahead++
-			t.expect(place, row.Version, now)
+			t.expect(id, row.Version, now)
 		}
 	}
-	for place, told := range t.versions {
-		if place.part == part && keys.holds(place.key) && !listed[place] && told <= version {
-			t.expect(place, told+1, now)
+	for id, delivered := range t.versions {
+		if id.part == part && keys.contains(id.key) && !listed[id] && delivered <= version {
+			t.expect(id, delivered+1, now)
 		}
 	}
-	return lacked, ahead
+	return skipped, ahead
 }
 
-// satisfy notes that a row was told at a version.
-func (t *toldRows) satisfy(place rowPlace, version int64) {
-	waits, found := t.expected[place]
+// satisfy records that a row was delivered at a version.
+func (t *feedProgress) satisfy(id rowID, version int64) {
+	pending, found := t.expected[id]
 	switch {
-	case !found || version < waits.oldest.version:
-	case version >= waits.newest.version:
-		delete(t.expected, place)
+	case !found || version < pending.oldest.version:
+	case version >= pending.newest.version:
+		delete(t.expected, id)
 	default:
-		t.expected[place] = expectation{oldest: waits.newest, newest: waits.newest}
+		t.expected[id] = expectation{oldest: pending.newest, newest: pending.newest}
 	}
 }
 
-// expect notes a row that the store has had at a version since some moment.
-func (t *toldRows) expect(place rowPlace, version int64, since time.Time) {
-	next := shown{version: version, since: since}
-	waits, found := t.expected[place]
+// expect records that the store has had a row at a version since a time.
+func (t *feedProgress) expect(id rowID, version int64, since time.Time) {
+	next := observedVersion{version: version, since: since}
+	pending, found := t.expected[id]
 	switch {
-	case t.versions[place] >= version || found && waits.newest.version >= version:
+	case t.versions[id] >= version || found && pending.newest.version >= version:
 	case found:
-		t.expected[place] = expectation{oldest: waits.oldest, newest: next}
-	case len(t.expected) < mostExpected:
-		t.expected[place] = expectation{oldest: next, newest: next}
+		t.expected[id] = expectation{oldest: pending.oldest, newest: next}
+	case len(t.expected) < maxExpected:
+		t.expected[id] = expectation{oldest: next, newest: next}
 	}
 }
 
-// forgetExpected waits no longer for rows that a relay does not pass on.
-func (t *toldRows) forgetExpected(hidden func(place rowPlace) bool) {
-	for place := range t.expected {
-		if hidden(place) {
-			delete(t.expected, place)
+// dropExpected drops the expectations of rows that a relay does not pass on.
+func (t *feedProgress) dropExpected(hidden func(id rowID) bool) {
+	for id := range t.expected {
+		if hidden(id) {
+			delete(t.expected, id)
 		}
 	}
 }
 
-// passedOver gives a row that should have been told by an answer whose call was sent at a
-// moment, with patience for a feed that lags behind the store's other answers.
-func (t *toldRows) passedOver(sent time.Time, patience time.Duration) (place rowPlace, missing shown, found bool) {
-	for place, waits := range t.expected {
-		if sent.Sub(waits.oldest.since) >= patience {
-			return place, waits.oldest, true
+// overdueRow returns a row that an answer to a call sent at a time should have contained. patience
+// is how long the feed may lag behind the store's other answers.
+func (t *feedProgress) overdueRow(sent time.Time, patience time.Duration) (id rowID, missing observedVersion, found bool) {
+	for id, pending := range t.expected {
+		if sent.Sub(pending.oldest.since) >= patience {
+			return id, pending.oldest, true
 		}
 	}
-	return rowPlace{}, shown{}, false
+	return rowID{}, observedVersion{}, false
 }
 
-// oldestExpected gives since when a row is waited for that was shown first.
-func (t *toldRows) oldestExpected() time.Time {
+// oldestExpectation returns when the longest expected row was first shown, or the zero time if
+// none is expected.
+func (t *feedProgress) oldestExpectation() time.Time {
 	var oldest time.Time
-	for _, waits := range t.expected {
-		if oldest.IsZero() || waits.oldest.since.Before(oldest) {
-			oldest = waits.oldest.since
+	for _, pending := range t.expected {
+		if oldest.IsZero() || pending.oldest.since.Before(oldest) {
+			oldest = pending.oldest.since
 		}
 	}
 	return oldest
