--- a/internal/passthrough/calls.go
+++ b/internal/passthrough/calls.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// JobCallKind is what a call about batch jobs asks for.
+// JobCallKind is the kind of a call about batch jobs.
 type JobCallKind uint8
 
-// The calls about jobs that do not stand under a route's prefix.
+// The kinds of job calls outside the route prefixes.
 const (
 	NoJobCall JobCallKind = iota
 	ReadResults
@@ -13,13 +13,14 @@
 	EndJob
 )
 
-// JobCall is a call about a job.
+// JobCall is a call about a batch job.
 type JobCall struct {
 	Kind JobCallKind
 	Job  string
 	Item string // ReadItem only
-	From int    // ReadResults only: first position wanted
-	// Tenant is the caller's, by its key; empty: none. The front door sets it.
+	From int    // ReadResults only: the first position wanted
+	// Tenant is the caller's tenant, found by its key; empty if there is none. The gateway's
+	// ingress sets it.
 	Tenant string
 }
 
@@ -35,16 +36,15 @@
 // ItemResult is one listed result of a job.
 type ItemResult struct {
 	ID        string
-	Succeeded bool // else it was given up
+	Succeeded bool // false if the item was given up
 	Text      string
 }
 
 // JobFormat reads and writes the bodies of the calls about jobs.
 type JobFormat interface {
-	// JobCall tells a call about jobs by method and path.
+	// JobCall recognizes a call about jobs by its method and path.
 	JobCall(request *http.Request) JobCall
-	// Items reads the body of a job that is handed in; an error names what is
-	// wrong and where.
+	// Items reads the body of a submitted job. An error names what is wrong and where.
 	Items(body []byte) ([]Item, error)
 	// Results writes the answer to ReadResults.
 	Results(total, next int, results []ItemResult) []byte
--- a/internal/passthrough/document.go
+++ b/internal/passthrough/document.go
@@ -10,15 +10,15 @@
 
 // The reasons to refuse a document.
 const (
-	DocumentUnreadable DocumentReason = iota // its bytes are not of its format
+	DocumentUnreadable DocumentReason = iota // the bytes do not have the format of the document
 	DocumentMissingField
-	DocumentWrongType // of a field
+	DocumentWrongType // a field has the wrong type
 	DocumentUnknownState
-	DocumentUnknownService // the configuration in force does not name it
-	DocumentBadValue       // of the right type, and out of what is allowed
+	DocumentUnknownService // the configuration in force does not name the service
+	DocumentBadValue       // a value has the right type but is out of range
 )
 
-// String gives the reason's name for logs and metrics.
+// String returns the reason's name for logs and metrics.
 func (r DocumentReason) String() string {
 	switch r {
 	case DocumentMissingField:
@@ -36,10 +36,10 @@
 	}
 }
 
-// DocumentError is the refusal of a document.
+// DocumentError says why and where a document was refused.
 type DocumentError struct {
 	Reason DocumentReason
-	Field  string // that is at fault, where one is
+	Field  string // the faulty field; empty if the fault is not in one field
 	Detail string // what was found, and what is allowed
 }
 
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("%s: field %s: %s", e.Reason, e.Field, e.Detail)
 }
 
-// DocumentReasonOf gives the reason of a refusal; an error without one says that the
+// DocumentReasonOf returns the reason of a refusal. An error without a reason means that the
 // document could not be read.
 func DocumentReasonOf(err error) DocumentReason {
 	var refused *DocumentError
--- a/internal/passthrough/passthrough.go
+++ b/internal/passthrough/passthrough.go
@@ -1,7 +1,6 @@
-// Package passthrough declares what the pass-through gateway asks of the
-// platform that it runs on: how requests, answers, routes, engines, rows and
-// objects are written there. Package platform at the root implements it; no
-// other package knows a name of the wire.
+// Package passthrough declares what the pass-through gateway needs from the platform that it runs
+// on: how requests, answers, routes, engines, rows and objects are written there. Package platform
+// at the root implements it; no other package knows a name of the platform's wire format.
 package passthrough
 
 import (
@@ -17,38 +16,38 @@
 	Tokens int
 }
 
-// Demand is what a request says of itself.
+// Demand is what a request states about itself in its headers.
 type Demand struct {
 	RequestID    string
-	TimeLeft     time.Duration // that the client waits; 0: not said
-	Parts        []PromptPart  // in order; the last belongs to the request itself
+	TimeLeft     time.Duration // how long the client waits; 0 if not stated
+	Parts        []PromptPart  // in order; the last part belongs to this request alone
 	PromptTokens int
-	OutputTokens int    // the most that it generates
-	LengthHint   int    // the client's guess of its output; 0: none
-	LastEvent    string // the stream goes on after this event; empty: from its start
+	OutputTokens int    // the maximum that the request generates
+	LengthHint   int    // the client's estimate of the output tokens; 0 if there is none
+	LastEvent    string // the stream continues after this event; empty: from its start
 	Wait         time.Duration
-	Key          string // of the tenant, in clear; never to be logged or sent on
+	Key          string // the tenant's key in plain text; must not be logged or forwarded
 }
 
-// EngineRequest is what the gateway itself says to an engine with a request.
+// EngineRequest is what the gateway adds to a request that it sends to an engine.
 type EngineRequest struct {
-	TimeLeft  time.Duration // that the engine may work; 0: not said
-	Instance  string        // the engine's id: another one must not run it
-	LastEvent string        // the stream goes on after this event; empty: the client's own word stays
-	Tenant    string        // that the request is of; empty: of none
+	TimeLeft  time.Duration // how long the engine may work; 0 if not stated
+	Instance  string        // the engine's id; another engine must not run the request
+	LastEvent string        // the stream continues after this event; empty: the client's header is kept
+	Tenant    string        // the request's tenant; empty if there is none
 }
 
-// EngineAnswer is what an engine says in the head of its answer.
+// EngineAnswer is what an engine states in the headers of its answer.
 type EngineAnswer struct {
 	RequestID string
-	Instance  string // the engine's own id, where it tells it
-	Sealed    bool   // carries the engine's signature
-	NotRun    bool   // the engine's word that it did not run the request
+	Instance  string // the engine's own id, if the answer has it
+	Sealed    bool   // the answer carries the engine's signature
+	NotRun    bool   // the engine states that it did not run the request
 	Load      EngineLoad
 	LoadKnown bool
 }
 
-// EngineLoad is an engine's own count.
+// EngineLoad is an engine's own count of its requests and slots.
 type EngineLoad struct {
 	Running, Waiting, Slots int
 }
@@ -57,16 +56,16 @@
 type Headers interface {
 	// Demand reads a request's headers.
 	Demand(header http.Header) Demand
-	// SetForEngine sets the headers that the gateway owns on a request to an
-	// engine, and takes the client's key and what it says of its tenant out.
+	// SetForEngine sets the headers that the gateway owns on a request to an engine, and removes
+	// the client's key and the client's headers about its tenant.
 	SetForEngine(header http.Header, to EngineRequest)
-	// Answer reads the head of an engine's answer.
+	// Answer reads the status and headers of an engine's answer.
 	Answer(status int, header http.Header) EngineAnswer
-	// SetRetryAfter says on a refusal when the client should come back.
+	// SetRetryAfter sets on a refusal when the client should retry.
 	SetRetryAfter(header http.Header, wait time.Duration)
 }
 
-// EngineState says whether an engine takes new work.
+// EngineState says whether an engine accepts new work.
 type EngineState uint8
 
 // The states of an engine's entry.
@@ -77,27 +76,27 @@
 
 // EngineEntry is one engine as the platform lists it.
 type EngineEntry struct {
-	ID      string // of this life of the engine
+	ID      string // with BornMs it identifies the incarnation of the engine
 	Pool    string
 	Address string // host:port
 	Zone    string
 	Slots   int
 	State   EngineState
-	ColdFor time.Duration // how much longer it is slow from its start
-	BornMs  int64         // Unix time of its start in milliseconds; 0: not told
+	ColdFor time.Duration // remaining time for which the engine is slow after its start
+	BornMs  int64         // Unix time of the engine's start in milliseconds; 0 if not stated
 }
 
 // Documents reads the platform's documents.
 type Documents interface {
-	// Routes reads the configuration; an error names what is wrong with it.
+	// Routes reads the configuration. An error names what is wrong with it.
 	Routes(document []byte) (*passroute.Table, error)
-	// Engine reads an engine's entry, kept under its id.
+	// Engine reads the entry of the engine with an id.
 	Engine(id string, document []byte) (EngineEntry, error)
-	// Places says where the documents lie.
+	// Places returns where the documents are stored.
 	Places() Places
 }
 
-// Places names the rows that the platform writes.
+// Places names the tables and keys of the documents that the platform writes.
 type Places struct {
 	RoutesTable, RoutesKey string
 	EnginesTable           string
--- a/internal/passthrough/rows.go
+++ b/internal/passthrough/rows.go
@@ -10,46 +10,45 @@
 type Row struct {
 	Table, Part, Key string
 	Value            []byte
-	Version          int64 // of the transaction that last wrote it; 0: absent
+	Version          int64 // the version of the transaction that last wrote the row; 0 if absent
 	Gone             bool  // in a feed: the row was removed
 }
 
-// Expectation holds when the row has exactly this version (0: absent).
+// Expectation holds if the row has exactly this version (0: absent).
 type Expectation struct {
 	Table, Part, Key string
 	Version          int64
 }
 
-// Transaction applies all its puts and removals when all expectations hold,
-// else nothing.
+// Transaction applies all its puts and removals if all expectations hold, and nothing otherwise.
 type Transaction struct {
 	Expected []Expectation
 	Put      []Row
 	Remove   []Row
-	Across   bool // entries of more than one part
+	Across   bool // the entries are in more than one part
 }
 
-// Size is how large a transaction is, for logs.
+// Size describes how large a transaction is, for logs.
 type Size struct {
 	Entries      int
 	ValueBytes   int // of all values
-	LongestKey   int // bytes of a table, part or key
+	LongestKey   int // bytes; the longest name of a table, part or key
 	LongestValue int // bytes
 }
 
-// Size measures a transaction.
+// Size returns the size of a transaction.
 func (t Transaction) Size() Size {
 	size := Size{Entries: len(t.Expected) + len(t.Put) + len(t.Remove)}
-	name := func(texts ...string) {
-		for _, text := range texts {
-			size.LongestKey = max(size.LongestKey, len(text))
+	measureNames := func(names ...string) {
+		for _, name := range names {
+			size.LongestKey = max(size.LongestKey, len(name))
 		}
 	}
 	for _, expected := range t.Expected {
-		name(expected.Table, expected.Part, expected.Key)
+		measureNames(expected.Table, expected.Part, expected.Key)
 	}
 	for _, row := range append(append([]Row(nil), t.Put...), t.Remove...) {
-		name(row.Table, row.Part, row.Key)
+		measureNames(row.Table, row.Part, row.Key)
 		size.ValueBytes += len(row.Value)
 		size.LongestValue = max(size.LongestValue, len(row.Value))
 	}
@@ -59,7 +58,7 @@
 // CommitResult is the store's answer to a transaction.
 type CommitResult struct {
 	Applied bool
-	// Current holds the rows of the expectations as they are when not applied.
+	// Current holds the present rows of the expectations if the transaction was not applied.
 	Current []Row
 	Version int64 // the store's newest version
 }
@@ -69,22 +68,23 @@
 	Rows    []Row
 	Version int64 // the newest version of the store at that moment
 	More    bool
-	StoreAt time.Duration // the store's steady clock
+	StoreAt time.Duration // on the store's monotonic clock
 }
 
 // Errors of the store, found with errors.Is.
 var (
-	// ErrNothingDone: the call provably had no effect.
+	// ErrNothingDone means that the call certainly had no effect.
 	ErrNothingDone = errors.New("store: nothing was done")
-	// ErrOutcomeUnknown: the call may have had its effect, or may yet.
+	// ErrOutcomeUnknown means that the call may have had its effect, or may still have it.
 	ErrOutcomeUnknown = errors.New("store: outcome unknown")
-	// ErrHistoryGone: the feed cannot go on from that version.
+	// ErrHistoryGone means that the feed cannot continue from the given version.
 	ErrHistoryGone = errors.New("store: history is gone")
-	// ErrNotFound: no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound = errors.New("store: not found")
-	// ErrMalformed: the store refuses the call for what it holds; it will again.
+	// ErrMalformed means that the store refuses the call because of its content. A retry fails as
+	// well.
 	ErrMalformed = errors.New("store: malformed")
-	// ErrFull: the store takes no more objects.
+	// ErrFull means that the store accepts no more objects.
 	ErrFull = errors.New("store: full")
 )
 
@@ -92,17 +92,18 @@
 // ErrNothingDone or ErrOutcomeUnknown.
 type Rows interface {
 	Commit(ctx context.Context, transaction Transaction) (CommitResult, error)
-	// List gives the rows of a part with keys from `from` up, until before `to`;
-	// empty bounds are open, limit 0 leaves it to the store.
+	// List returns the rows of a part with keys in [from, to). An empty bound is open. With limit
+	// 0 the store chooses the limit.
 	List(ctx context.Context, table, part, from, to string, limit int) (Snapshot, error)
-	// Parts gives the names of a table's parts, after the one given.
+	// Parts returns the names of a table's parts after the given one.
 	Parts(ctx context.Context, table, after string) (parts []string, more bool, err error)
-	// Feed gives what changed in a table after the version, as soon as there is
-	// something, or nothing after wait.
+	// Feed returns what has changed in a table after a version. It returns as soon as there is a
+	// change, or without rows after wait.
 	Feed(ctx context.Context, table string, since int64, wait time.Duration) (Snapshot, error)
 }
 
-// Objects keeps larger values whole under names that are written once.
+// Objects stores larger values. Each name is written only once, and each value is written and read
+// as a whole.
 type Objects interface {
 	PutObject(ctx context.Context, name string, body []byte) error
 	GetObject(ctx context.Context, name string) ([]byte, error)
