--- a/internal/passthrough/peerstore/peerstore.go
+++ b/internal/passthrough/peerstore/peerstore.go
@@ -1,8 +1,8 @@
-// Package peerstore reaches the platform's store by way of another node while
-// the store refuses, throttles or drops this one. It owns what is believed of
-// this node's own way to the store, and the choice of the peer; it decides
-// nothing about what is written, and every call keeps its meaning: what is
-// known of a call that failed is told as of one made directly.
+// Package peerstore reaches the platform's store through another node while the store refuses,
+// throttles or drops calls of this one. It owns the state of this node's direct access to the
+// store, and the choice of the peer. It decides nothing about what is written, and every call
+// keeps its meaning: the error of a call through a peer says the same about the call's effect as
+// that of a direct call.
 package peerstore
 
 import (
@@ -21,48 +21,47 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Config says when the own way counts as lost and how it is tried again.
+// Config configures when direct access counts as lost, how it is probed, and how peers are chosen.
 type Config struct {
-	FailuresToLeave int           // failed calls in a row after which the own way counts as lost
-	LeaveAfter      time.Duration // the least time between the first of them and the last
-	ProbeEvery      time.Duration // pause between two tries of a lost way
-	ProbeTime       time.Duration // that a try may take
-	PeersTried      int           // for one call
-	AloneFor        time.Duration // no peer is asked for so long after all that were said that they have lost it as well
-	LeftFor         time.Duration // a peer that could not help is asked after all others for so long
+	MinFailures      int           // consecutive failed calls after which direct access counts as lost
+	MinFailurePeriod time.Duration // minimum time between the first and the last of them
+	ProbeInterval    time.Duration // pause between two probes while direct access is lost
+	ProbeTimeout     time.Duration // time limit of a probe
+	MaxPeersPerCall  int           // peers asked for one call
+	PeerBackoff      time.Duration // no peer is asked for this long after all asked peers answered that they cannot reach the store either
+	PeerDemotionTime time.Duration // a peer that could not help is asked after all others for this long
 }
 
-// DefaultConfig suits a store that answers within some milliseconds.
+// DefaultConfig returns a configuration for a store that answers within some milliseconds.
 func DefaultConfig() Config {
-	return Config{FailuresToLeave: 2, LeaveAfter: 300 * time.Millisecond, ProbeEvery: 500 * time.Millisecond, ProbeTime: 400 * time.Millisecond, PeersTried: 2, AloneFor: 500 * time.Millisecond, LeftFor: 3 * time.Second}
+	return Config{MinFailures: 2, MinFailurePeriod: 300 * time.Millisecond, ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 400 * time.Millisecond, MaxPeersPerCall: 2, PeerBackoff: 500 * time.Millisecond, PeerDemotionTime: 3 * time.Second}
 }
 
-// Peers are the other nodes that may make calls for this one.
+// Peers are the other nodes, which can make calls for this one.
 type Peers interface {
-	// Addresses gives those that may be alive, those to ask first at the front.
+	// Addresses returns the peers that may be alive, preferred ones first.
 	Addresses() []string
-	// CallStore has one of them make a call.
+	// CallStore asks a peer to make a call.
 	CallStore(ctx context.Context, peer string, call sharing.StoreCall) (sharing.StoreAnswer, error)
 }
 
-// Store is the platform's store as this node reaches it. It is safe for
-// concurrent use.
+// Store is the platform's store as this node reaches it. It is safe for concurrent use.
 type Store struct {
-	config  Config
-	rows    passthrough.Rows
-	objects passthrough.Objects
-	probe   string // a table to read when the own way is tried
-	logger  *zap.Logger
+	config     Config
+	rows       passthrough.Rows
+	objects    passthrough.Objects
+	probeTable string // an existing table, read by probes
+	logger     *zap.Logger
 
-	mu       sync.Mutex           // guards the rest; never held during a call
-	peers    Peers                // nil: there are none
-	allowed  func() bool          // whether peers may be asked
-	failures int                  // in a row, on the own way
-	failing  time.Time            // since the first of them
-	lostAt   time.Time            // zero: the own way counts as sound
-	helper   string               // the peer whose call was last answered
-	alone    time.Time            // until when no peer is asked
-	left     map[string]time.Time // when peers last could not help
+	mu           sync.Mutex           // guards the rest; never held during a call
+	peers        Peers                // nil if there are none
+	peersAllowed func() bool          // whether peers may be asked
+	failures     int                  // consecutive failures of direct access
+	firstFailure time.Time            // time of the first of them
+	lostAt       time.Time            // when direct access was lost; zero if it is not lost
+	lastHelper   string               // the peer that helped last
+	noPeersUntil time.Time            // until when no peer is asked
+	demotedAt    map[string]time.Time // when peers last could not help
 }
 
 var (
@@ -70,151 +69,150 @@
 	_ passthrough.Objects = (*Store)(nil)
 )
 
-// New makes a store over the direct way to it; probe is a table that exists.
+// New returns a Store over direct access to the store. probe is the name of an existing table.
 func New(config Config, rows passthrough.Rows, objects passthrough.Objects, probe string, logger *zap.Logger) *Store {
-	return &Store{config: config, rows: rows, objects: objects, probe: probe, logger: logger, left: make(map[string]time.Time)}
+	return &Store{config: config, rows: rows, objects: objects, probeTable: probe, logger: logger, demotedAt: make(map[string]time.Time)}
 }
 
-// UsePeers has calls go by way of peers where the own way is lost and allowed
-// says so; called before Run.
+// UsePeers makes calls go through peers while direct access is lost and allowed returns true. It
+// must be called before Run.
 func (s *Store) UsePeers(peers Peers, allowed func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peers, s.allowed = peers, allowed
+	s.peers, s.peersAllowed = peers, allowed
 }
 
-// Lost says whether the own way to the store counts as lost.
+// Lost reports whether direct access to the store counts as lost.
 func (s *Store) Lost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.lostAt.IsZero()
 }
 
-// Run tries a lost way again until ctx ends.
+// Run probes lost direct access until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
-	for wait.For(ctx, s.config.ProbeEvery) {
+	for wait.For(ctx, s.config.ProbeInterval) {
 		if !s.Lost() {
 			continue
 		}
-		call, cancel := context.WithTimeout(ctx, s.config.ProbeTime)
-		_, err := s.rows.List(call, s.probe, "", "", "", 1)
+		call, cancel := context.WithTimeout(ctx, s.config.ProbeTimeout)
+		_, err := s.rows.List(call, s.probeTable, "", "", "", 1)
 		cancel()
-		s.note(err)
+		s.recordOutcome(err)
 	}
 	return nil
 }
 
-// note takes the outcome of a call on the own way.
-func (s *Store) note(err error) {
+// recordOutcome records the result of a direct call.
+func (s *Store) recordOutcome(err error) {
 	failed := errors.Is(err, passthrough.ErrNothingDone) || errors.Is(err, passthrough.ErrOutcomeUnknown)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case !failed && !s.lostAt.IsZero():
-		events.OwnWayRegained.Log(s.logger, zap.Duration("after", time.Since(s.lostAt)), zap.String("helper", s.helper))
+		events.OwnWayRegained.Log(s.logger, zap.Duration("after", time.Since(s.lostAt)), zap.String("helper", s.lastHelper))
 		s.failures, s.lostAt = 0, time.Time{}
 	case !failed:
 		s.failures = 0
 	default:
 		if s.failures == 0 {
-			s.failing = time.Now()
+			s.firstFailure = time.Now()
 		}
 		s.failures++
-		if s.failures >= s.config.FailuresToLeave && time.Since(s.failing) >= s.config.LeaveAfter && s.lostAt.IsZero() {
+		if s.failures >= s.config.MinFailures && time.Since(s.firstFailure) >= s.config.MinFailurePeriod && s.lostAt.IsZero() {
 			s.lostAt = time.Now()
 			events.OwnWayLost.Log(s.logger, zap.Int("failures", s.failures), zap.Error(err))
 		}
 	}
 }
 
-// do makes a call directly, or by way of peers where the own way is lost. A
-// call that no peer could make goes the own way all the same.
-func (s *Store) do(ctx context.Context, call sharing.StoreCall, direct func(context.Context) error) (sharing.StoreAnswer, bool, error) {
+// makeCall makes a call directly, or through peers while direct access is lost. A call that no
+// peer could make is made directly even then.
+func (s *Store) makeCall(ctx context.Context, call sharing.StoreCall, direct func(context.Context) error) (sharing.StoreAnswer, bool, error) {
 	if s.Lost() {
-		if answered, made, err := s.byPeer(ctx, call); made {
-			return answered, true, err
+		if answer, made, err := s.callPeers(ctx, call); made {
+			return answer, true, err
 		}
 	}
 	err := direct(ctx)
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		s.note(err) // a call that its caller ended says nothing of the store
+		s.recordOutcome(err) // a call that its caller canceled says nothing about the store
 	}
 	return sharing.StoreAnswer{}, false, err
 }
 
-// byPeer has a peer make the call; made is false when none could, and none may
-// have.
-func (s *Store) byPeer(ctx context.Context, call sharing.StoreCall) (answered sharing.StoreAnswer, made bool, err error) {
+// callPeers asks peers to make a call. made is false if no peer made it and none can have made it.
+func (s *Store) callPeers(ctx context.Context, call sharing.StoreCall) (answer sharing.StoreAnswer, made bool, err error) {
 	peers, asked := s.candidates()
-	told := 0 // by peers that have lost the store as well
+	refusals := 0 // answers from peers that cannot reach the store either
 	for _, peer := range asked {
-		answered, err = peers.CallStore(ctx, peer, call)
+		answer, err = peers.CallStore(ctx, peer, call)
 		if err == nil {
-			err = answered.Err()
-			told++
+			err = answer.Err()
+			refusals++
 		}
-		s.remember(peer, err)
+		s.recordPeer(peer, err)
 		if !errors.Is(err, passthrough.ErrNothingDone) {
-			return answered, true, err
+			return answer, true, err
 		}
 	}
-	if len(asked) > 0 && told == len(asked) {
+	if len(asked) > 0 && refusals == len(asked) {
 		s.mu.Lock()
-		s.alone = time.Now().Add(s.config.AloneFor)
+		s.noPeersUntil = time.Now().Add(s.config.PeerBackoff)
 		s.mu.Unlock()
 	}
-	return answered, false, err
+	return answer, false, err
 }
 
-// remember notes whether a peer could help.
-func (s *Store) remember(peer string, err error) {
+// recordPeer records whether a peer could help.
+func (s *Store) recordPeer(peer string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if errors.Is(err, passthrough.ErrOutcomeUnknown) || errors.Is(err, passthrough.ErrNothingDone) {
-		s.left[peer] = time.Now()
-		if s.helper == peer {
-			s.helper = ""
+		s.demotedAt[peer] = time.Now()
+		if s.lastHelper == peer {
+			s.lastHelper = ""
 		}
 		return
 	}
-	s.helper = peer
-	delete(s.left, peer)
+	s.lastHelper = peer
+	delete(s.demotedAt, peer)
 }
 
-// candidates gives the peers to ask: the one that helped last, then the others
-// in their order, those that lately could not help at the end.
+// candidates returns the peers to ask: the one that helped last, then the others in their order,
+// and at the end those that recently could not help.
 func (s *Store) candidates() (Peers, []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.peers == nil || time.Now().Before(s.alone) || !s.allowed() {
+	if s.peers == nil || time.Now().Before(s.noPeersUntil) || !s.peersAllowed() {
 		return nil, nil
 	}
 	addresses := s.peers.Addresses()
-	slices.SortStableFunc(addresses, func(a, b string) int { return cmp.Compare(s.place(a), s.place(b)) })
-	return s.peers, addresses[:min(len(addresses), s.config.PeersTried)]
+	slices.SortStableFunc(addresses, func(a, b string) int { return cmp.Compare(s.rank(a), s.rank(b)) })
+	return s.peers, addresses[:min(len(addresses), s.config.MaxPeersPerCall)]
 }
 
-// place orders peers; the caller holds Store.mu.
-func (s *Store) place(peer string) time.Duration {
-	ago := time.Since(s.left[peer])
+// rank returns a peer's sort key; lower ranks are asked first. The caller holds mu.
+func (s *Store) rank(peer string) time.Duration {
+	ago := time.Since(s.demotedAt[peer])
 	switch {
-	case peer == s.helper:
+	case peer == s.lastHelper:
 		return -1
-	case ago > s.config.LeftFor:
+	case ago > s.config.PeerDemotionTime:
 		return 0
 	default:
-		return s.config.LeftFor - ago + 1 // the longest ago first
+		return s.config.PeerDemotionTime - ago + 1 // the least recently demoted first
 	}
 }
 
 // Commit implements passthrough.Rows.
 func (s *Store) Commit(ctx context.Context, transaction passthrough.Transaction) (result passthrough.CommitResult, err error) {
-	answered, byPeer, err := s.do(ctx, sharing.StoreCall{Kind: sharing.StoreCommit, Transaction: transaction}, func(ctx context.Context) (err error) {
+	answer, viaPeer, err := s.makeCall(ctx, sharing.StoreCall{Kind: sharing.StoreCommit, Transaction: transaction}, func(ctx context.Context) (err error) {
 		result, err = s.rows.Commit(ctx, transaction)
 		return err
 	})
-	if byPeer {
-		return answered.Commit, err
+	if viaPeer {
+		return answer.Commit, err
 	}
 	return result, err
 }
@@ -222,12 +220,12 @@
 // List implements passthrough.Rows.
 func (s *Store) List(ctx context.Context, table, part, from, to string, limit int) (snapshot passthrough.Snapshot, err error) {
 	call := sharing.StoreCall{Kind: sharing.StoreList, Table: table, Part: part, From: from, To: to, Limit: limit}
-	answered, byPeer, err := s.do(ctx, call, func(ctx context.Context) (err error) {
+	answer, viaPeer, err := s.makeCall(ctx, call, func(ctx context.Context) (err error) {
 		snapshot, err = s.rows.List(ctx, table, part, from, to, limit)
 		return err
 	})
-	if byPeer {
-		return answered.Snapshot, err
+	if viaPeer {
+		return answer.Snapshot, err
 	}
 	return snapshot, err
 }
@@ -235,24 +233,24 @@
 // Feed implements passthrough.Rows.
 func (s *Store) Feed(ctx context.Context, table string, since int64, hold time.Duration) (snapshot passthrough.Snapshot, err error) {
 	call := sharing.StoreCall{Kind: sharing.StoreFeed, Table: table, Since: since, Wait: hold}
-	answered, byPeer, err := s.do(ctx, call, func(ctx context.Context) (err error) {
+	answer, viaPeer, err := s.makeCall(ctx, call, func(ctx context.Context) (err error) {
 		snapshot, err = s.rows.Feed(ctx, table, since, hold)
 		return err
 	})
-	if byPeer {
-		return answered.Snapshot, err
+	if viaPeer {
+		return answer.Snapshot, err
 	}
 	return snapshot, err
 }
 
-// Parts implements passthrough.Rows; it is always asked directly.
+// Parts implements passthrough.Rows. It always calls the store directly.
 func (s *Store) Parts(ctx context.Context, table, after string) (parts []string, more bool, err error) {
 	return s.rows.Parts(ctx, table, after)
 }
 
 // PutObject implements passthrough.Objects.
 func (s *Store) PutObject(ctx context.Context, name string, body []byte) error {
-	_, _, err := s.do(ctx, sharing.StoreCall{Kind: sharing.StorePut, Object: name, Body: body}, func(ctx context.Context) error {
+	_, _, err := s.makeCall(ctx, sharing.StoreCall{Kind: sharing.StorePut, Object: name, Body: body}, func(ctx context.Context) error {
 		return s.objects.PutObject(ctx, name, body)
 	})
 	return err
@@ -260,56 +258,57 @@
 
 // GetObject implements passthrough.Objects.
 func (s *Store) GetObject(ctx context.Context, name string) (body []byte, err error) {
-	answered, byPeer, err := s.do(ctx, sharing.StoreCall{Kind: sharing.StoreGet, Object: name}, func(ctx context.Context) (err error) {
+	answer, viaPeer, err := s.makeCall(ctx, sharing.StoreCall{Kind: sharing.StoreGet, Object: name}, func(ctx context.Context) (err error) {
 		body, err = s.objects.GetObject(ctx, name)
 		return err
 	})
-	if byPeer {
-		return answered.Body, err
+	if viaPeer {
+		return answer.Body, err
 	}
 	return body, err
 }
 
-// DeleteObject implements passthrough.Objects; it is always asked directly.
+// DeleteObject implements passthrough.Objects. It always calls the store directly.
 func (s *Store) DeleteObject(ctx context.Context, name string) error {
 	return s.objects.DeleteObject(ctx, name)
 }
 
-// ListObjects implements passthrough.Objects; it is always asked directly.
+// ListObjects implements passthrough.Objects. It always calls the store directly.
 func (s *Store) ListObjects(ctx context.Context, prefix, after string) (names []string, more bool, err error) {
 	return s.objects.ListObjects(ctx, prefix, after)
 }
 
-// errOwnWayLost is told to a node that asks this one while it has lost its own
-// way to the store.
-var errOwnWayLost = errors.New("this node does not reach the store either")
+// errStoreUnreachable is returned to a peer that asks this node while it has lost direct access
+// itself.
+var errStoreUnreachable = errors.New("this node does not reach the store either")
 
-// CallFor makes a call for another node, directly and never by way of a third.
-func (s *Store) CallFor(ctx context.Context, call sharing.StoreCall) (answered sharing.StoreAnswer) {
+// CallFor makes a call for another node. It calls the store directly and never through a third
+// node.
+func (s *Store) CallFor(ctx context.Context, call sharing.StoreCall) (answer sharing.StoreAnswer) {
 	if s.Lost() {
-		return sharing.StoreAnswer{Fault: sharing.FaultNothingDone, Message: errOwnWayLost.Error()}
+		return sharing.StoreAnswer{Fault: sharing.FaultNothingDone, Message: errStoreUnreachable.Error()}
 	}
 	var err error
 	switch call.Kind {
 	case sharing.StoreCommit:
-		answered.Commit, err = s.rows.Commit(ctx, call.Transaction)
+		answer.Commit, err = s.rows.Commit(ctx, call.Transaction)
 	case sharing.StoreList:
-		answered.Snapshot, err = s.rows.List(ctx, call.Table, call.Part, call.From, call.To, call.Limit)
+		answer.Snapshot, err = s.rows.List(ctx, call.Table, call.Part, call.From, call.To, call.Limit)
 	case sharing.StoreFeed:
-		answered.Snapshot, err = s.rows.Feed(ctx, call.Table, call.Since, call.Wait)
+		answer.Snapshot, err = s.rows.Feed(ctx, call.Table, call.Since, call.Wait)
 	case sharing.StorePut:
 		err = s.objects.PutObject(ctx, call.Object, call.Body)
 	case sharing.StoreGet:
-		answered.Body, err = s.objects.GetObject(ctx, call.Object)
+		answer.Body, err = s.objects.GetObject(ctx, call.Object)
 	default:
 		return sharing.StoreAnswer{Fault: sharing.FaultNothingDone, Message: "this node does not know the call"}
 	}
 	if ctx.Err() == nil {
-		s.note(err) // the asker's time says nothing of this node's way
+		s.recordOutcome(err) // a deadline of the asking node says nothing about this node's access
 	}
-	answered.Fault = sharing.FaultOf(err)
+	answer.Fault = sharing.FaultOf(err)
 	if err != nil {
-		answered.Message = err.Error()
+		answer.Message = err.Error()
 	}
-	return answered
+	return answer
 }
--- a/internal/passthrough/peerstore/peerstore_test.go
+++ b/internal/passthrough/peerstore/peerstore_test.go
@@ -16,42 +16,42 @@
 	"ringstream.example/ringstream/internal/peer/sharing"
 )
 
-// way is a way to the store that fails as it is told.
-type way struct {
+// fakeStore is direct access to the store that fails with a given error.
+type fakeStore struct {
 	passthrough.Rows
 	passthrough.Objects
 	err   error
 	calls int
 }
 
-func (w *way) Commit(context.Context, passthrough.Transaction) (passthrough.CommitResult, error) {
-	w.calls++
-	return passthrough.CommitResult{Applied: w.err == nil, Version: 7}, w.err
+func (s *fakeStore) Commit(context.Context, passthrough.Transaction) (passthrough.CommitResult, error) {
+	s.calls++
+	return passthrough.CommitResult{Applied: s.err == nil, Version: 7}, s.err
 }
 
-func (w *way) List(context.Context, string, string, string, string, int) (passthrough.Snapshot, error) {
-	w.calls++
-	return passthrough.Snapshot{Version: 7}, w.err
+func (s *fakeStore) List(context.Context, string, string, string, string, int) (passthrough.Snapshot, error) {
+	s.calls++
+	return passthrough.Snapshot{Version: 7}, s.err
 }
 
-func (w *way) Feed(context.Context, string, int64, time.Duration) (passthrough.Snapshot, error) {
-	w.calls++
-	return passthrough.Snapshot{Version: 8}, w.err
+func (s *fakeStore) Feed(context.Context, string, int64, time.Duration) (passthrough.Snapshot, error) {
+	s.calls++
+	return passthrough.Snapshot{Version: 8}, s.err
 }
 
-func (w *way) GetObject(context.Context, string) ([]byte, error) {
-	w.calls++
-	return []byte("object"), w.err
+func (s *fakeStore) GetObject(context.Context, string) ([]byte, error) {
+	s.calls++
+	return []byte("object"), s.err
 }
 
-// peers are other nodes, each with a store of its own way, or unreachable.
-type peers struct {
+// fakePeers are other nodes, each with its own access to the store, or unreachable.
+type fakePeers struct {
 	stores map[string]*Store
-	lost   map[string]error // transport errors
+	lost   map[string]error // transport errors by peer
 	asked  []string
 }
 
-func (p *peers) Addresses() []string {
+func (p *fakePeers) Addresses() []string {
 	var addresses []string
 	for address := range p.stores {
 		addresses = append(addresses, address)
@@ -60,7 +60,7 @@
 	return addresses
 }
 
-func (p *peers) CallStore(ctx context.Context, peer string, call sharing.StoreCall) (sharing.StoreAnswer, error) {
+func (p *fakePeers) CallStore(ctx context.Context, peer string, call sharing.StoreCall) (sharing.StoreAnswer, error) {
 	p.asked = append(p.asked, peer)
 	if err := p.lost[peer]; err != nil {
 		return sharing.StoreAnswer{}, err
@@ -68,7 +68,7 @@
 	return p.stores[peer].CallFor(ctx, call), nil
 }
 
-func newStore(own *way) *Store {
+func newStore(own *fakeStore) *Store {
 	return New(DefaultConfig(), own, own, "table", zap.NewNop())
 }
 
@@ -79,30 +79,30 @@
 	errSilent  = fmt.Errorf("%w: no answer", passthrough.ErrOutcomeUnknown)
 )
 
-// lose has a store's own way fail until it counts as lost; in a bubble, whose
-// time passes at once.
-func lose(t *testing.T, store *Store, own *way, err error) {
+// loseDirectAccess makes direct calls of a store fail until access counts as lost. It must run in
+// a synctest bubble, since it sleeps.
+func loseDirectAccess(t *testing.T, store *Store, own *fakeStore, err error) {
 	t.Helper()
 	own.err = err
-	for number := range DefaultConfig().FailuresToLeave {
+	for number := range DefaultConfig().MinFailures {
 		if number > 0 {
-			time.Sleep(DefaultConfig().LeaveAfter)
+			time.Sleep(DefaultConfig().MinFailurePeriod)
 		}
 		if _, got := store.Commit(t.Context(), passthrough.Transaction{}); !errors.Is(got, err) {
 			t.Fatalf("got %v, want %v", got, err)
 		}
 	}
 	if !store.Lost() {
-		t.Fatal("the own way does not count as lost")
+		t.Fatal("direct access does not count as lost")
 	}
 }
 
-func TestLostWayGoesByPeersAndComesBack(t *testing.T) {
+func TestCallsGoThroughPeersUntilDirectAccessReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		own, theirs := &way{}, &way{}
+		own, theirs := &fakeStore{}, &fakeStore{}
 		store := newStore(own)
-		store.UsePeers(&peers{stores: map[string]*Store{"p1": newStore(theirs)}}, always)
-		lose(t, store, own, errRefused)
+		store.UsePeers(&fakePeers{stores: map[string]*Store{"p1": newStore(theirs)}}, always)
+		loseDirectAccess(t, store, own, errRefused)
 		made := own.calls
 		if result, err := store.Commit(t.Context(), passthrough.Transaction{}); err != nil || !result.Applied || result.Version != 7 {
 			t.Errorf("commit: %+v, %v", result, err)
@@ -117,44 +117,44 @@
 			t.Errorf("object: %q, %v", body, err)
 		}
 		if own.calls != made || theirs.calls != 4 {
-			t.Errorf("%d calls on the own way, %d on the peer's", own.calls-made, theirs.calls)
+			t.Errorf("%d direct calls, %d calls by the peer", own.calls-made, theirs.calls)
 		}
 		own.err = nil
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = store.Run(ctx) }()
-		time.Sleep(2 * DefaultConfig().ProbeEvery)
+		time.Sleep(2 * DefaultConfig().ProbeInterval)
 		synctest.Wait()
 		if store.Lost() {
-			t.Error("the own way is sound and still counts as lost")
+			t.Error("direct access works again and still counts as lost")
 		}
 	})
 }
 
-// TestWhatIsKnownOfACallStaysTrue has peers fail in each way: only a call that
-// provably had no effect may be made again on another way.
-func TestWhatIsKnownOfACallStaysTrue(t *testing.T) {
+// Peers fail in each way. Only a call that certainly had no effect may be made again, by direct
+// access.
+func TestOnlyCallsWithoutEffectAreMadeAgain(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		theirs    error // of the peer's own way
+		theirs    error // of the peer's own access to the store
 		transport error // of the call to the peer
 		want      error
-		ownCalls  int // made after the peers were asked
+		ownCalls  int // direct calls after the peers were asked
 	}{
 		{name: "the peer's store refuses", theirs: errRefused, want: nil, ownCalls: 1},
-		{name: "the peer is not reached", transport: errRefused, want: nil, ownCalls: 1},
-		{name: "the peer's store is silent", theirs: errSilent, want: passthrough.ErrOutcomeUnknown},
-		{name: "the peer is silent", transport: errSilent, want: passthrough.ErrOutcomeUnknown},
+		{name: "the peer is unreachable", transport: errRefused, want: nil, ownCalls: 1},
+		{name: "the peer's store does not answer", theirs: errSilent, want: passthrough.ErrOutcomeUnknown},
+		{name: "the peer does not answer", transport: errSilent, want: passthrough.ErrOutcomeUnknown},
 		{name: "the history is gone", theirs: passthrough.ErrHistoryGone, want: passthrough.ErrHistoryGone},
 		{name: "there is no such object", theirs: passthrough.ErrNotFound, want: passthrough.ErrNotFound},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				own := &way{}
+				own := &fakeStore{}
 				store := newStore(own)
-				others := &peers{stores: map[string]*Store{"p1": newStore(&way{err: test.theirs})}, lost: map[string]error{"p1": test.transport}}
+				others := &fakePeers{stores: map[string]*Store{"p1": newStore(&fakeStore{err: test.theirs})}, lost: map[string]error{"p1": test.transport}}
 				store.UsePeers(others, always)
-				lose(t, store, own, errRefused)
+				loseDirectAccess(t, store, own, errRefused)
 				own.err = nil
 				made := own.calls
 				_, err := store.Commit(t.Context(), passthrough.Transaction{})
@@ -162,23 +162,23 @@
 					t.Errorf("got %v, want %v", err, test.want)
 				}
 				if own.calls-made != test.ownCalls {
-					t.Errorf("%d calls on the own way", own.calls-made)
+					t.Errorf("%d direct calls", own.calls-made)
 				}
 			})
 		})
 	}
 }
 
-// TestNodesThatAllLostTheStoreAskEachOtherSeldom has the store down for all: a
-// peer says so without a call, and is not asked again at once.
-func TestNodesThatAllLostTheStoreAskEachOtherSeldom(t *testing.T) {
+// The store is down for all nodes. A peer reports this without calling the store, and is not asked
+// again at once.
+func TestPeersThatLostTheStoreAreNotAskedAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		own, theirs := &way{}, &way{}
+		own, theirs := &fakeStore{}, &fakeStore{}
 		store, peer := newStore(own), newStore(theirs)
-		others := &peers{stores: map[string]*Store{"p1": peer}}
+		others := &fakePeers{stores: map[string]*Store{"p1": peer}}
 		store.UsePeers(others, always)
-		lose(t, store, own, errRefused)
-		lose(t, peer, theirs, errRefused)
+		loseDirectAccess(t, store, own, errRefused)
+		loseDirectAccess(t, peer, theirs, errRefused)
 		made := theirs.calls
 		for range 10 {
 			if _, err := store.Commit(t.Context(), passthrough.Transaction{}); !errors.Is(err, passthrough.ErrNothingDone) {
@@ -186,7 +186,7 @@
 			}
 		}
 		if theirs.calls != made {
-			t.Errorf("a peer without the store made %d calls", theirs.calls-made)
+			t.Errorf("a peer that had lost the store made %d calls", theirs.calls-made)
 		}
 		if difference := cmp.Diff([]string{"p1"}, others.asked); difference != "" {
 			t.Error(difference)
@@ -194,9 +194,9 @@
 	})
 }
 
-// TestOneFailureLosesNothing has single failures between answers.
-func TestOneFailureLosesNothing(t *testing.T) {
-	own := &way{}
+// Single failures between successful calls do not count as a loss.
+func TestSingleFailuresDoNotLoseDirectAccess(t *testing.T) {
+	own := &fakeStore{}
 	store := newStore(own)
 	for range 5 {
 		own.err = errSilent
@@ -205,40 +205,39 @@
 		_, _ = store.Commit(t.Context(), passthrough.Transaction{})
 	}
 	if store.Lost() {
-		t.Error("the own way counts as lost")
+		t.Error("direct access counts as lost")
 	}
 }
 
-// TestCallsThatTheCallerEndsSayNothing ends calls early.
-func TestCallsThatTheCallerEndsSayNothing(t *testing.T) {
-	own := &way{err: errSilent}
+// Calls that their caller canceled do not count as failures.
+func TestCanceledCallsDoNotCountAsFailures(t *testing.T) {
+	own := &fakeStore{err: errSilent}
 	store := newStore(own)
-	ended, end := context.WithCancel(t.Context())
-	end()
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
 	for range 5 {
-		_, _ = store.Commit(ended, passthrough.Transaction{})
+		_, _ = store.Commit(canceled, passthrough.Transaction{})
 	}
 	if store.Lost() {
-		t.Error("the own way counts as lost")
+		t.Error("direct access counts as lost")
 	}
 }
 
-// TestPeersThatCannotHelpAreAskedLast has most peers out of reach and the one
-// that helped fall silent, as on the recorded day inc-c18a: the only one left
-// is found within a few calls, and stayed with.
+// Most peers are unreachable and the one that helped stops answering, as in the recorded incident
+// inc-c18a. The only peer left must be found within a few calls, and preferred from then on.
 func TestPeersThatCannotHelpAreAskedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		own := &way{}
+		own := &fakeStore{}
 		store := newStore(own)
-		others := &peers{stores: make(map[string]*Store), lost: make(map[string]error)}
+		others := &fakePeers{stores: make(map[string]*Store), lost: make(map[string]error)}
 		for number := range 6 {
 			address := fmt.Sprintf("p%d", number)
-			others.stores[address] = newStore(&way{})
+			others.stores[address] = newStore(&fakeStore{})
 			others.lost[address] = errRefused
 		}
 		delete(others.lost, "p0")
 		store.UsePeers(others, always)
-		lose(t, store, own, errRefused)
+		loseDirectAccess(t, store, own, errRefused)
 		if _, err := store.Commit(t.Context(), passthrough.Transaction{}); err != nil {
 			t.Fatal(err)
 		}
@@ -266,19 +265,19 @@
 	})
 }
 
-// TestThrottledNodesDoNotAskPeersBeforeTheyHaveListed: when 300 nodes started at
-// once the store throttled all of them, and each had others make its listings
-// (sweep at 300: 1,647 kB/s at the busiest node).
+// Guards against starting nodes that have each other make their listings. When 300 nodes started
+// at once, the store throttled all of them and each asked others; the traffic at the busiest node
+// was 1,647 kB/s.
 func TestThrottledNodesDoNotAskPeersBeforeTheyHaveListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		own := &way{}
+		own := &fakeStore{}
 		store := newStore(own)
-		others := &peers{stores: map[string]*Store{"p1": newStore(&way{})}}
+		others := &fakePeers{stores: map[string]*Store{"p1": newStore(&fakeStore{})}}
 		caughtUp := false
 		store.UsePeers(others, func() bool { return caughtUp })
-		lose(t, store, own, errRefused)
+		loseDirectAccess(t, store, own, errRefused)
 		if _, err := store.List(t.Context(), "t", "", "", "", 0); !errors.Is(err, passthrough.ErrNothingDone) || len(others.asked) > 0 {
-			t.Errorf("got %v, %d peers asked", err, len(others.asked))
+			t.Errorf("got %v, %d peers were asked", err, len(others.asked))
 		}
 		caughtUp = true
 		if _, err := store.List(t.Context(), "t", "", "", "", 0); err != nil {
@@ -287,15 +286,14 @@
 	})
 }
 
-// TestRefusalsAtOneMomentLoseNothing has many calls refused at once, as by a
-// store that is busy for a moment.
-func TestRefusalsAtOneMomentLoseNothing(t *testing.T) {
-	own := &way{err: errRefused}
+// Many calls are refused at the same moment, as by a store that is busy for a moment.
+func TestRefusalsAtOneMomentDoNotLoseDirectAccess(t *testing.T) {
+	own := &fakeStore{err: errRefused}
 	store := newStore(own)
-	for range 10 * DefaultConfig().FailuresToLeave {
-		store.note(own.err)
+	for range 10 * DefaultConfig().MinFailures {
+		store.recordOutcome(own.err)
 	}
 	if store.Lost() {
-		t.Error("the own way counts as lost")
+		t.Error("direct access counts as lost")
 	}
 }
