--- a/internal/passthrough/edge/edge.go
+++ b/internal/passthrough/edge/edge.go
@@ -412,7 +412,7 @@
 	if n.replicas != nil {
 		n.replicas.WatchBy(n.watch)
 	}
-	forward.WatchBy(n.watch)
+	forward.SetSuspensionWatch(n.watch)
 }
 
 // watchClock notes when the process stood still.
--- a/internal/passthrough/ingress/ingress.go
+++ b/internal/passthrough/ingress/ingress.go
@@ -130,7 +130,7 @@
 		return
 	}
 	s.serve(to, &relay.Call{
-		Request: request, Body: body, Route: route, Version: known.Table.Version(), Learned: known.Learned, Demand: demand, Received: received, Slept: slept, Tenant: holder,
+		Request: request, Body: body, Route: route, Version: known.Table.Version(), Learned: known.Learned, Demand: demand, Received: received, Suspended: slept, Tenant: holder,
 	})
 }
 
--- a/internal/passthrough/relay/attempt.go
+++ b/internal/passthrough/relay/attempt.go
@@ -22,53 +22,53 @@
 	"ringstream.example/ringstream/internal/passthrough/slots"
 )
 
-// maxBuffered is the longest answer that is held to be sent whole.
-const maxBuffered = 16 << 20
+// maxBufferedBytes limits the body of an engine response that is buffered before it is sent.
+const maxBufferedBytes = 16 << 20
 
-// engineFailure is an engine's own answer that is a failure, kept to be handed
-// on when no other attempt succeeds.
-type engineFailure struct {
+// bufferedResponse is an engine's response with its whole body in memory. An error response is
+// kept in this form and is sent to the client when no other attempt succeeds.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (f *engineFailure) write(to http.ResponseWriter) {
-	copyHeader(to.Header(), f.header)
-	to.Header().Set("Content-Length", strconv.Itoa(len(f.body)))
-	to.WriteHeader(f.status)
-	_, _ = to.Write(f.body) // the client may have left
+func (r *bufferedResponse) write(to http.ResponseWriter) {
+	copyEndToEndHeaders(to.Header(), r.header)
+	to.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
+	to.WriteHeader(r.status)
+	_, _ = to.Write(r.body) // the client may have left
 }
 
-var errForeign = errors.New("the answer lacks the engine's signature")
+var errUnsigned = errors.New("response carries no engine signature")
 
-// attempt sends the request to one engine and hands its answer on.
-func (e *exchange) attempt(bounded context.Context, decision slots.Decision) Outcome {
+// attempt sends the request to one engine and forwards the response to the client.
+func (e *exchange) attempt(deadlineCtx context.Context, decision slots.Decision) Outcome {
 	started := time.Now()
 	engine := decision.Choice.Entry
 	before := e.stream.Count()
-	ctx, cancel := context.WithCancel(bounded)
+	ctx, cancel := context.WithCancel(deadlineCtx)
 	defer cancel()
-	e.stoppable.set(cancel)
-	defer e.stoppable.set(nil)
+	e.currentAttempt.set(cancel)
+	defer e.currentAttempt.set(nil)
 	key := engineconn.Key{Engine: engine.Incarnation(), Address: engine.Address}
 	answer, err := e.pool.Do(ctx, key, e.request(decision.Choice, ctx, cancel))
-	outcome, status, left := NotRun, 0, false
+	outcome, status, interrupted := NotRun, 0, false
 	switch {
 	case err == nil:
 		status = answer.Response.StatusCode
-		outcome, err = e.handOn(answer, decision)
-		left = ctx.Err() != nil
+		outcome, err = e.forward(answer, decision)
+		interrupted = ctx.Err() != nil
 		if outcome != Completed {
-			cancel() // an answer that is not taken to its end has the engine drop the request
+			cancel() // closes the connection, so that the engine drops the request
 		}
 		answer.Close()
 	case !errors.Is(err, engineconn.ErrNotSent):
-		outcome, left = Failed, ctx.Err() != nil
+		outcome, interrupted = Failed, ctx.Err() != nil
 	}
-	ended := false
-	if outcome == Failed && !left && engineconn.BrokenByEngine(err) {
-		ended = e.guard.Broke(bounded, guard.Run{Request: e.call.Demand.RequestID, Content: e.content, Engine: key})
+	engineEnded := false
+	if outcome == Failed && !interrupted && engineconn.BrokenByEngine(err) {
+		engineEnded = e.guard.Broke(deadlineCtx, guard.Run{Request: e.call.Demand.RequestID, Content: e.content, Engine: key})
 	}
 	if outcome == Completed {
 		e.guard.Served(e.call.Demand.RequestID, e.content)
@@ -77,42 +77,41 @@
 		e.attempts++
 		e.mayHaveRun = true
 	}
-	e.settle(decision.Slot, outcome, err, bounded)
+	e.releaseSlot(decision.Slot, outcome, err, deadlineCtx)
 	fields := []zap.Field{
 		zap.String("request", e.call.Demand.RequestID), zap.Stringer("engine", engine.Incarnation()), zap.Int("attempt", e.tries),
 		zap.Duration("elapsed", time.Since(started)), zap.Error(err),
 	}
-	if outcome == NotRun && e.tries > triesLogged {
+	if outcome == NotRun && e.tries > maxLoggedTries {
 		events.EngineNotReached.Log(e.logger, fields...)
 		return outcome
 	}
-	if e.tries > triesLogged {
+	if e.tries > maxLoggedTries {
 		e.logChoice(decision)
 	}
 	events.AttemptEnded.Log(e.logger, append(fields, zap.Stringer("outcome", outcome), zap.Int("status", status),
-		zap.Int("events", e.stream.Count()-before), zap.Stringer("content", e.content), zap.Bool("engine_ended", ended))...)
+		zap.Int("events", e.stream.Count()-before), zap.Stringer("content", e.content), zap.Bool("engine_ended", engineEnded))...)
 	return outcome
 }
 
-// triesLogged is how many tries of one call are logged that no engine ran: while all
-// engines of a pool were down, calls made up to 53 tries, and their lines were nine
-// tenths of a node's log.
-const triesLogged = 4
+// maxLoggedTries limits how many tries that no engine ran are logged for one call. With all
+// engines of a pool down, calls made up to 53 tries, and their lines were 90% of a node's log.
+const maxLoggedTries = 4
 
-// request makes the request to the engine; an engine that stays silent longer
-// than its answer is waited for has its connection closed by cancel.
+// request builds the request to the engine and starts the timer that calls cancel, which closes
+// the connection, when the engine sends no response head within the silence timeout.
 func (e *exchange) request(choice enginechoice.Choice, ctx context.Context, cancel context.CancelFunc) engineconn.Request {
 	engine := choice.Entry
 	header := make(http.Header, len(e.call.Request.Header)+2)
-	copyHeader(header, e.call.Request.Header)
+	copyEndToEndHeaders(header, e.call.Request.Header)
 	lastEvent := ""
 	if e.stream.Count() > 0 {
 		lastEvent = e.stream.Last()
 	}
-	e.headers.SetForEngine(header, passthrough.EngineRequest{TimeLeft: e.clock.left(), Instance: engine.ID, LastEvent: lastEvent, Tenant: e.call.TenantName()})
+	e.headers.SetForEngine(header, passthrough.EngineRequest{TimeLeft: e.clock.remaining(), Instance: engine.ID, LastEvent: lastEvent, Tenant: e.call.TenantName()})
 	e.headTimer = nil
-	if silence := e.silence(); silence > 0 {
-		e.headTimer = newPatience(silence, cancel, func() bool { return e.waitsItsTurn(choice) })
+	if timeout := e.silenceTimeout(); timeout > 0 {
+		e.headTimer = newSilenceTimer(timeout, cancel, func() bool { return e.engineLikelyFull(choice) })
 		context.AfterFunc(ctx, e.headTimer.Stop)
 	}
 	return engineconn.Request{
@@ -128,79 +127,80 @@
 	}
 }
 
-// Silence: a repeatable stream whose engine says nothing for this long goes on
-// elsewhere, while attempts are left. Others wait for their engine.
+// Silence timeouts. A repeatable stream whose engine sends nothing for this long is resumed at
+// another engine while attempts are left. Other requests wait until their deadline.
 const (
-	silenceLeast     = 700 * time.Millisecond
-	silenceObjective = 4 // times the objective, before the first event
-	silencePauses    = 3 // times the longest pause, between events
+	minSilenceTimeout      = 700 * time.Millisecond
+	silenceObjectiveFactor = 4 // multiple of the first-event objective, before the first event
+	silencePauseFactor     = 3 // multiple of the pause objective, between events
 )
 
-// silence gives how long an engine may say nothing; 0: until the deadline.
-func (e *exchange) silence() time.Duration {
+// silenceTimeout returns how long an engine may send nothing. Zero means until the deadline.
+func (e *exchange) silenceTimeout() time.Duration {
 	if !e.call.Route.Repeatable() || e.attempts+1 >= e.call.Route.Attempts {
 		return 0
 	}
 	if e.stream.Count() == 0 {
-		return max(silenceLeast, silenceObjective*e.call.Route.Objective)
+		return max(minSilenceTimeout, silenceObjectiveFactor*e.call.Route.Objective)
 	}
-	return max(silenceLeast, silencePauses*e.call.Route.PauseObjective)
+	return max(minSilenceTimeout, silencePauseFactor*e.call.Route.PauseObjective)
 }
 
-// waitsItsTurn says whether an engine is believed to be full, so that its
-// silence means a queue; leaving it would only queue elsewhere.
-func (e *exchange) waitsItsTurn(choice enginechoice.Choice) (waits bool) {
-	e.engines.Use(func(set *enginechoice.Set, now time.Time) { waits = set.Queues(choice, now) })
-	return waits
+// engineLikelyFull reports whether the engine is believed to have no free slot. Its silence then
+// means that the request is queued there, and another engine would queue it as well.
+func (e *exchange) engineLikelyFull(choice enginechoice.Choice) (full bool) {
+	e.engines.Use(func(set *enginechoice.Set, now time.Time) { full = set.Queues(choice, now) })
+	return full
 }
 
-// handOn gives the engine's answer to the client.
-func (e *exchange) handOn(answer *engineconn.Exchange, decision slots.Decision) (Outcome, error) {
+// forward sends the engine's response to the client.
+func (e *exchange) forward(answer *engineconn.Exchange, decision slots.Decision) (Outcome, error) {
 	if e.headTimer != nil {
 		e.headTimer.Stop()
 	}
 	response := answer.Response
-	said := e.headers.Answer(response.StatusCode, response.Header)
-	if said.LoadKnown {
-		decision.Slot.Observe(said.Load.Running, said.Load.Waiting)
+	metadata := e.headers.Answer(response.StatusCode, response.Header)
+	if metadata.LoadKnown {
+		decision.Slot.Observe(metadata.Load.Running, metadata.Load.Waiting)
 	}
-	if said.NotRun {
-		return e.notRun(answer, decision.Choice)
+	if metadata.NotRun {
+		return e.discardRefusal(answer, decision.Choice)
 	}
 	success := response.StatusCode >= http.StatusOK && response.StatusCode < http.StatusMultipleChoices
-	if success && !said.Sealed {
-		return Failed, errForeign
+	if success && !metadata.Sealed {
+		return Failed, errUnsigned
 	}
 	if success && e.call.Route.Kind == passroute.KindStream {
-		return e.handOnStream(answer, decision.Slot)
+		return e.forwardStream(answer, decision.Slot)
 	}
-	return e.handOnWhole(answer, success)
+	return e.forwardBuffered(answer, success)
 }
 
-// notRun reads over an engine's refusal. An engine that says it is another one
-// is not the one listed at its address.
-func (e *exchange) notRun(answer *engineconn.Exchange, choice enginechoice.Choice) (Outcome, error) {
-	_, err := io.Copy(io.Discard, io.LimitReader(answer, maxBuffered))
+// discardRefusal reads and discards the body of a response that says the engine did not run the
+// request. After 421 Misdirected Request it removes the engine from the set, since another
+// instance answers at the listed address.
+func (e *exchange) discardRefusal(answer *engineconn.Exchange, choice enginechoice.Choice) (Outcome, error) {
+	_, err := io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes))
 	if answer.Response.StatusCode == http.StatusMisdirectedRequest {
 		e.engines.Use(func(set *enginechoice.Set, now time.Time) { set.Remove(choice.Entry.Incarnation(), false, now) })
 	}
 	return NotRun, err
 }
 
-// handOnWhole reads an answer to its end before the client gets any of it.
-func (e *exchange) handOnWhole(answer *engineconn.Exchange, success bool) (Outcome, error) {
-	answer.SetReadDeadline(e.clock.until())
-	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
+// forwardBuffered reads the whole response before it sends any of it to the client.
+func (e *exchange) forwardBuffered(answer *engineconn.Exchange, success bool) (Outcome, error) {
+	answer.SetReadDeadline(e.clock.currentDeadline())
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes))
 	if err != nil {
 		return Failed, err
 	}
-	whole := &engineFailure{status: answer.Response.StatusCode, header: answer.Response.Header, body: body}
+	buffered := &bufferedResponse{status: answer.Response.StatusCode, header: answer.Response.Header, body: body}
 	if !success && (e.headSent || e.moreAttempts()) {
-		e.failure = whole
+		e.lastFailure = buffered
 		return Failed, nil
 	}
-	e.status = whole.status
-	whole.write(e.to)
+	e.status = buffered.status
+	buffered.write(e.to)
 	if !success {
 		e.attempts++
 	}
@@ -211,17 +211,17 @@
 	return e.call.Route.Repeatable() && e.attempts+1 < e.call.Route.Attempts
 }
 
-// handOnStream passes events on as they come.
-func (e *exchange) handOnStream(answer *engineconn.Exchange, slot *slots.Slot) (Outcome, error) {
+// forwardStream sends each event to the client as soon as it is complete.
+func (e *exchange) forwardStream(answer *engineconn.Exchange, slot *slots.Slot) (Outcome, error) {
 	e.stream.Restart()
 	flusher := http.NewResponseController(e.to)
 	buffer := make([]byte, 16<<10)
 	for {
-		answer.SetReadDeadline(e.readUntil())
+		answer.SetReadDeadline(e.readDeadline())
 		count, err := answer.Read(buffer)
 		whole, tooLong := e.stream.Add(buffer[:count])
 		if len(whole) > 0 {
-			e.began(slot)
+			e.recordFirstEvent(slot)
 			e.sendHead(answer.Response)
 			if _, failed := e.to.Write(whole); failed != nil {
 				return ClientGone, failed
@@ -245,41 +245,44 @@
 	}
 }
 
-func (e *exchange) readUntil() time.Time {
-	if silence := e.silence(); silence > 0 {
-		if until := time.Now().Add(silence); until.Before(e.clock.until()) {
+// readDeadline returns the deadline of the next read: the silence timeout or the call's deadline,
+// whichever is earlier.
+func (e *exchange) readDeadline() time.Time {
+	if timeout := e.silenceTimeout(); timeout > 0 {
+		if until := time.Now().Add(timeout); until.Before(e.clock.currentDeadline()) {
 			return until
 		}
 	}
-	return e.clock.until()
+	return e.clock.currentDeadline()
 }
 
-// began notes the first event of an attempt.
-func (e *exchange) began(slot *slots.Slot) {
+// recordFirstEvent records that an attempt has produced an event, and the time of the call's
+// first event.
+func (e *exchange) recordFirstEvent(slot *slots.Slot) {
 	if e.firstEvent == 0 {
 		e.firstEvent = time.Since(e.call.Received)
 	}
 	slot.Started()
 }
 
-// sendHead sends the head of the first engine that answers; a resumed stream
-// keeps it.
+// sendHead sends the status and headers of the first engine that responds. A resumed stream
+// keeps them.
 func (e *exchange) sendHead(response *http.Response) {
 	if e.headSent {
 		return
 	}
 	e.headSent = true
 	e.status = response.StatusCode
-	copyHeader(e.to.Header(), response.Header)
-	e.to.Header().Del("Content-Length") // the stream may go on at another engine
+	copyEndToEndHeaders(e.to.Header(), response.Header)
+	e.to.Header().Del("Content-Length") // the stream may be resumed at another engine
 	e.to.WriteHeader(response.StatusCode)
 }
 
-// settle counts the attempt's end.
-func (e *exchange) settle(slot *slots.Slot, outcome Outcome, err error, bounded context.Context) {
+// releaseSlot ends the attempt's slot and reports how the attempt ended.
+func (e *exchange) releaseSlot(slot *slots.Slot, outcome Outcome, err error, deadlineCtx context.Context) {
 	result := enginechoice.Succeeded
 	switch {
-	case outcome == ClientGone || (outcome == Failed && bounded.Err() != nil):
+	case outcome == ClientGone || (outcome == Failed && deadlineCtx.Err() != nil):
 		result = enginechoice.Abandoned
 	case outcome == NotRun && err == nil:
 		result = enginechoice.Shed
@@ -295,22 +298,23 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// oneConnection are the headers that concern only one connection.
-var oneConnection = []string{
+// hopByHopHeaders are the headers that apply to a single connection.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// copyHeader copies the headers that travel with a message.
-func copyHeader(to, from http.Header) {
-	named := make(map[string]bool)
+// copyEndToEndHeaders copies all headers except the hop-by-hop ones and those that the
+// Connection header names.
+func copyEndToEndHeaders(to, from http.Header) {
+	connectionHeaders := make(map[string]bool)
 	for _, value := range from["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			connectionHeaders[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	for name, values := range from {
-		if !named[name] && !slices.Contains(oneConnection, name) {
+		if !connectionHeaders[name] && !slices.Contains(hopByHopHeaders, name) {
 			to[name] = values
 		}
 	}
--- a/internal/passthrough/relay/eventstream.go
+++ b/internal/passthrough/relay/eventstream.go
@@ -6,23 +6,23 @@
 	"strconv"
 )
 
-// errEventTooLong bounds what is held back of an event that has not ended.
-var errEventTooLong = errors.New("an event is longer than the limit")
+// errEventTooLong is returned when an incomplete event exceeds maxEventBytes.
+var errEventTooLong = errors.New("event exceeds the size limit")
 
-// maxEventBytes is the longest event.
+// maxEventBytes limits the length of an event.
 const maxEventBytes = 4 << 20
 
-// Splitter cuts a stream of bytes into whole events and keeps their order.
-// Events end with an empty line; an event's id stands in its line "id: N".
+// Splitter splits a byte stream into server-sent events and drops those that were returned
+// before. An event ends with an empty line, and the line "id: N" gives its id.
 type Splitter struct {
 	pending []byte
-	last    string // id of the last event given out
+	last    string // id of the last event returned
 	lastID  int64
 	count   int
 }
 
-// NewSplitter makes a splitter for a stream that goes on after the event with
-// the id last; empty: from the start.
+// NewSplitter returns a splitter for a stream that resumes after the event with the id last. An
+// empty id means a stream from the start.
 func NewSplitter(last string) *Splitter {
 	splitter := &Splitter{last: last, lastID: -1}
 	if number, err := strconv.ParseInt(last, 10, 64); err == nil {
@@ -31,20 +31,21 @@
 	return splitter
 }
 
-// Last gives the id of the last event given out, or that of the start.
+// Last returns the id of the last event returned, or the id given to NewSplitter if there is none.
 func (s *Splitter) Last() string { return s.last }
 
-// Count gives the events given out.
+// Count returns the number of events returned so far.
 func (s *Splitter) Count() int { return s.count }
 
-// Pending says whether a part of an event is held back.
+// Pending reports whether an incomplete event is buffered.
 func (s *Splitter) Pending() bool { return len(s.pending) > 0 }
 
-// Restart drops a part of an event, before the stream goes on elsewhere.
+// Restart discards an incomplete event before the stream is resumed at another engine.
 func (s *Splitter) Restart() { s.pending = nil }
 
-// Add takes bytes and gives the whole events among them, those that were
-// given out before left out. The result is valid until the next call.
+// Add appends content to the stream and returns the events that are now complete, without those
+// that were returned before. The result is valid until the next call. Add fails if an incomplete
+// event exceeds maxEventBytes.
 func (s *Splitter) Add(content []byte) ([]byte, error) {
 	s.pending = append(s.pending, content...)
 	var whole []byte
@@ -66,7 +67,8 @@
 	return whole, nil
 }
 
-// isNew takes note of the event's id; an event without one is always new.
+// isNew reports whether the event was not returned before, and records its id. An event without
+// an id is always new.
 func (s *Splitter) isNew(event []byte) bool {
 	id, found := EventID(event)
 	if !found {
@@ -83,7 +85,7 @@
 	return true
 }
 
-// eventEnd gives the length of the first whole event, or -1.
+// eventEnd returns the length of the first complete event, or -1 if there is none.
 func eventEnd(content []byte) int {
 	end := bytes.Index(content, []byte("\n\n"))
 	other := bytes.Index(content, []byte("\r\n\r\n"))
@@ -97,10 +99,10 @@
 	}
 }
 
-// EventID gives the id of one event.
+// EventID returns the id of an event and whether it has one.
 func EventID(event []byte) (string, bool) { return field(event, "id") }
 
-// EventData gives the data of one event, its lines joined with line feeds.
+// EventData returns the data of an event, with its lines joined by line feeds.
 func EventData(event []byte) string {
 	var data []byte
 	first := true
@@ -136,7 +138,8 @@
 	return bytes.TrimPrefix(value, []byte(" ")), true
 }
 
-// Events cuts whole events apart.
+// Events splits a sequence of complete events. A rest that is not terminated becomes the last
+// element.
 func Events(whole []byte) [][]byte {
 	var list [][]byte
 	for len(whole) > 0 {
--- a/internal/passthrough/relay/outcome.go
+++ b/internal/passthrough/relay/outcome.go
@@ -14,19 +14,19 @@
 	"ringstream.example/ringstream/internal/passthrough/slots"
 )
 
-// Outcome says how an attempt, or a whole call, ended.
+// Outcome tells how an attempt or a whole call ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Completed  Outcome = iota // the client has the engine's whole answer
+	Completed  Outcome = iota // the client received the engine's whole response
 	NotRun                    // provably no engine ran it
 	Failed                    // an engine ran it, or may have, and it failed
-	Cut                       // the answer began and cannot be finished
-	ClientGone                // the client left
+	Cut                       // the response began and cannot be finished
+	ClientGone                // the client disconnected
 )
 
-// String gives the outcome's name for logs and metrics.
+// String returns the outcome's name for logs and metrics.
 func (o Outcome) String() string {
 	switch o {
 	case Completed:
@@ -42,42 +42,44 @@
 	}
 }
 
-// reason says why a call is given up.
+// reason is the code that tells why a call is given up.
 type reason string
 
 const (
 	timedOut     reason = "timed_out"
 	noEngine     reason = "no_engine_has_room"
 	attemptsUsed reason = "attempts_used"
-	// limitNotKnown: nobody who counts the tenant's requests answers.
+	// limitNotKnown means that no node that counts the tenant's requests answers.
 	limitNotKnown reason = "limit_not_known"
 )
 
-// Refusal is the body of an answer that the gateway makes itself.
+// Refusal is the body of an error response that the gateway generates itself.
 type Refusal struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	Run     string `json:"run"` // "not_run", "unknown" or "failed"
 }
 
-// What a refusal says of the request.
+// Values of Refusal.Run: whether an engine ran the request.
 const (
 	RunNot     = "not_run"
 	RunUnknown = "unknown"
 	RunFailed  = "failed"
 )
 
-// retryAfter is when a client that found no room should come back.
-const retryAfter = 100 * time.Millisecond
+// notRunRetryAfter is the Retry-After of a request that no engine ran, except where the tenant is
+// over its limit.
+const notRunRetryAfter = 100 * time.Millisecond
 
-// giveUp answers at once, with no more than is known.
+// giveUp ends the call at once. The response claims no more than is known about whether an engine
+// ran the request. A response whose head is sent is cut off.
 func (e *exchange) giveUp(why reason) Outcome {
 	if e.headSent {
 		return Cut
 	}
-	if e.failure != nil && why != timedOut {
-		e.status = e.failure.status
-		e.failure.write(e.to)
+	if e.lastFailure != nil && why != timedOut {
+		e.status = e.lastFailure.status
+		e.lastFailure.write(e.to)
 		return Failed
 	}
 	if e.mayHaveRun {
@@ -89,14 +91,15 @@
 		return Failed
 	}
 	e.status = http.StatusServiceUnavailable
-	e.headers.SetRetryAfter(e.to.Header(), retryAfter)
-	events.RequestRefused.Log(e.logger, zap.String("request", e.call.Demand.RequestID), zap.String("reason", string(why)), zap.Duration("retry_after", retryAfter))
+	e.headers.SetRetryAfter(e.to.Header(), notRunRetryAfter)
+	events.RequestRefused.Log(e.logger, zap.String("request", e.call.Demand.RequestID), zap.String("reason", string(why)), zap.Duration("retry_after", notRunRetryAfter))
 	WriteRefusal(e.to, e.status, Refusal{Code: string(why), Message: "no engine ran the request; it may be sent again", Run: RunNot})
 	return NotRun
 }
 
-// refuseOverLimit answers at once that the tenant's limit is used up, and when there
-// is room again.
+// refuseOverLimit answers 429 when the tenant's limit is used up, and sets Retry-After to the
+// time at which the limit allows requests again. If an engine may have run the request, it gives
+// up instead.
 func (e *exchange) refuseOverLimit(cause *slots.OverLimitError) Outcome {
 	if e.headSent || e.mayHaveRun {
 		return e.giveUp(attemptsUsed)
@@ -112,19 +115,19 @@
 	return NotRun
 }
 
-// refuseBlocked answers at once that engines end under the request's content, or that an
-// operator has blocked it, and when it may be sent again. It promises nothing of the
-// request having run.
+// refuseBlocked answers 502 because engines crashed while they ran the request's content, or
+// because an operator has blocked it. Retry-After tells when the request may be sent again. The
+// response does not claim that no engine ran the request.
 func (e *exchange) refuseBlocked(verdict quarantine.Verdict) Outcome {
 	if e.headSent {
 		return Cut
 	}
-	left := time.Until(verdict.Until)
+	retryAfter := time.Until(verdict.Until)
 	events.ContentRefused.Log(e.logger, zap.String("request", e.call.Demand.RequestID), zap.Stringer("content", e.content), zap.String("route", e.call.Route.Name),
-		zap.String("tenant", e.call.TenantName()), zap.Int("crashes", verdict.Crashes), zap.Float64("evidence", verdict.Evidence), zap.Bool("by_operator", verdict.Ordered), zap.Duration("retry_after", left))
+		zap.String("tenant", e.call.TenantName()), zap.Int("crashes", verdict.Crashes), zap.Float64("evidence", verdict.Evidence), zap.Bool("by_operator", verdict.Ordered), zap.Duration("retry_after", retryAfter))
 	e.guard.Metrics.Refused(e.call.Route.Name)
 	e.status = http.StatusBadGateway
-	e.headers.SetRetryAfter(e.to.Header(), left)
+	e.headers.SetRetryAfter(e.to.Header(), retryAfter)
 	refusal := Refusal{
 		Code: "request_ends_engines", Run: RunFailed,
 		Message: fmt.Sprintf("%d engines ended while they ran this request; it is not sent to more of them", verdict.Crashes),
@@ -136,14 +139,13 @@
 	return Failed
 }
 
-// RefuseNotRun answers 503 for a request that no engine got, and says when to
-// come back.
+// RefuseNotRun answers 503 with a Retry-After for a request that was sent to no engine.
 func RefuseNotRun(to http.ResponseWriter, headers passthrough.Headers, after time.Duration, code, message string) {
 	headers.SetRetryAfter(to.Header(), after)
 	WriteRefusal(to, http.StatusServiceUnavailable, Refusal{Code: code, Message: message, Run: RunNot})
 }
 
-// WriteRefusal writes an answer of the gateway's own.
+// WriteRefusal writes a response that the gateway generates itself.
 func WriteRefusal(to http.ResponseWriter, status int, refusal Refusal) {
 	to.Header().Set("Content-Type", "application/json")
 	to.WriteHeader(status)
--- a/internal/passthrough/relay/patience.go
+++ b/internal/passthrough/relay/patience.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// longestTurns bounds how often a silence is forgiven, in multiples of it.
-const longestTurns = 3
+// maxSilencePeriods limits the wait for a silent engine that is busy, in multiples of the timeout.
+const maxSilencePeriods = 3
 
-// patience ends an attempt whose engine stays silent, unless the engine is
-// known to be busy with others: then it is given more time, up to a bound.
-type patience struct {
-	mu      sync.Mutex
-	timer   *time.Timer
-	stopped bool
-	turns   int
+// silenceTimer ends an attempt whose engine stays silent. An engine that is busy with other
+// requests gets up to maxSilencePeriods times the timeout. It is safe for concurrent use.
+type silenceTimer struct {
+	mu          sync.Mutex
+	timer       *time.Timer
+	stopped     bool
+	expirations int
 }
 
-func newPatience(silence time.Duration, end func(), busy func() bool) *patience {
-	waiting := &patience{}
-	waiting.mu.Lock()
-	defer waiting.mu.Unlock()
-	waiting.timer = time.AfterFunc(silence, func() { waiting.expire(silence, end, busy) })
-	return waiting
+func newSilenceTimer(timeout time.Duration, end func(), busy func() bool) *silenceTimer {
+	watcher := &silenceTimer{}
+	watcher.mu.Lock()
+	defer watcher.mu.Unlock()
+	watcher.timer = time.AfterFunc(timeout, func() { watcher.expire(timeout, end, busy) })
+	return watcher
 }
 
-func (p *patience) expire(silence time.Duration, end func(), busy func() bool) {
-	crowded := busy()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.stopped {
+func (t *silenceTimer) expire(timeout time.Duration, end func(), busy func() bool) {
+	engineBusy := busy()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stopped {
 		return
 	}
-	p.turns++
-	if crowded && p.turns < longestTurns {
-		p.timer.Reset(silence)
+	t.expirations++
+	if engineBusy && t.expirations < maxSilencePeriods {
+		t.timer.Reset(timeout)
 		return
 	}
-	p.stopped = true
+	t.stopped = true
 	end()
 }
 
-// Stop ends the watch.
-func (p *patience) Stop() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.stopped = true
-	p.timer.Stop()
+// Stop disarms the timer.
+func (t *silenceTimer) Stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	t.timer.Stop()
 }
--- a/internal/passthrough/relay/relay.go
+++ b/internal/passthrough/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay hands one request to an engine and its answer to the client:
-// it picks engines, sends attempts, resumes broken streams, and gives up in
-// time. It owns what is known of each attempt, and never claims more: a
-// refusal says "not run" only when that is sure.
+// Package relay forwards a request to an engine and the response to the client. It acquires slots
+// at engines, sends attempts, resumes broken streams and gives up at the deadline. It records what
+// is known about each attempt and claims no more than that: a refusal says "not run" only if it is
+// certain that no engine ran the request.
 package relay
 
 import (
@@ -26,21 +26,21 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Call is one request of a client, read whole.
+// Call is one request of a client, with its whole body.
 type Call struct {
-	Request  *http.Request
-	Body     []byte
-	Route    *passroute.Route
-	Pool     string
-	Version  int64     // of the routes that Route is of
-	Learned  time.Time // when that version was learned
-	Demand   passthrough.Demand
-	Received time.Time
-	Slept    time.Duration  // how long the machine was suspended in all, when it was received
-	Tenant   *tenant.Tenant // nil: the request is of none
+	Request   *http.Request
+	Body      []byte
+	Route     *passroute.Route
+	Pool      string
+	Version   int64     // of the routes that Route belongs to
+	Learned   time.Time // when this node learned of that version
+	Demand    passthrough.Demand
+	Received  time.Time
+	Suspended time.Duration  // total time that the machine had been suspended at Received
+	Tenant    *tenant.Tenant // nil if the request belongs to no tenant
 }
 
-// TenantName gives the name of the call's tenant; empty: it has none.
+// TenantName returns the name of the call's tenant, or "" if it has none.
 func (c *Call) TenantName() string {
 	if c.Tenant == nil {
 		return ""
@@ -48,7 +48,7 @@
 	return c.Tenant.Name
 }
 
-// content gives what a repeat of the call has in common with it.
+// content returns the parts of the call that are the same in a repeat of it.
 func (c *Call) content() quarantine.Content {
 	return quarantine.Content{Host: c.Request.Host, Target: c.Request.RequestURI, Caller: c.TenantName(), Body: c.Body}
 }
@@ -62,61 +62,61 @@
 	guard   *guard.Service
 	logger  *zap.Logger
 	metrics *Metrics
-	running *running
+	active  *activeCalls
 	watch   *suspension.Watch
 }
 
-// WatchBy has the relay look for suspensions before it sends; called before Run.
-func (r *Relay) WatchBy(watch *suspension.Watch) {
+// SetSuspensionWatch sets the watch that the relay checks for suspensions of the machine before
+// each attempt. It must be called before the first Serve.
+func (r *Relay) SetSuspensionWatch(watch *suspension.Watch) {
 	r.watch = watch
 	watch.OnWake(r.Suspended)
 }
 
-// New makes a relay.
+// New returns a relay.
 func New(headers passthrough.Headers, engines *catalog.Engines, slots *slots.Service, pool *engineconn.Pool, guard *guard.Service, logger *zap.Logger, metrics *Metrics) *Relay {
-	return &Relay{headers: headers, engines: engines, slots: slots, pool: pool, guard: guard, logger: logger, metrics: metrics, running: newRunning()}
+	return &Relay{headers: headers, engines: engines, slots: slots, pool: pool, guard: guard, logger: logger, metrics: metrics, active: newActiveCalls()}
 }
 
-// exchange is the state of one call over its attempts.
+// exchange is the state of one call across its attempts.
 type exchange struct {
 	*Relay
-	call      *Call
-	to        http.ResponseWriter
-	stoppable attemptStop
-	clock     callClock // of the client's deadline or the route's, whichever is earlier
-	excluded  map[enginechoice.Incarnation]bool
+	call           *Call
+	to             http.ResponseWriter
+	currentAttempt attemptCanceler
+	clock          callClock // runs until the deadline of the client or the route, whichever is earlier
+	excluded       map[enginechoice.Incarnation]bool
 
-	content    quarantine.Digest
-	attempts   int  // engines that ran the request, or may have
-	tries      int  // requests sent, those that were not run too
-	mayHaveRun bool // some engine ran it, or may have
-	counted    bool // by the limit of its tenant
-	headSent   bool
-	unserved   error // why no engine took it when it was last asked; nil: one did
-	stream     *Splitter
-	firstEvent time.Duration
-	failure    *engineFailure // the last answer of an engine that is a failure
-	status     int            // that the client got
-	headTimer  *patience      // ends an attempt whose engine stays silent
+	content      quarantine.Digest
+	attempts     int  // attempts in which an engine ran the request or may have
+	tries        int  // requests sent, including those that no engine ran
+	mayHaveRun   bool // an engine ran the request or may have
+	limitCounted bool // the tenant's limit has counted the request
+	headSent     bool
+	lastUnserved error // why the last acquisition of a slot failed; nil if it succeeded
+	stream       *Splitter
+	firstEvent   time.Duration
+	lastFailure  *bufferedResponse // the last error response of an engine
+	status       int               // sent to the client
+	headTimer    *silenceTimer     // ends an attempt whose engine sends no response head
 }
 
-// Serve answers a call. A stream that cannot be finished ends the connection,
-// so that it cannot look complete: Serve then panics with
-// http.ErrAbortHandler, as net/http asks.
+// Serve answers a call. For a stream that cannot be finished it panics with http.ErrAbortHandler,
+// which makes net/http close the connection, so that the stream does not look complete.
 func (r *Relay) Serve(ctx context.Context, to http.ResponseWriter, call *Call) {
 	state := &exchange{
 		Relay: r, call: call, to: to,
 		excluded: make(map[enginechoice.Incarnation]bool), stream: NewSplitter(call.Demand.LastEvent), content: call.content().Digest(),
 	}
-	bounded, cancel := context.WithDeadline(ctx, deadlineOf(call))
+	deadlineCtx, cancel := context.WithDeadline(ctx, deadlineOf(call))
 	defer cancel()
-	state.clock = callClock{cancel: cancel, deadline: deadlineOf(call), slept: call.Slept}
+	state.clock = callClock{cancel: cancel, deadline: deadlineOf(call), suspended: call.Suspended}
 	defer state.clock.stop()
-	r.running.begin(state)
-	defer r.running.end(state)
-	state.clock.woke(r.watch.Total()) // while the call was read
-	outcome := state.run(ctx, bounded)
-	r.metrics.ended(call.Route.Name, outcome, time.Since(call.Received), state.firstEvent)
+	r.active.add(state)
+	defer r.active.remove(state)
+	state.clock.applySuspension(r.watch.Total()) // suspensions while the call was read
+	outcome := state.run(ctx, deadlineCtx)
+	r.metrics.record(call.Route.Name, outcome, time.Since(call.Received), state.firstEvent)
 	events.RequestDone.Log(r.logger,
 		zap.String("request", call.Demand.RequestID), zap.String("route", call.Route.Name),
 		zap.Int64("routes_version", call.Version), zap.Duration("routes_age", time.Since(call.Learned)),
@@ -128,11 +128,11 @@
 	}
 }
 
-// defaultTime bounds a request whose client and route say nothing.
-const defaultTime = time.Minute
+// defaultTimeout applies to a request whose client and route set no time limit.
+const defaultTimeout = time.Minute
 
 func deadlineOf(call *Call) time.Time {
-	left := defaultTime
+	left := defaultTimeout
 	if call.Demand.TimeLeft > 0 {
 		left = call.Demand.TimeLeft
 	}
@@ -142,21 +142,21 @@
 	return call.Received.Add(left)
 }
 
-// run sends attempts until one answers or nothing more may be tried.
-func (e *exchange) run(client, bounded context.Context) Outcome {
-	patience := e.call.Received.Add(patienceOf(e.call))
+// run makes attempts until one succeeds or no further attempt is allowed.
+func (e *exchange) run(clientCtx, deadlineCtx context.Context) Outcome {
+	slotDeadline := e.call.Received.Add(slotWaitOf(e.call))
 	for {
-		if client.Err() != nil {
+		if clientCtx.Err() != nil {
 			return ClientGone
 		}
 		e.watch.Look()
-		if bounded.Err() != nil || e.clock.left() <= 0 {
+		if deadlineCtx.Err() != nil || e.clock.remaining() <= 0 {
 			return e.giveUp(timedOut)
 		}
 		if verdict := e.guard.Verdict(e.content); verdict.Blocked {
 			return e.refuseBlocked(verdict)
 		}
-		decision, err := e.choose(bounded, patience)
+		decision, err := e.acquireSlot(deadlineCtx, slotDeadline)
 		if overLimit := (*slots.OverLimitError)(nil); errors.As(err, &overLimit) {
 			return e.refuseOverLimit(overLimit)
 		}
@@ -164,28 +164,28 @@
 			return e.giveUp(limitNotKnown)
 		}
 		if err != nil {
-			if len(e.excluded) == 0 && time.Now().After(patience) || !e.rest(bounded, patience) {
-				return e.concludeUnserved(client, bounded)
+			if len(e.excluded) == 0 && time.Now().After(slotDeadline) || !e.waitForRetry(deadlineCtx, slotDeadline) {
+				return e.concludeUnserved(clientCtx, deadlineCtx)
 			}
 			continue
 		}
-		if verdict := e.guard.Verdict(e.content); verdict.Blocked { // since it began to wait
+		if verdict := e.guard.Verdict(e.content); verdict.Blocked { // the content may have been blocked during the wait
 			decision.Slot.End(enginechoice.Abandoned, false)
 			return e.refuseBlocked(verdict)
 		}
-		if e.watch.Look(); e.clock.left() <= 0 {
+		if e.watch.Look(); e.clock.remaining() <= 0 {
 			decision.Slot.End(enginechoice.Abandoned, false)
 			continue
 		}
-		ended := e.attempt(bounded, decision)
-		switch ended {
+		outcome := e.attempt(deadlineCtx, decision)
+		switch outcome {
 		case Completed, ClientGone:
-			return ended
+			return outcome
 		case NotRun:
 			e.excluded[decision.Choice.Entry.Incarnation()] = true
 			continue
 		}
-		if client.Err() != nil {
+		if clientCtx.Err() != nil {
 			return ClientGone
 		}
 		e.excluded[decision.Choice.Entry.Incarnation()] = true
@@ -195,96 +195,98 @@
 	}
 }
 
-// Patience with full engines: a refusal that comes later than this share of
-// the time left serves nobody.
+// Bounds of the wait for a free slot while the engines are full. A refusal that comes later than
+// this share of the remaining time is of no use to the client.
 const (
-	patienceShare   = 0.4
-	patienceFactor  = 4 // times the objective
-	restBetweenFull = 25 * time.Millisecond
+	slotWaitShare           = 0.4
+	slotWaitObjectiveFactor = 4 // multiple of the first-event objective
+	slotRetryDelay          = 25 * time.Millisecond
 )
 
-func patienceOf(call *Call) time.Duration {
-	left := time.Duration(float64(time.Until(deadlineOf(call))) * patienceShare)
+// slotWaitOf returns how long a call may wait for a free slot.
+func slotWaitOf(call *Call) time.Duration {
+	left := time.Duration(float64(time.Until(deadlineOf(call))) * slotWaitShare)
 	if call.Route.Objective > 0 {
-		left = min(left, patienceFactor*call.Route.Objective)
+		left = min(left, slotWaitObjectiveFactor*call.Route.Objective)
 	}
 	return left
 }
 
-// rest waits a moment for an engine to have room; false when patience ended.
-func (e *exchange) rest(bounded context.Context, patience time.Time) bool {
-	if time.Now().After(patience) {
+// waitForRetry clears the excluded engines and waits slotRetryDelay for one of them to have
+// capacity. It returns false after slotDeadline or when the call's time is up.
+func (e *exchange) waitForRetry(deadlineCtx context.Context, slotDeadline time.Time) bool {
+	if time.Now().After(slotDeadline) {
 		return false
 	}
 	clear(e.excluded)
-	return wait.For(bounded, restBetweenFull)
+	return wait.For(deadlineCtx, slotRetryDelay)
 }
 
-func (e *exchange) concludeUnserved(client, bounded context.Context) Outcome {
-	if client.Err() != nil {
+func (e *exchange) concludeUnserved(clientCtx, deadlineCtx context.Context) Outcome {
+	if clientCtx.Err() != nil {
 		return ClientGone
 	}
-	if bounded.Err() != nil {
+	if deadlineCtx.Err() != nil {
 		return e.giveUp(timedOut)
 	}
 	return e.giveUp(noEngine)
 }
 
-// choose gets a slot at an engine. It waits for one until patience ends; then the
-// request takes its place at an engine, however many are before it.
-func (e *exchange) choose(bounded context.Context, patience time.Time) (slots.Decision, error) {
+// acquireSlot acquires a slot at an engine. It waits for a free slot until slotDeadline. After
+// that the request is placed at an engine, however many requests are queued there.
+func (e *exchange) acquireSlot(deadlineCtx context.Context, slotDeadline time.Time) (slots.Decision, error) {
 	query := Query(e.call.Pool, e.call.Demand)
 	query.Exclude = e.excluded
-	request := slots.Request{ID: e.call.Demand.RequestID, Query: query, Rank: e.call.Route.Priority, PlaceAt: patience, Suspect: e.guard.Suspect(e.content)}
+	request := slots.Request{ID: e.call.Demand.RequestID, Query: query, Rank: e.call.Route.Priority, PlaceAt: slotDeadline, Suspect: e.guard.Suspect(e.content)}
 	if e.call.Route.Objective > 0 {
 		request.Due = e.call.Received.Add(e.call.Route.Objective)
 	}
 	if e.stream.Count() > 0 {
-		request.PlaceAt = e.call.Received // a stream that is to go on would only be later
+		request.PlaceAt = e.call.Received // a resumed stream does not wait for a free slot
 	}
 	if e.call.Tenant != nil {
 		request.TenantRank = e.call.Tenant.Priority
 	}
-	if e.call.Tenant != nil && !e.counted {
+	if e.call.Tenant != nil && !e.limitCounted {
 		request.Tenant = e.call.Tenant.Name
 	}
-	decision, err := e.slots.Acquire(bounded, request)
+	decision, err := e.slots.Acquire(deadlineCtx, request)
 	if err != nil {
 		e.logUnserved(err)
 		return decision, err
 	}
-	e.unserved = nil
-	e.counted = true
+	e.lastUnserved = nil
+	e.limitCounted = true
 	e.tries++
-	if e.tries <= triesLogged {
+	if e.tries <= maxLoggedTries {
 		e.logChoice(decision)
 	}
 	return decision, nil
 }
 
-// logUnserved logs why no engine takes the request, once as long as the reason stays. It is asked for
-// every restBetweenFull: while a fleet's nodes did not know their engines, 167,714 lines were
-// written in 6.1 s, 29 a request on average and 49 at most.
+// logUnserved logs why no engine accepts the request, once as long as the reason stays the same. It
+// is called every slotRetryDelay: while a fleet's nodes did not know their engines, unfiltered
+// logging wrote 167,714 lines in 6.1 s, 29 per request on average and 49 at most.
 func (e *exchange) logUnserved(why error) {
-	if e.unserved != nil && e.unserved.Error() == why.Error() {
+	if e.lastUnserved != nil && e.lastUnserved.Error() == why.Error() {
 		return
 	}
-	e.unserved = why
+	e.lastUnserved = why
 	events.NoEngine.Log(e.logger, zap.String("request", e.call.Demand.RequestID), zap.String("pool", e.call.Pool), zap.Int("excluded", len(e.excluded)), zap.Error(why))
 }
 
-// logChoice logs which engine a try goes to, and why.
+// logChoice logs which engine a try is sent to, and why.
 func (e *exchange) logChoice(decision slots.Decision) {
 	choice := decision.Choice
 	events.EngineChosen.Log(e.logger,
 		zap.String("request", e.call.Demand.RequestID), zap.Stringer("engine", choice.Entry.Incarnation()), zap.Int("attempt", e.tries),
 		zap.Stringer("chosen_by", decision.Source), zap.String("dispatcher", decision.From), zap.Duration("waited", decision.Waited),
 		zap.Float64("score_ms", choice.Score), zap.Int("in_flight", choice.InFlight), zap.Int("slots", choice.Entry.Slots), zap.Int("prefill_tokens", choice.PrefillTokens),
-		zap.Bool("makes_room", choice.MakeRoom), zap.Stringer("state", choice.State), zap.Duration("left", e.clock.left()), zap.String("last_event", e.stream.Last()))
+		zap.Bool("makes_room", choice.MakeRoom), zap.Stringer("state", choice.State), zap.Duration("left", e.clock.remaining()), zap.String("last_event", e.stream.Last()))
 }
 
-// Query translates a request's demand for the choice of an engine. The last
-// part of a prompt belongs to the request itself.
+// Query translates a request's demand into a query for an engine. The last part of the prompt
+// belongs to this request alone and is not shared.
 func Query(pool string, demand passthrough.Demand) enginechoice.Query {
 	query := enginechoice.Query{Pool: pool, OwnTokens: demand.PromptTokens}
 	for i, part := range demand.Parts {
@@ -296,11 +298,11 @@
 	query.OwnTokens = max(query.OwnTokens, 0)
 	output := demand.OutputTokens
 	if demand.LengthHint > 0 {
-		output = min(output, demand.LengthHint*hintMargin/100)
+		output = min(output, demand.LengthHint*lengthHintPercent/100)
 	}
 	query.MemoryTokens = demand.PromptTokens + output
 	return query
 }
 
-// hintMargin is the part of a client's guess, in per cent, that is planned for.
-const hintMargin = 150
+// lengthHintPercent is the share of a client's output length hint that is planned for, in percent.
+const lengthHintPercent = 150
--- a/internal/passthrough/relay/running.go
+++ b/internal/passthrough/relay/running.go
@@ -8,29 +8,29 @@
 	"ringstream.example/ringstream/internal/core/quarantine"
 )
 
-// running is the calls under way, for what concerns them from outside: the machine was
-// suspended, or their content is blocked.
-type running struct {
+// activeCalls holds the calls in flight, so that a suspension of the machine or a block of their
+// content can be applied to them. It is safe for concurrent use.
+type activeCalls struct {
 	mu    sync.Mutex // guards calls
 	calls map[*exchange]struct{}
 }
 
-func newRunning() *running { return &running{calls: make(map[*exchange]struct{})} }
+func newActiveCalls() *activeCalls { return &activeCalls{calls: make(map[*exchange]struct{})} }
 
-func (r *running) begin(call *exchange) {
+func (r *activeCalls) add(call *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls[call] = struct{}{}
 }
 
-func (r *running) end(call *exchange) {
+func (r *activeCalls) remove(call *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.calls, call)
 }
 
-// each runs a function on every call under way.
-func (r *running) each(do func(*exchange)) {
+// each calls do for every call in flight, with the lock held.
+func (r *activeCalls) each(do func(*exchange)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for call := range r.calls {
@@ -38,53 +38,55 @@
 	}
 }
 
-// Suspended takes the time that the machine was suspended off what is left of every call,
-// and ends those whose time is up: their timers slept too.
+// Suspended subtracts the time that the machine was suspended from the remaining time of every
+// call and ends those whose time is up. Their timers stood still during the suspension.
 func (r *Relay) Suspended(time.Duration) {
 	total := r.watch.Total()
-	r.running.each(func(call *exchange) { call.clock.woke(total) })
+	r.active.each(func(call *exchange) { call.clock.applySuspension(total) })
 }
 
-// StopContent ends the runs of a content that is blocked: those that still wait at their
-// engines end none.
+// StopContent cancels the attempts of a content that is blocked. Requests that are still queued at
+// their engines then crash none of them.
 func (r *Relay) StopContent(content quarantine.Digest) {
-	r.running.each(func(call *exchange) {
+	r.active.each(func(call *exchange) {
 		if call.content == content {
-			call.stoppable.stop()
+			call.currentAttempt.stop()
 		}
 	})
 }
 
-// callClock is how long a call may still take. It is safe for concurrent use.
+// callClock holds a call's deadline and corrects it after suspensions of the machine. It is safe
+// for concurrent use.
 type callClock struct {
-	cancel context.CancelFunc // ends the call's time
+	cancel context.CancelFunc // called at the deadline
 
-	mu       sync.Mutex // guards the rest
-	deadline time.Time
-	slept    time.Duration // how long the machine was suspended in all, as of deadline
-	timer    *time.Timer   // nil: no suspension so far, the context's own timer holds
+	mu        sync.Mutex // guards the rest
+	deadline  time.Time
+	suspended time.Duration // total time of suspension that deadline accounts for
+	timer     *time.Timer   // nil before the first suspension, while the context's own timer is right
 }
 
-// left is how long the call may still take.
-func (c *callClock) left() time.Duration { return time.Until(c.until()) }
+// remaining returns how long the call may still take.
+func (c *callClock) remaining() time.Duration { return time.Until(c.currentDeadline()) }
 
-// until is when the call's time is up.
-func (c *callClock) until() time.Time {
+// currentDeadline returns the call's deadline, with all suspensions so far subtracted.
+func (c *callClock) currentDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deadline
 }
 
-// woke brings the end nearer by the time that the machine was suspended since the call came
-// in, or since the last word of it. Total is how long it was in all.
-func (c *callClock) woke(total time.Duration) {
+// applySuspension makes the deadline earlier by the time that the machine was suspended since the
+// deadline was last corrected. The total is that of all suspensions of the machine. A total that is
+// not larger than the one accounted for has no effect.
+func (c *callClock) applySuspension(total time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if total <= c.slept {
+	if total <= c.suspended {
 		return
 	}
-	c.deadline = c.deadline.Add(c.slept - total)
-	c.slept = total
+	c.deadline = c.deadline.Add(c.suspended - total)
+	c.suspended = total
 	if c.timer != nil {
 		c.timer.Stop()
 	}
@@ -100,19 +102,19 @@
 	}
 }
 
-// attemptStop ends the attempt under way, if there is one. It is safe for concurrent use.
-type attemptStop struct {
+// attemptCanceler cancels the attempt in flight, if there is one. It is safe for concurrent use.
+type attemptCanceler struct {
 	mu     sync.Mutex
-	cancel context.CancelFunc // nil: no attempt is under way
+	cancel context.CancelFunc // nil while no attempt is in flight
 }
 
-func (a *attemptStop) set(cancel context.CancelFunc) {
+func (a *attemptCanceler) set(cancel context.CancelFunc) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancel = cancel
 }
 
-func (a *attemptStop) stop() {
+func (a *attemptCanceler) stop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cancel != nil {
