--- a/internal/passthrough/engineconn/conn.go
+++ b/internal/passthrough/engineconn/conn.go
@@ -1,8 +1,8 @@
-// Package engineconn keeps connections to engines: one request at a time on a
-// connection, reused while it is sound. It is a pool of its own over the
-// standard library's request writer and response reader, since an answer may
-// be preceded by one that belongs to another request, which a shared transport
-// could not tell apart. It decides nothing about retries.
+// Package engineconn pools HTTP/1.1 connections to engines. A connection carries one request at a
+// time and is reused while it is healthy. The pool uses the standard library's request writer and
+// response reader instead of http.Transport, because a response may be preceded by one that belongs
+// to another request, and a shared transport cannot tell the two apart. Retries are left to the
+// caller.
 package engineconn
 
 import (
@@ -26,14 +26,14 @@
 
 // Errors of an exchange, found with errors.Is.
 var (
-	// ErrNotSent: provably nothing of the request reached the engine.
+	// ErrNotSent means that no part of the request can have reached the engine.
 	ErrNotSent = errors.New("engine connection: not sent")
-	// ErrBroken: the request was sent, and its answer did not come whole.
+	// ErrBroken means that the request was sent and no complete response was received.
 	ErrBroken = errors.New("engine connection: broken")
 )
 
-// BrokenByEngine says whether an exchange ended because its connection did, and not
-// because of what came on it or because nothing came for too long.
+// BrokenByEngine reports whether an exchange failed because its connection ended, and not because
+// of a timeout or of the response's content.
 func BrokenByEngine(err error) bool {
 	var timeout interface{ Timeout() bool }
 	if errors.As(err, &timeout) && timeout.Timeout() {
@@ -42,47 +42,47 @@
 	return errors.Is(err, ErrBroken) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// maxSurplus is how many answers of other requests are read over on a
-// connection before it is given up.
-const maxSurplus = 4
+// maxSurplusResponses limits the interim responses and the responses to other requests that are
+// skipped on a connection before it is closed.
+const maxSurplusResponses = 4
 
-// bufferBytes is the size of a connection's reading and writing buffers.
+// bufferBytes is the size of a connection's read buffer and of its write buffer.
 const bufferBytes = 8 << 10
 
-// Request is what is sent to an engine.
+// Request is a request to an engine.
 type Request struct {
 	Method string
 	Target string // path and query, as the client sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own tells from an answer's head whether it is this request's.
+	// Own reports whether a response with this header belongs to the request.
 	Own func(http.Header) bool
-	// Surplus hears of answers of other requests that were read over.
+	// Surplus is called with the header of each skipped response to another request.
 	Surplus func(http.Header)
 }
 
 // conn is one connection to an engine.
 type conn struct {
-	pool     *Pool
-	key      Key
-	raw      *net.TCPConn
-	reader   *bufio.Reader
-	uses     int
-	idleFrom time.Time
-	idleMost time.Duration
-	closed   atomic.Bool
+	pool      *Pool
+	key       Key
+	raw       *net.TCPConn
+	reader    *bufio.Reader
+	uses      int
+	idleSince time.Time
+	maxIdle   time.Duration
+	closed    atomic.Bool
 }
 
 func (c *conn) close() {
 	if c.closed.CompareAndSwap(false, true) {
-		_ = c.raw.Close() // nothing is left to be done about it
+		_ = c.raw.Close() // the connection is discarded in any case
 		c.pool.closed()
 	}
 }
 
-// quiet says whether an idle connection is open and holds no unread bytes.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is open and has no unread bytes.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -90,101 +90,104 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, _, failed := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(failed, syscall.EAGAIN)
+		reusable = errors.Is(failed, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// Exchange is one request and its answer on a connection.
+// Exchange is one request and its response on a connection.
 type Exchange struct {
 	Response *http.Response
-	// Reused says that the connection had served requests before.
+	// Reused reports whether the connection had carried requests before.
 	Reused bool
 
-	conn    *conn
-	stop    func() bool
-	done    bool
-	written chan error // holds the outcome of writing the request
+	conn     *conn
+	stop     func() bool
+	bodyRead bool
+	written  chan error // receives the result of writing the request
 }
 
-// Read reads the answer's body. A body that ends early gives ErrBroken.
+// Read reads the response body. A body that ends early gives an error that wraps ErrBroken.
 func (e *Exchange) Read(into []byte) (int, error) {
 	count, err := e.Response.Body.Read(into)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return count, fmt.Errorf("%w: %w", ErrBroken, err)
 	}
 	if errors.Is(err, io.EOF) {
-		e.done = true
+		e.bodyRead = true
 	}
 	return count, err
 }
 
-// SetReadDeadline bounds the wait for the next bytes.
+// SetReadDeadline sets the deadline for further reads of the body.
 func (e *Exchange) SetReadDeadline(at time.Time) { _ = e.conn.raw.SetReadDeadline(at) }
 
-// Close gives the connection back when the body was read to its end and the
-// engine keeps it, and closes it otherwise, which has the engine drop the
-// request.
+// Close returns the connection to the pool if the request was written, the body was read to its
+// end and the engine keeps the connection open. Otherwise it closes the connection, which makes the
+// engine drop the request.
 func (e *Exchange) Close() {
-	live := e.stop()
-	keep := live && e.done && !e.Response.Close && e.framed() && e.whole()
+	active := e.stop()
+	keep := active && e.bodyRead && !e.Response.Close && e.bodyDelimited() && e.requestWritten()
 	if !keep || e.conn.reader.Buffered() > 0 {
 		e.conn.close()
 		return
 	}
 	_ = e.conn.raw.SetDeadline(time.Time{})
-	e.conn.idleMost = keepAlive(e.Response.Header)
+	e.conn.maxIdle = idleLimit(e.Response.Header)
 	e.conn.pool.put(e.conn)
 }
 
-// writerTime is how long the end of an answer waits for the word that the
-// request was written: the writer runs beside the reader, and may not have been
-// scheduled since its last byte left.
-const writerTime = 20 * time.Millisecond
+// writeReportTimeout is how long the end of a response waits for the report that the request was
+// written. The writer runs in its own goroutine, which may not have been scheduled since it wrote
+// the last byte.
+const writeReportTimeout = 20 * time.Millisecond
 
-// whole says whether the request was written to its end.
-func (e *Exchange) whole() bool {
-	timer := time.NewTimer(writerTime)
+// requestWritten reports whether the whole request was written.
+func (e *Exchange) requestWritten() bool {
+	timer := time.NewTimer(writeReportTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-e.written:
 		return err == nil
 	case <-timer.C:
-		return false // an early answer: the rest of the request is not on its way
+		return false // the engine responded before the whole request was sent
 	}
 }
 
-// framed says whether the body's end was told, not only the connection's.
-func (e *Exchange) framed() bool {
+// bodyDelimited reports whether the response marks the end of its body by a length or a transfer
+// encoding, and not by closing the connection.
+func (e *Exchange) bodyDelimited() bool {
 	return e.Response.ContentLength >= 0 || len(e.Response.TransferEncoding) > 0
 }
 
-// The time that an idle connection is kept: less than the engine tells, so
-// that a request does not cross the engine's close.
+// Bounds of the time that an idle connection is kept. It is shorter than the timeout that the engine
+// announces, so that no request is sent while the engine closes the connection.
 const (
-	keepDefault = 3 * time.Second
-	keepMargin  = 700 * time.Millisecond
-	keepMost    = time.Hour // a longer one is no time that an engine keeps
+	defaultKeepAlive = 3 * time.Second
+	keepAliveMargin  = 700 * time.Millisecond
+	maxKeepAlive     = time.Hour // a longer timeout is not plausible and is ignored
 )
 
-func keepAlive(header http.Header) time.Duration {
+// idleLimit returns how long a connection may stay idle, from the Keep-Alive header of its last
+// response.
+func idleLimit(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
-		if strings.EqualFold(name, "timeout") && err == nil && seconds >= 0 && seconds <= int(keepMost.Seconds()) {
-			return time.Duration(seconds)*time.Second - keepMargin
+		if strings.EqualFold(name, "timeout") && err == nil && seconds >= 0 && seconds <= int(maxKeepAlive.Seconds()) {
+			return time.Duration(seconds)*time.Second - keepAliveMargin
 		}
 	}
-	return keepDefault
+	return defaultKeepAlive
 }
 
-// send writes the request and reads the head of its answer. The two run side
-// by side, since an engine may answer before it has read a long body.
+// send writes the request and reads the head of the response. Both run concurrently, because an
+// engine may respond before it has read a long body.
 func (c *conn) send(ctx context.Context, request Request) (*Exchange, error) {
 	stop := context.AfterFunc(ctx, c.close)
 	exchange := &Exchange{conn: c, stop: stop, Reused: c.uses > 0, written: make(chan error, 1)}
@@ -216,15 +219,15 @@
 	return exchange, nil
 }
 
-// readHead reads answers until the request's own.
+// readHead reads responses until it finds the one to the request.
 func (c *conn) readHead(wire *http.Request, request Request) (*http.Response, error) {
-	for range maxSurplus {
+	for range maxSurplusResponses {
 		response, err := http.ReadResponse(c.reader, wire)
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode < http.StatusOK {
-			continue // interim answers carry no body
+			continue // interim responses have no body
 		}
 		if request.Own(response.Header) {
 			return response, nil
@@ -234,10 +237,10 @@
 			return nil, err
 		}
 		if response.Close {
-			return nil, errors.New("closed after the answer of another request")
+			return nil, errors.New("connection closed after the response to another request")
 		}
 	}
-	return nil, errors.New("too many answers of other requests")
+	return nil, errors.New("too many responses to other requests")
 }
 
 func wireRequest(request Request) *http.Request {
@@ -248,7 +251,7 @@
 	}
 	header := request.Header
 	if _, given := header["User-Agent"]; !given {
-		header["User-Agent"] = nil // absent stays absent: the standard writer would add its own
+		header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	wire := &http.Request{
 		Method: request.Method, URL: target, Host: request.Host, Header: header,
@@ -261,7 +264,7 @@
 	return wire
 }
 
-// countingWriter counts the bytes that left.
+// countingWriter counts the bytes that were written to the underlying writer.
 type countingWriter struct {
 	to      io.Writer
 	written int
--- a/internal/passthrough/engineconn/conn_test.go
+++ b/internal/passthrough/engineconn/conn_test.go
@@ -14,9 +14,9 @@
 	"ringstream.example/ringstream/internal/core/enginechoice"
 )
 
-// TestWriterThatIsSlowToReportLosesNoConnection has the answer come before the
-// writer has said that the request is out. Connections were closed then, and
-// opened anew (TestMetricsTellWhatTheNodeGoesBy, on a busy machine).
+// TestWriterThatIsSlowToReportLosesNoConnection guards against a connection that is closed because
+// the response ends before the writer has reported that the request is written. On a busy machine
+// such connections were closed and opened again (seen in TestMetricsTellWhatTheNodeGoesBy).
 func TestWriterThatIsSlowToReportLosesNoConnection(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -24,10 +24,10 @@
 		err   error
 		want  bool
 	}{
-		{name: "at once", want: true},
-		{name: "a moment later", after: writerTime / 2, want: true},
-		{name: "it failed", after: writerTime / 2, err: errors.New("reset"), want: false},
-		{name: "it still writes", after: time.Hour, want: false},
+		{name: "immediately", want: true},
+		{name: "within the timeout", after: writeReportTimeout / 2, want: true},
+		{name: "write failed", after: writeReportTimeout / 2, err: errors.New("reset"), want: false},
+		{name: "still writing", after: time.Hour, want: false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -36,8 +36,8 @@
 					time.Sleep(test.after)
 					exchange.written <- test.err
 				}()
-				if got := exchange.whole(); got != test.want {
-					t.Errorf("got %t", got)
+				if got := exchange.requestWritten(); got != test.want {
+					t.Errorf("requestWritten() = %t, want the opposite", got)
 				}
 				time.Sleep(test.after) // the writer ends before the bubble does
 			})
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestIdleConnectionIsNotUsedPastItsTimeAfterASuspension: the engine has closed it, and the
-// word of that may not have come.
+// TestIdleConnectionIsNotUsedPastItsTimeAfterASuspension guards against the reuse of a connection
+// that exceeded its idle time during a suspension of the machine. The engine has closed it, and the
+// FIN may not have arrived yet.
 func TestIdleConnectionIsNotUsedPastItsTimeAfterASuspension(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) { to.WriteHeader(http.StatusOK) }))
 	defer server.Close()
@@ -64,23 +65,23 @@
 	use()
 	pool.Suspended(time.Second)
 	if !use() {
-		t.Error("a connection in its time was not used")
+		t.Error("a connection within its idle time was not reused")
 	}
-	pool.Suspended(keepDefault)
+	pool.Suspended(defaultKeepAlive)
 	if use() {
-		t.Error("a connection past its time was used")
+		t.Error("a connection past its idle time was reused")
 	}
 }
 
-// TestTimesToKeepAConnectionThatAreNone: a time that overflowed a duration closed each
-// connection after one request.
-func TestTimesToKeepAConnectionThatAreNone(t *testing.T) {
+// TestInvalidKeepAliveTimeouts guards against a Keep-Alive timeout that overflows a duration. Such a
+// timeout closed each connection after one request.
+func TestInvalidKeepAliveTimeouts(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"timeout=5": 5*time.Second - keepMargin, "Timeout=5, max=100": 5*time.Second - keepMargin, "max=3, timeout=0": -keepMargin,
-		"": keepDefault, "timeout": keepDefault, "timeout=x": keepDefault, "timeout=2.5": keepDefault, "timeout=-4": keepDefault,
-		"timeout=9223372037": keepDefault, "timeout=99999999999999999999": keepDefault,
+		"timeout=5": 5*time.Second - keepAliveMargin, "Timeout=5, max=100": 5*time.Second - keepAliveMargin, "max=3, timeout=0": -keepAliveMargin,
+		"": defaultKeepAlive, "timeout": defaultKeepAlive, "timeout=x": defaultKeepAlive, "timeout=2.5": defaultKeepAlive, "timeout=-4": defaultKeepAlive,
+		"timeout=9223372037": defaultKeepAlive, "timeout=99999999999999999999": defaultKeepAlive,
 	} {
-		if got := keepAlive(http.Header{"Keep-Alive": {text}}); got != want {
+		if got := idleLimit(http.Header{"Keep-Alive": {text}}); got != want {
 			t.Errorf("%q: %s, want %s", text, got, want)
 		}
 	}
--- a/internal/passthrough/engineconn/pool.go
+++ b/internal/passthrough/engineconn/pool.go
@@ -15,49 +15,50 @@
 	"ringstream.example/ringstream/internal/core/enginechoice"
 )
 
-// Key names one incarnation of an engine: an address may be used again by another.
+// Key identifies one incarnation of an engine. The address alone does not, since another incarnation
+// may use it later.
 type Key struct {
 	Engine  enginechoice.Incarnation
 	Address string
 }
 
-// Config bounds the pool.
+// Config holds the limits of a pool.
 type Config struct {
-	DialTime    time.Duration // for a connection to come up
-	EndedTime   time.Duration // for the answer whether an engine still listens; a retry waits for it
-	UnackedTime time.Duration // a silent peer's connection ends after this
-	IdlePerKey  int           // idle connections kept for one engine
+	DialTimeout    time.Duration // for opening a connection
+	ProbeTimeout   time.Duration // for the probe whether an engine still listens; a retry waits for it
+	UnackedTimeout time.Duration // how long sent data may stay unacknowledged before the connection is closed
+	MaxIdlePerKey  int           // idle connections kept per engine
 }
 
-// DefaultConfig suits engines a few milliseconds away.
+// DefaultConfig returns limits for engines that are a few milliseconds away.
 func DefaultConfig() Config {
-	return Config{DialTime: 400 * time.Millisecond, EndedTime: 80 * time.Millisecond, UnackedTime: 1500 * time.Millisecond, IdlePerKey: 16}
+	return Config{DialTimeout: 400 * time.Millisecond, ProbeTimeout: 80 * time.Millisecond, UnackedTimeout: 1500 * time.Millisecond, MaxIdlePerKey: 16}
 }
 
-// Pool keeps the idle connections. It is safe for concurrent use.
+// Pool holds the idle connections to engines. It is safe for concurrent use.
 type Pool struct {
 	config Config
 
-	mu     sync.Mutex // guards the rest; never held during I/O but a peek
+	mu     sync.Mutex // guards the fields below; never held during I/O
 	idle   map[Key][]*conn
 	open   int
 	dialed int
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(config Config) *Pool { return &Pool{config: config, idle: make(map[Key][]*conn)} }
 
-// Counts gives the open connections, and how many were opened so far.
+// Counts returns the number of open connections and the number of all connections opened so far.
 func (p *Pool) Counts() (open, dialed int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open, p.dialed
 }
 
-// Do sends a request to an engine and reads the head of its answer. The
-// exchange's body ends when ctx does. Errors wrap ErrNotSent or ErrBroken.
+// Do sends a request to an engine and reads the head of the response. The end of ctx closes the
+// connection, also while the body is read. Errors wrap ErrNotSent or ErrBroken.
 func (p *Pool) Do(ctx context.Context, key Key, request Request) (*Exchange, error) {
-	connection := p.take(key)
+	connection := p.get(key)
 	if connection == nil {
 		var err error
 		if connection, err = p.dial(ctx, key); err != nil {
@@ -67,21 +68,22 @@
 	return connection.send(ctx, request)
 }
 
-// Ended says whether an engine's process has ended, asked after an exchange with it
-// broke: nothing listens at its address any more. A connection that comes up is kept.
+// Ended reports whether an engine's process has ended, which is so when its address refuses a new
+// connection. It is called after an exchange with the engine broke. A connection that it opens is
+// kept in the pool.
 func (p *Pool) Ended(ctx context.Context, key Key) bool {
-	ctx, cancel := context.WithTimeout(ctx, p.config.EndedTime)
+	ctx, cancel := context.WithTimeout(ctx, p.config.ProbeTimeout)
 	defer cancel()
 	connection, err := p.dial(ctx, key)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	connection.idleMost = keepDefault
+	connection.maxIdle = defaultKeepAlive
 	p.put(connection)
 	return false
 }
 
-// Connected gives the engines to which an idle connection is kept.
+// Connected returns the engines to which the pool holds an idle connection.
 func (p *Pool) Connected() map[enginechoice.Incarnation]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,8 +96,8 @@
 	return engines
 }
 
-// take gives an idle connection that is still sound, the last used first.
-func (p *Pool) take(key Key) *conn {
+// get returns the most recently used idle connection that is reusable, or nil if there is none.
+func (p *Pool) get(key Key) *conn {
 	for {
 		p.mu.Lock()
 		list := p.idle[key]
@@ -106,27 +108,29 @@
 		connection := list[len(list)-1]
 		p.idle[key] = list[:len(list)-1]
 		p.mu.Unlock()
-		if time.Since(connection.idleFrom) < connection.idleMost && connection.quiet() {
+		if time.Since(connection.idleSince) < connection.maxIdle && connection.reusable() {
 			return connection
 		}
 		connection.close()
 	}
 }
 
+// put adds an idle connection to the pool, or closes it if the engine has enough of them.
 func (p *Pool) put(connection *conn) {
-	connection.idleFrom = time.Now()
+	connection.idleSince = time.Now()
 	p.mu.Lock()
 	list := p.idle[connection.key]
-	full := len(list) >= p.config.IdlePerKey || connection.idleMost <= 0
-	if !full {
+	discard := len(list) >= p.config.MaxIdlePerKey || connection.maxIdle <= 0
+	if !discard {
 		p.idle[connection.key] = append(list, connection)
 	}
 	p.mu.Unlock()
-	if full {
+	if discard {
 		connection.close()
 	}
 }
 
+// closed is called once for each connection that is closed.
 func (p *Pool) closed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +138,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, key Key) (*conn, error) {
-	dialer := &net.Dialer{Timeout: p.config.DialTime, Control: p.endUnacked}
+	dialer := &net.Dialer{Timeout: p.config.DialTimeout, Control: p.setUserTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", key.Address)
 	if err != nil {
 		return nil, err
@@ -146,10 +150,11 @@
 	return &conn{pool: p, key: key, raw: raw.(*net.TCPConn), reader: bufio.NewReaderSize(raw, bufferBytes)}, nil
 }
 
-func (p *Pool) endUnacked(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, which ends a connection whose data stays unacknowledged.
+func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.config.UnackedTime.Milliseconds()))
+		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.config.UnackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -157,30 +162,29 @@
 	return failed
 }
 
-// Suspended takes note that the machine was suspended: idle connections have rested for
-// that much longer, and the engine may have closed them.
+// Suspended adds the length of a suspension of the machine to the idle time of all connections,
+// since the engines may have closed them meanwhile.
 func (p *Pool) Suspended(gap time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, list := range p.idle {
 		for _, connection := range list {
-			connection.idleFrom = connection.idleFrom.Add(-gap)
+			connection.idleSince = connection.idleSince.Add(-gap)
 		}
 	}
 }
 
-// Sweep closes connections that have been idle too long, and all of engines
-// that live says are gone.
+// Sweep closes the connections that have been idle too long and those to engines that are not live.
 func (p *Pool) Sweep(live func(engine enginechoice.Incarnation) bool) {
-	var drop []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for key, list := range p.idle {
 		kept := list[:0]
 		for _, connection := range list {
-			if live(key.Engine) && time.Since(connection.idleFrom) < connection.idleMost {
+			if live(key.Engine) && time.Since(connection.idleSince) < connection.maxIdle {
 				kept = append(kept, connection)
 			} else {
-				drop = append(drop, connection)
+				expired = append(expired, connection)
 			}
 		}
 		p.idle[key] = kept
@@ -189,7 +193,7 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, connection := range drop {
+	for _, connection := range expired {
 		connection.close()
 	}
 }
--- a/internal/passthrough/engineconn/restart_test.go
+++ b/internal/passthrough/engineconn/restart_test.go
@@ -11,8 +11,9 @@
 	"ringstream.example/ringstream/internal/core/enginechoice"
 )
 
-// TestIdleConnectionOfAFormerIncarnationIsNotUsed has an engine start again at its address:
-// a connection to the one before may still look sound.
+// TestIdleConnectionOfAFormerIncarnationIsNotUsed guards against the reuse of a connection to an
+// engine's former incarnation after a restart at the same address. The connection may still look
+// reusable.
 func TestIdleConnectionOfAFormerIncarnationIsNotUsed(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) { to.WriteHeader(http.StatusOK) }))
 	defer server.Close()
@@ -30,13 +31,13 @@
 		return exchange.Reused
 	}
 	if use(former) || !use(former) {
-		t.Fatal("a connection is kept for the next request")
+		t.Fatal("the connection was not kept for the next request")
 	}
 	if use(next) {
-		t.Error("the former's connection was used")
+		t.Error("a connection to the former incarnation was reused")
 	}
 	pool.Sweep(func(engine enginechoice.Incarnation) bool { return engine == next.Engine })
 	if connected := pool.Connected(); len(connected) != 1 || !connected[next.Engine] {
-		t.Errorf("idle connections to %v are kept", connected)
+		t.Errorf("idle connections are kept to %v, want only the new incarnation", connected)
 	}
 }
