--- a/internal/passthrough/edge/config.go
+++ b/internal/passthrough/edge/config.go
@@ -1,6 +1,6 @@
-// Package edge composes a pass-through node: the followers of the platform's
-// documents, the relay, the batch service and the front door. It owns their
-// start order, readiness and the planned stop, and decides nothing else.
+// Package edge assembles a pass-through node from the followers of the store's tables, the relay,
+// the batch service and the ingress server. It owns their start order, the node's readiness and its
+// graceful shutdown. All other decisions are left to these components.
 package edge
 
 import (
@@ -14,7 +14,7 @@
 	"ringstream.example/ringstream/internal/passthrough/slots"
 )
 
-// Config is the section pass_through of the settings.
+// Config is the pass_through section of the settings.
 type Config struct {
 	Address      string             `koanf:"address" usage:"IP:port for clients of pass-through routes; empty: none are served"`
 	ReadyAddress string             `koanf:"ready_address" usage:"IP:port that answers whether the node takes clients"`
@@ -33,7 +33,7 @@
 	Batch        batch.Config       `koanf:"batch"`
 }
 
-// DefaultConfig serves no pass-through routes.
+// DefaultConfig returns settings that serve no pass-through routes.
 func DefaultConfig() Config {
 	return Config{
 		Capacity: 1, Readers: replicas.DefaultConfig().Slots, ReadyPath: "/readyz", MetricsPath: "/metrics",
@@ -42,10 +42,10 @@
 	}
 }
 
-// Enabled says whether the node serves pass-through routes.
+// Enabled reports whether the node serves pass-through routes.
 func (c Config) Enabled() bool { return c.Address != "" }
 
-// Validate checks addresses and times.
+// Validate checks the addresses, the durations and the other bounds.
 func (c Config) Validate() error {
 	problems := []error{
 		configcheck.OptionalAddress("address", c.Address),
--- a/internal/passthrough/edge/edge.go
+++ b/internal/passthrough/edge/edge.go
@@ -35,31 +35,31 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Platform is what the node needs of the platform that it runs on.
+// Platform holds the adapters to the platform that the node runs on.
 type Platform struct {
 	Headers   passthrough.Headers
 	Format    passthrough.JobFormat
 	Documents passthrough.Documents
 	Rows      passthrough.Rows
 	Objects   passthrough.Objects
-	// Clock tells of suspensions of the machine; nil: the machine's own.
+	// Clock measures suspensions of the machine. Nil selects the system clock.
 	Clock suspension.Clock
 }
 
-// Identity says who and where the node is.
+// Identity is the node's name and the zone that it runs in.
 type Identity struct {
 	Name, Zone string
 }
 
 // Node is one pass-through node.
 type Node struct {
-	config   Config
-	identity Identity
-	self     string // of this life
-	platform Platform
-	logger   *zap.Logger
-	registry *prometheus.Registry
-	started  time.Time
+	config      Config
+	identity    Identity
+	incarnation string // the node's name and an id that is new at each start
+	platform    Platform
+	logger      *zap.Logger
+	registry    *prometheus.Registry
+	started     time.Time
 
 	routes         *catalog.Routes
 	engines        *catalog.Engines
@@ -68,77 +68,77 @@
 	storeTime      *catalog.StoreTime
 	pool           *engineconn.Pool
 	store          *peerstore.Store
-	share          *sharing.Share    // nil: the node tells others nothing
-	replicas       *replicas.Service // nil: the node reads the store itself
+	share          *sharing.Share    // nil without a peer address
+	replicas       *replicas.Service // nil without a peer address; the node then reads the store itself
 	slots          *slots.Service
 	guard          *guard.Service
 	watch          *suspension.Watch
 	batch          *batch.Service
-	front          *ingress.Server
+	ingress        *ingress.Server
 
 	candidateList atomic.Pointer[candidateList]
 
-	leaving   atomic.Bool
-	ready     atomic.Bool
-	listening chan struct{} // closed once address is set
-	address   string
+	leaving     atomic.Bool
+	readyLogged atomic.Bool
+	listening   chan struct{} // closed once address is set
+	address     string
 }
 
-// New makes a node; Run starts it.
+// New returns a node. Run starts it.
 func New(config Config, identity Identity, platform Platform, logger *zap.Logger) *Node {
 	node := &Node{
 		config: config, identity: identity, platform: platform, started: time.Now(),
-		self: identity.Name + "/" + ulid.Make().String(), registry: prometheus.NewRegistry(), listening: make(chan struct{}),
+		incarnation: identity.Name + "/" + ulid.Make().String(), registry: prometheus.NewRegistry(), listening: make(chan struct{}),
 	}
 	node.logger = logger.With(zap.String("node", identity.Name))
 	node.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	places := platform.Documents.Places()
 	node.store = peerstore.New(peerstore.DefaultConfig(), platform.Rows, platform.Objects, places.EnginesTable, node.logger)
 	follow := catalog.DefaultFollowConfig()
-	whole := []string{""}
+	wholeTable := []string{""}
 	node.routes = catalog.NewRoutes(platform.Documents, node.logger)
 	node.engines = catalog.NewEngines(identity.Name, platform.Documents, node.routes, node.logger)
 	refusals := catalog.NewRefusals(node.registry, node.logger)
 	node.routes.CountBy(refusals)
 	node.engines.CountBy(refusals)
-	node.routesFollower = catalog.NewFollower(follow, node.store, places.RoutesTable, whole, node.routes, node.logger)
+	node.routesFollower = catalog.NewFollower(follow, node.store, places.RoutesTable, wholeTable, node.routes, node.logger)
 	engineFollow := follow
-	engineFollow.Pace = enginePace
-	node.engineFollower = catalog.NewFollower(engineFollow, node.store, places.EnginesTable, whole, node.engines, node.logger)
+	engineFollow.Pace = engineFeedInterval
+	node.engineFollower = catalog.NewFollower(engineFollow, node.store, places.EnginesTable, wholeTable, node.engines, node.logger)
 	node.storeTime = catalog.NewStoreTime()
 	node.routesFollower.TimeBy(node.storeTime)
 	node.engineFollower.TimeBy(node.storeTime)
 	node.engines.JudgeBy(node.engineFollower.Health)
 	node.engines.CopyBy(node.engineFollower.Copy())
 	node.routes.JudgeBy(node.routesFollower.Health)
-	follow.Pace = jobPace
+	follow.Pace = jobFeedInterval
 	node.pool = engineconn.New(engineconn.DefaultConfig())
 	node.guard = guard.New(quarantine.DefaultConfig(), guard.Dependencies{
-		Engines: node.engines, Pool: node.pool, Logger: node.logger, Metrics: guard.NewMetrics(node.registry), Self: node.self, Peers: node.peerAddresses, Seeds: node.seeds,
+		Engines: node.engines, Pool: node.pool, Logger: node.logger, Metrics: guard.NewMetrics(node.registry), Self: node.incarnation, Peers: node.peerAddresses, Seeds: node.seeds,
 	})
 	node.slots = slots.New(config.Limits, slots.Dependencies{
 		Engines: node.engines, Logger: node.logger, Metrics: slots.NewMetrics(node.registry),
-		Self: node.peerName(), Name: identity.Name, Life: node.self, Zone: identity.Zone,
-		Candidates: node.candidates, LiveNodes: node.LiveNodes, Seeds: node.seeds, Ready: node.knows, MembersKnown: node.knowsMembers, Connected: node.pool.Connected,
+		Self: node.peerName(), Name: identity.Name, Life: node.incarnation, Zone: identity.Zone,
+		Candidates: node.candidates, LiveNodes: node.LiveNodes, Seeds: node.seeds, Ready: node.hasRoutesAndEngines, MembersKnown: node.hasNodeList, Connected: node.pool.Connected,
 		Stop: func(ask uint64) { node.batch.Stop(ask) },
 	})
 	node.routes.OnChange(node.slots.TakeTable)
 	node.batch = batch.New(config.Batch, batch.Dependencies{
 		Store: node.store, Objects: node.store, Headers: platform.Headers, Format: platform.Format,
 		Routes: node.routes, Engines: node.engines, Slots: node.slots, Pool: node.pool, Guard: node.guard, Logger: node.logger,
-		Self: node.self, Name: identity.Name, Zone: identity.Zone, Peer: config.PeerAddress, Capacity: config.Capacity, Ready: node.knows, Follow: follow, StoreTime: node.storeTime, Registerer: node.registry,
-		Reader: node.reader,
+		Self: node.incarnation, Name: identity.Name, Zone: identity.Zone, Peer: config.PeerAddress, Capacity: config.Capacity, Ready: node.hasRoutesAndEngines, Follow: follow, StoreTime: node.storeTime, Registerer: node.registry,
+		Reader: node.readerSlot,
 	})
 	node.guard.KeepBy(node.batch)
-	node.relistTogether()
+	node.relistAllTables()
 	for _, follower := range node.followers() {
-		follower.SlowBy(node.crowding)
+		follower.SlowBy(node.storeSlowdown)
 	}
 	forward := relay.New(platform.Headers, node.engines, node.slots, node.pool, node.guard, node.logger, relay.NewMetrics(node.registry))
 	node.guard.OnBlocked(forward.StopContent)
 	node.engines.OnRestart(node.guard.Restarted)
-	node.watch = suspension.NewWatch(clockOr(platform.Clock))
-	node.front = ingress.New(ingress.Config{Keys: config.Keys}, ingress.Dependencies{
+	node.watch = suspension.NewWatch(clockOrSystem(platform.Clock))
+	node.ingress = ingress.New(ingress.Config{Keys: config.Keys}, ingress.Dependencies{
 		Registerer: node.registry,
 		Headers:    platform.Headers, Format: platform.Format, Routes: node.routes, Batch: node.batch, Logger: node.logger,
 		Relay: forward, Watch: node.watch,
@@ -150,14 +150,14 @@
 		node.guard.UseTransport(node.share)
 		node.batch.UseTransport(node.share)
 		node.store.UsePeers(storePeers{Share: node.share, local: local}, node.caughtUp)
-		node.readTogether()
+		node.shareStoreReads()
 	}
 	node.watchSuspensions(forward)
-	node.registerBeliefs()
+	node.registerMetrics()
 	return node
 }
 
-// followers gives the followers of the store's tables, by the tables' names.
+// followers returns the followers of the store's tables by table name.
 func (n *Node) followers() map[string]*catalog.Follower {
 	places := n.platform.Documents.Places()
 	return map[string]*catalog.Follower{
@@ -165,12 +165,13 @@
 	}
 }
 
-// readTogether has a few nodes of each zone read the store for the others.
-func (n *Node) readTogether() {
+// shareStoreReads sets up the replicas service, by which a few nodes of each zone read the store for
+// the other nodes of the zone.
+func (n *Node) shareStoreReads() {
 	config := replicas.DefaultConfig()
 	config.Slots = n.config.Readers
 	n.replicas = replicas.New(config, replicas.Dependencies{
-		Rows: n.store, Peers: n.share, Logger: n.logger, Name: n.identity.Name, Life: n.self, Zone: n.identity.Zone,
+		Rows: n.store, Peers: n.share, Logger: n.logger, Name: n.identity.Name, Life: n.incarnation, Zone: n.identity.Zone,
 		Address: n.config.PeerAddress, Capacity: n.config.Capacity, StoreTime: n.storeTime, Leaving: n.leaving.Load,
 	})
 	for table, follower := range n.followers() {
@@ -180,42 +181,43 @@
 	n.share.UseTables(n.replicas.Tables())
 }
 
-// reader names this node's slot among the zone's, and says whether it reads the store for others.
-func (n *Node) reader() (slot string, reads bool) {
+// readerSlot returns this node's reader slot in its zone, and whether the node reads the store for
+// others.
+func (n *Node) readerSlot() (slot string, reads bool) {
 	if n.replicas == nil {
 		return "", false
 	}
 	return n.replicas.ReadsStore()
 }
 
-// crowding is how much slower than usual this node asks the store, as a factor: the more the
-// larger the fleet is, where it asks for itself alone.
-func (n *Node) crowding() float64 {
+// storeSlowdown returns the factor by which this node polls the store more slowly than configured. A
+// node that reads the store for itself alone slows down as the fleet grows.
+func (n *Node) storeSlowdown() float64 {
 	if n.replicas != nil && !n.replicas.Alone() {
 		return 1
 	}
 	return n.batch.Crowding()
 }
 
-// relistTogether has all tables listed anew once a feed has passed something over: only the table of
-// jobs is written by this node, and so finds a store whose feeds tell nothing.
-func (n *Node) relistTogether() {
+// relistAllTables relists all tables once the feed of the jobs table has missed a change. Only that
+// table is written by this node, so only its feed shows that the store's feeds deliver nothing.
+func (n *Node) relistAllTables() {
 	n.batch.OnPassedOver(func() {
 		n.routesFollower.Relist()
 		n.engineFollower.Relist()
 	})
 }
 
-// Run serves until ctx ends, and then stops as planned.
+// Run serves until ctx ends and then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	events.PassStarting.Log(n.logger, zap.String("incarnation", n.self), zap.String("zone", n.identity.Zone), zap.String("version", version.Version))
-	var listening net.ListenConfig
-	listening.SetMultipathTCP(false)
-	front, err := listening.Listen(ctx, "tcp", n.config.Address)
+	events.PassStarting.Log(n.logger, zap.String("incarnation", n.incarnation), zap.String("zone", n.identity.Zone), zap.String("version", version.Version))
+	var listenConfig net.ListenConfig
+	listenConfig.SetMultipathTCP(false)
+	listener, err := listenConfig.Listen(ctx, "tcp", n.config.Address)
 	if err != nil {
 		return err
 	}
-	n.address = front.Addr().String()
+	n.address = listener.Addr().String()
 	close(n.listening)
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -240,68 +242,69 @@
 	}
 	add(n.store.Run)
 	add(n.sweep)
-	add(n.watchClock)
+	add(n.logClockGaps)
 	add(n.watch.Run)
 	add(heapgrowth.Run)
 	stopped := make(chan struct{})
 	group.Add(func() error {
-		if err := n.front.Serve(front); err != nil {
+		if err := n.ingress.Serve(listener); err != nil {
 			return err
 		}
-		<-stopped // the requests under way end after the listener
+		<-stopped // requests in flight end after the listener is closed
 		return nil
-	}, func(error) { _ = front.Close() })
+	}, func(error) { _ = listener.Close() })
 	group.Add(func() error {
 		defer close(stopped)
-		n.stopAsPlanned(ctx, background)
+		n.shutDown(ctx, background)
 		return nil
 	}, func(error) { stop() })
 	return group.Run()
 }
 
-// Listening is closed when clients can connect.
+// Listening returns a channel that is closed when clients can connect.
 func (n *Node) Listening() <-chan struct{} { return n.listening }
 
-// Address is where clients connect, once Listening is closed.
+// Address returns the address for clients. It is valid once Listening is closed.
 func (n *Node) Address() string { return n.address }
 
-// stopAsPlanned waits for ctx to end. Readiness ends at once; clients are
-// still taken until the platform has noticed, then what runs is finished.
-func (n *Node) stopAsPlanned(ctx, background context.Context) {
+// shutDown waits for ctx to end and then stops the node. Readiness ends at once. New connections are
+// accepted for LeaveTime, until the platform has noticed. Then the requests in flight are finished,
+// at most until StopTime after the start of the shutdown.
+func (n *Node) shutDown(ctx, background context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-background.Done():
 		return
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	n.leaving.Store(true)
-	n.front.CloseConnections()
-	events.PassDraining.Log(n.logger, zap.Int("running", n.front.InFlight()))
-	limit, cancel := context.WithDeadline(background, begun.Add(n.config.StopTime))
+	n.ingress.CloseConnections()
+	events.PassDraining.Log(n.logger, zap.Int("running", n.ingress.InFlight()))
+	stopCtx, cancel := context.WithDeadline(background, startedAt.Add(n.config.StopTime))
 	defer cancel()
-	handedOver := make(chan struct{})
+	batchStopped := make(chan struct{})
 	go func() {
-		n.batch.Leave(limit)
-		close(handedOver)
+		n.batch.Leave(stopCtx)
+		close(batchStopped)
 	}()
-	wait.For(limit, n.config.LeaveTime)
-	n.front.Stop(limit)
+	wait.For(stopCtx, n.config.LeaveTime)
+	n.ingress.Stop(stopCtx)
 	select {
-	case <-handedOver:
-	case <-limit.Done():
+	case <-batchStopped:
+	case <-stopCtx.Done():
 	}
-	events.PassStopped.Log(n.logger, zap.Int("running", n.front.InFlight()), zap.Duration("elapsed", time.Since(begun)))
+	events.PassStopped.Log(n.logger, zap.Int("running", n.ingress.InFlight()), zap.Duration("elapsed", time.Since(startedAt)))
 }
 
-// Ready says whether the node takes clients: it knows the routes and the
-// engines, and is not leaving.
+// Ready reports whether the node accepts clients, which is so when it knows the routes and the
+// engines and is not leaving.
 func (n *Node) Ready() bool {
 	if n.leaving.Load() {
 		return false
 	}
-	ready := n.knows()
+	ready := n.hasRoutesAndEngines()
 	table, _ := n.routes.Table()
-	if ready && n.ready.CompareAndSwap(false, true) {
+	if ready && n.readyLogged.CompareAndSwap(false, true) {
 		engines := 0
 		n.engines.Use(func(set *enginechoice.Set, _ time.Time) { engines = len(set.Known()) })
 		events.PassReady.Log(n.logger, zap.Int64("routes_version", table.Version()), zap.Int("engines", engines), zap.Duration("after", time.Since(n.started)))
@@ -309,21 +312,21 @@
 	return ready
 }
 
-// knows says whether the node knows the routes and the engines.
-func (n *Node) knows() bool {
+// hasRoutesAndEngines reports whether the node knows the routes and has listed the engines.
+func (n *Node) hasRoutesAndEngines() bool {
 	table, _ := n.routes.Table()
 	return table != nil && n.engineFollower.Health().Listed
 }
 
-// caughtUp says whether the node has listed all that it follows. Before that it
-// asks the store alone: when all nodes start at once the store throttles all
-// of them, and listings by way of peers would only add to it.
-func (n *Node) caughtUp() bool { return n.knows() && n.knowsMembers() }
+// caughtUp reports whether the node has listed all tables that it follows. Until then it reads from
+// the store only. When all nodes start at once, the store throttles all of them, and listings by way
+// of peers would only add to its load.
+func (n *Node) caughtUp() bool { return n.hasRoutesAndEngines() && n.hasNodeList() }
 
-// knowsMembers says whether the node has listed the table that tells of the other nodes.
-func (n *Node) knowsMembers() bool { return n.batch.Health().Listed }
+// hasNodeList reports whether the node has listed the table that holds the other nodes.
+func (n *Node) hasNodeList() bool { return n.batch.Health().Listed }
 
-// serveReady answers the platform's question.
+// serveReady serves the platform's readiness check.
 func (n *Node) serveReady(ctx context.Context) error {
 	server := newEcho()
 	server.GET(n.config.ReadyPath, func(c echo.Context) error {
@@ -349,8 +352,8 @@
 }
 
 func serveEcho(ctx context.Context, server *echo.Echo, address string) error {
-	ended := context.AfterFunc(ctx, func() { _ = server.Close() })
-	defer ended()
+	stopAfterFunc := context.AfterFunc(ctx, func() { _ = server.Close() })
+	defer stopAfterFunc()
 	err := server.Start(address)
 	if ctx.Err() != nil {
 		return nil
@@ -358,23 +361,24 @@
 	return err
 }
 
-// The least times between two calls for the changes of a table. Every call
-// costs; engines that leave may get work for two seconds more, and jobs' results
+// Minimum intervals between two calls for the changes of a table. Each call has a cost. A delay is
+// acceptable because engines that leave may get work for two more seconds, and the results of jobs
 // are read about twice a second.
 const (
-	enginePace = 300 * time.Millisecond
-	jobPace    = 200 * time.Millisecond
+	engineFeedInterval = 300 * time.Millisecond
+	jobFeedInterval    = 200 * time.Millisecond
 )
 
 const (
-	sweepEvery = 500 * time.Millisecond
-	clockEvery = 500 * time.Millisecond
-	clockGap   = clockEvery + 600*time.Millisecond
+	sweepInterval      = 500 * time.Millisecond
+	clockCheckInterval = 500 * time.Millisecond
+	minClockGap        = clockCheckInterval + 600*time.Millisecond
 )
 
-// sweep closes engine connections that have rested too long.
+// sweep periodically closes the connections to engines that have been idle too long or whose engine
+// has ended.
 func (n *Node) sweep(ctx context.Context) error {
-	for wait.For(ctx, sweepEvery) {
+	for wait.For(ctx, sweepInterval) {
 		live := n.pool.Connected()
 		n.engines.Use(func(set *enginechoice.Set, _ time.Time) {
 			for engine := range live {
@@ -383,23 +387,23 @@
 			}
 		})
 		n.pool.Sweep(func(engine enginechoice.Incarnation) bool {
-			alive, looked := live[engine]
-			return alive || !looked // one that was connected to since is looked at the next time
+			alive, checked := live[engine]
+			return alive || !checked // an engine connected to meanwhile is checked in the next sweep
 		})
 	}
 	return nil
 }
 
-// clockOr gives the machine's own clock of suspensions where there is none.
-func clockOr(clock suspension.Clock) suspension.Clock {
+// clockOrSystem returns the given clock, or the system clock if it is nil.
+func clockOrSystem(clock suspension.Clock) suspension.Clock {
 	if clock == nil {
 		return suspension.NewSystemClock()
 	}
 	return clock
 }
 
-// watchSuspensions has each part correct what it believes after the machine was suspended,
-// before it acts on it.
+// watchSuspensions registers the components that correct their state after a suspension of the
+// machine, before they act on it.
 func (n *Node) watchSuspensions(forward *relay.Relay) {
 	n.watch.OnWake(func(gap time.Duration) { events.Suspended.Log(n.logger, zap.Duration("gap", gap)) })
 	n.storeTime.WatchBy(n.watch)
@@ -415,12 +419,13 @@
 	forward.SetSuspensionWatch(n.watch)
 }
 
-// watchClock notes when the process stood still.
-func (n *Node) watchClock(ctx context.Context) error {
+// logClockGaps logs when two consecutive checks of the clock are more than minClockGap apart, which
+// shows that the process stood still.
+func (n *Node) logClockGaps(ctx context.Context) error {
 	last := time.Now()
-	for wait.For(ctx, clockEvery) {
+	for wait.For(ctx, clockCheckInterval) {
 		now := time.Now()
-		if gap := now.Sub(last); gap > clockGap {
+		if gap := now.Sub(last); gap > minClockGap {
 			events.ClockGap.Log(n.logger, zap.Duration("gap", gap))
 		}
 		last = now
--- a/internal/passthrough/edge/inspect.go
+++ b/internal/passthrough/edge/inspect.go
@@ -10,30 +10,30 @@
 	"ringstream.example/ringstream/internal/passthrough/slots"
 )
 
-// KnownEngines counts the engines that the node knows.
+// KnownEngines returns the number of engines that the node knows.
 func (n *Node) KnownEngines() int {
 	count := 0
 	n.engines.Use(func(set *enginechoice.Set, _ time.Time) { count = len(set.Known()) })
 	return count
 }
 
-// ServingEngines counts the engines of a pool that take new work.
+// ServingEngines returns the number of engines of a pool that accept new work.
 func (n *Node) ServingEngines(pool string) int {
 	count := 0
 	n.engines.Use(func(set *enginechoice.Set, _ time.Time) { count = set.Serving(pool) })
 	return count
 }
 
-// DoubtfulEngines counts the engines of a pool whose entry went while the list
-// could not be trusted.
+// DoubtfulEngines returns the number of engines of a pool whose entry disappeared while the list of
+// engines was not reliable.
 func (n *Node) DoubtfulEngines(pool string) int {
 	count := 0
 	n.engines.Use(func(set *enginechoice.Set, _ time.Time) { count = set.Doubtful(pool) })
 	return count
 }
 
-// FirstChoice gives the number that ends the id of the engine that the next
-// request of a pool would go to.
+// FirstChoice returns the number at the end of the id of the engine that the next request of a pool
+// would be sent to, or 0 if there is none.
 func (n *Node) FirstChoice(pool string) int {
 	id := ""
 	n.engines.Use(func(set *enginechoice.Set, now time.Time) {
@@ -47,62 +47,63 @@
 	return number
 }
 
-// StoreMissed says whether a call to the store has failed so far.
+// StoreMissed reports whether a call to the store for the table of engines has failed so far.
 func (n *Node) StoreMissed() bool { return !n.engineFollower.Health().LastBad.IsZero() }
 
-// EventsKept counts the events that this node keeps of a job's open items.
+// EventsKept returns the number of events that this node holds for a job's open items.
 func (n *Node) EventsKept(job string) int { return n.batch.EventsKept(job) }
 
-// LiveNodes counts the nodes that this node takes for alive, itself included.
+// LiveNodes returns the number of nodes that this node considers alive, including itself.
 func (n *Node) LiveNodes() int { return n.batch.LiveNodes() }
 
-// OwnWayLost says whether this node's own way to the store counts as lost.
+// OwnWayLost reports whether this node considers its direct connection to the store lost.
 func (n *Node) OwnWayLost() bool { return n.store.Lost() }
 
-// RoutesVersion gives the version of the routes in force; 0: none.
+// RoutesVersion returns the version of the current routes, or 0 if there are none.
 func (n *Node) RoutesVersion() int64 {
 	_, version := n.routes.Document()
 	return version
 }
 
-// RoutesAge gives how long ago the routes in force were known to be the newest.
+// RoutesAge returns the time since the current routes were last known to be the newest.
 func (n *Node) RoutesAge() time.Duration { return n.routes.Age() }
 
-// SuspendedFor gives how long the machine was suspended in all, as far as this node has
-// corrected what it keeps.
+// SuspendedFor returns the total time of suspension of the machine for which this node has corrected
+// its state.
 func (n *Node) SuspendedFor() time.Duration { return n.watch.Corrected() }
 
-// Running counts the requests of clients under way.
-func (n *Node) Running() int { return n.front.InFlight() }
+// Running returns the number of client requests in flight.
+func (n *Node) Running() int { return n.ingress.InFlight() }
 
-// KnownJobs counts the jobs that this node has heard of.
+// KnownJobs returns the number of jobs that this node knows.
 func (n *Node) KnownJobs() int { return n.batch.KnownJobs() }
 
-// OwnedJobs counts the jobs that this node runs.
+// OwnedJobs returns the number of jobs that this node runs.
 func (n *Node) OwnedJobs() int { return n.batch.OwnedJobs() }
 
-// UnderWay counts the requests at engines that this node knows of as the
-// dispatcher of their lane.
+// UnderWay returns the number of requests at engines in the lanes that this node dispatches.
 func (n *Node) UnderWay() int {
-	return n.countLanes(func(load slots.Load) int { return load.UnderWay })
+	return n.sumLanes(func(load slots.Load) int { return load.UnderWay })
 }
 
-// Attached counts the nodes that belong to this one as the dispatcher that keeps the
-// limits of tenants.
+// Attached returns the number of nodes that are attached to this one as the dispatcher that enforces
+// the limits of tenants.
 func (n *Node) Attached() int {
-	return n.countLanes(func(load slots.Load) int { return load.Attached })
+	return n.sumLanes(func(load slots.Load) int { return load.Attached })
 }
 
-// CrashesOf counts the engines that ended under a content, as far as this node knows.
+// CrashesOf returns the number of engines known to this node to have crashed while they ran a
+// content.
 func (n *Node) CrashesOf(content quarantine.Content) int {
 	return n.guard.Verdict(content.Digest()).Crashes
 }
 
-// BlockedContents counts the contents that must reach no engine, as far as this node knows.
+// BlockedContents returns the number of contents known to this node that must not be sent to any
+// engine.
 func (n *Node) BlockedContents() int { return len(n.guard.Blocked()) }
 
-// ReadsForOthers says whether this node reads the store's tables for others of its zone.
+// ReadsForOthers reports whether this node reads the store's tables for other nodes of its zone.
 func (n *Node) ReadsForOthers() bool {
-	_, held := n.reader()
-	return held
+	_, reads := n.readerSlot()
+	return reads
 }
--- a/internal/passthrough/edge/metrics.go
+++ b/internal/passthrough/edge/metrics.go
@@ -9,16 +9,17 @@
 	"ringstream.example/ringstream/internal/passthrough/slots"
 )
 
-// registerBeliefs registers the age of what the node believes, by the store's
-// table, and its connections to engines.
-func (n *Node) registerBeliefs() {
+// registerMetrics registers the metrics of the node: for each table of the store the time since it
+// was last known to be current, the load of the lanes, the connections to engines, the blocked
+// contents and the requests in flight.
+func (n *Node) registerMetrics() {
 	for table, health := range map[string]func() catalog.Health{
 		"routes": n.routesFollower.Health, "engines": n.engineFollower.Health, "jobs": n.batch.Health,
 	} {
 		n.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "ringstream_pass_belief_age_seconds", Help: "Time since the moment that the store's last answer about a table told of; -1: never.",
 			ConstLabels: prometheus.Labels{"table": table},
-		}, func() float64 { return ageOf(health()) }))
+		}, func() float64 { return ageSeconds(health()) }))
 		n.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "ringstream_pass_feed_passed_over_total", Help: "Times that a table was listed anew since its feed lacked what other calls had shown.",
 			ConstLabels: prometheus.Labels{"table": table},
@@ -31,7 +32,7 @@
 		n.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "ringstream_slots_lane_requests", Help: "Requests in the lanes that this node is the dispatcher of, and the nodes whose part of the tenants' limits is kept there.",
 			ConstLabels: prometheus.Labels{"state": state},
-		}, func() float64 { return float64(n.countLanes(count)) }))
+		}, func() float64 { return float64(n.sumLanes(count)) }))
 	}
 	n.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "ringstream_pass_engine_connections", Help: "Open connections to engines."}, func() float64 {
@@ -46,13 +47,13 @@
 			return float64(n.BlockedContents())
 		}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "ringstream_pass_running", Help: "Requests of clients under way."}, func() float64 {
-			return float64(n.front.InFlight())
+			return float64(n.ingress.InFlight())
 		}),
 	)
 }
 
-// countLanes adds something up over the lanes that this node looks after.
-func (n *Node) countLanes(count func(slots.Load) int) int {
+// sumLanes returns the sum of count over the lanes that this node dispatches.
+func (n *Node) sumLanes(count func(slots.Load) int) int {
 	total := 0
 	for _, load := range n.slots.Loads() {
 		total += count(load)
@@ -60,7 +61,9 @@
 	return total
 }
 
-func ageOf(health catalog.Health) float64 {
+// ageSeconds returns the time in seconds since the table was last known to be current, or -1 if it
+// never was.
+func ageSeconds(health catalog.Health) float64 {
 	if health.AsOf.IsZero() {
 		return -1
 	}
--- a/internal/passthrough/edge/sharer.go
+++ b/internal/passthrough/edge/sharer.go
@@ -15,18 +15,18 @@
 	"ringstream.example/ringstream/internal/peer/sharing"
 )
 
-// sharer is the node as package sharing sees it.
+// sharer implements sharing.Local for a node.
 type sharer struct{ node *Node }
 
 var _ sharing.Local = (*sharer)(nil)
 
-// blindAfter is how long the store may be silent before peers are asked.
-const blindAfter = 1300 * time.Millisecond
+// storeSilenceTimeout is the time without an answer from the store after which peers are asked.
+const storeSilenceTimeout = 1300 * time.Millisecond
 
-// Peers implements sharing.Local: the nodes that the store tells of.
+// Peers implements sharing.Local. It returns the nodes that the store lists.
 func (s *sharer) Peers() []string { return s.node.peerAddresses() }
 
-// peerAddresses gives the addresses of the other nodes that may be alive.
+// peerAddresses returns the addresses of the other nodes that may be alive.
 func (n *Node) peerAddresses() []string {
 	var addresses []string
 	for _, peer := range n.batch.Peers() {
@@ -38,25 +38,25 @@
 // Seeds implements sharing.Local.
 func (s *sharer) Seeds() []string { return s.node.seeds() }
 
-// seeds gives the other nodes that the settings name.
+// seeds returns the addresses of the other nodes that the settings name.
 func (n *Node) seeds() []string {
 	return slices.DeleteFunc(slices.Clone(n.config.Seeds), func(seed string) bool { return seed == n.config.PeerAddress })
 }
 
-// candidateList is a list of candidates, and what it was made of.
+// candidateList is a list of candidates with the inputs that it was built from.
 type candidateList struct {
 	peers      []grant.Candidate
 	leaving    bool
 	candidates []grant.Candidate
 }
 
-// candidates gives the nodes that may be dispatchers of lanes of engines: the same list as long
-// as nothing has changed.
+// candidates returns the nodes that may be dispatchers of lanes of engines. It returns the same
+// slice as long as the inputs have not changed.
 func (n *Node) candidates() []grant.Candidate {
 	peers, leaving := n.batch.Peers(), n.leaving.Load()
-	known := n.candidateList.Load()
-	if known != nil && known.leaving == leaving && slices.Equal(known.peers, peers) {
-		return known.candidates
+	cached := n.candidateList.Load()
+	if cached != nil && cached.leaving == leaving && slices.Equal(cached.peers, peers) {
+		return cached.candidates
 	}
 	next := &candidateList{peers: peers, leaving: leaving, candidates: slices.Clone(peers)}
 	if !leaving {
@@ -66,10 +66,10 @@
 	return next.candidates
 }
 
-// peerName names this node among those that hear each other.
+// peerName returns the name by which peers know this node.
 func (n *Node) peerName() string {
 	if n.config.PeerAddress == "" {
-		return n.self
+		return n.incarnation
 	}
 	return n.config.PeerAddress
 }
@@ -80,7 +80,7 @@
 // Blind implements sharing.Local.
 func (s *sharer) Blind() bool {
 	now := time.Now()
-	return now.Sub(s.node.routesFollower.Health().AsOf) > blindAfter || now.Sub(s.node.engineFollower.Health().AsOf) > blindAfter
+	return now.Sub(s.node.routesFollower.Health().AsOf) > storeSilenceTimeout || now.Sub(s.node.engineFollower.Health().AsOf) > storeSilenceTimeout
 }
 
 // CallStore implements sharing.Local.
@@ -128,14 +128,14 @@
 	}
 }
 
-// storePeers are the other nodes as package peerstore sees them.
+// storePeers implements peerstore.Peers with the other nodes.
 type storePeers struct {
 	*sharing.Share
 	local *sharer
 }
 
-// Addresses implements peerstore.Peers: by chance, nodes of the own zone first,
-// which are reached more cheaply and when zones are cut from each other.
+// Addresses implements peerstore.Peers. The order is random, with the nodes of the own zone first,
+// since they are cheaper to reach and stay reachable when zones are partitioned from each other.
 func (p storePeers) Addresses() []string {
 	peers := slices.Clone(p.local.node.batch.Peers())
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
--- a/internal/passthrough/edge/sharer_test.go
+++ b/internal/passthrough/edge/sharer_test.go
@@ -14,38 +14,39 @@
 	"ringstream.example/ringstream/internal/suspension/suspensiontest"
 )
 
-// oneTable is a platform whose store has told one configuration and then says nothing.
-type oneTable struct {
+// silentStore is a platform whose store lists one configuration and whose feeds deliver nothing.
+type silentStore struct {
 	passthrough.Documents
 	passthrough.Rows
 }
 
 // Routes implements passthrough.Documents.
-func (oneTable) Routes([]byte) (*passroute.Table, error) {
+func (silentStore) Routes([]byte) (*passroute.Table, error) {
 	return passroute.NewTable(1, nil, nil, passroute.Limits{}, passroute.Tenants{}), nil
 }
 
 // Places implements passthrough.Documents.
-func (oneTable) Places() passthrough.Places {
+func (silentStore) Places() passthrough.Places {
 	return passthrough.Places{RoutesTable: "routes", RoutesKey: "routes", EnginesTable: "engines"}
 }
 
 // List implements passthrough.Rows.
-func (oneTable) List(_ context.Context, table, _, _, _ string, _ int) (passthrough.Snapshot, error) {
+func (silentStore) List(_ context.Context, table, _, _, _ string, _ int) (passthrough.Snapshot, error) {
 	return passthrough.Snapshot{Version: 1, Rows: []passthrough.Row{{Table: table, Key: table, Version: 1}}}, nil
 }
 
 // Feed implements passthrough.Rows.
-func (oneTable) Feed(ctx context.Context, _ string, _ int64, _ time.Duration) (passthrough.Snapshot, error) {
+func (silentStore) Feed(ctx context.Context, _ string, _ int64, _ time.Duration) (passthrough.Snapshot, error) {
 	<-ctx.Done()
 	return passthrough.Snapshot{}, passthrough.ErrNothingDone
 }
 
-// newSharer makes a node that has heard the store once, on a machine that a clock suspends.
+// newSharer returns the sharer of a node that has listed the routes once, and the clock that suspends
+// its machine.
 func newSharer(t *testing.T) (*sharer, *suspensiontest.Clock) {
 	t.Helper()
 	clock := &suspensiontest.Clock{}
-	node := New(DefaultConfig(), Identity{Name: "n"}, Platform{Documents: oneTable{}, Rows: oneTable{}, Clock: clock}, zap.NewNop())
+	node := New(DefaultConfig(), Identity{Name: "n"}, Platform{Documents: silentStore{}, Rows: silentStore{}, Clock: clock}, zap.NewNop())
 	ctx, stop := context.WithCancel(context.Background())
 	var following sync.WaitGroup
 	following.Go(func() { _ = node.routesFollower.Run(ctx) })
@@ -57,35 +58,36 @@
 	return &sharer{node: node}, clock
 }
 
-// TestNodeThatWakesTellsItsAgeWithTheSuspension: a node that had just woken from a suspension
-// was asked before it had looked at its clocks, up to 0.1 s after it woke. It told the age of
-// its word of the store without the suspension, so that nodes which did not hear the store
-// themselves took routes of any age for fresh.
+// TestNodeThatWakesTellsItsAgeWithTheSuspension guards against an answer to a peer whose age leaves
+// out a suspension. A node that was asked within 0.1 s after it woke had not checked its clocks yet.
+// It reported the age of its routes without the suspension, so that nodes without access to the
+// store accepted routes of any age as fresh.
 func TestNodeThatWakesTellsItsAgeWithTheSuspension(t *testing.T) {
-	answerer, clock := newSharer(t)
+	responder, clock := newSharer(t)
 	clock.Suspend(time.Minute)
-	if got := answerer.Answer(sharing.Question{}); got.Age < time.Minute || got.RoutesVersion != 1 {
-		t.Errorf("got version %d, age %v", got.RoutesVersion, got.Age)
+	if got := responder.Answer(sharing.Question{}); got.Age < time.Minute || got.RoutesVersion != 1 {
+		t.Errorf("answered version %d with age %v, want version 1 with at least 1 minute", got.RoutesVersion, got.Age)
 	}
 }
 
-// TestPeersWordCountsFromTheQuestion: what a peer knew when it was asked may have changed
-// while its answer was under way.
-func TestPeersWordCountsFromTheQuestion(t *testing.T) {
+// TestPeerAnswerAgeCountsFromTheQuestion checks that the age of a peer's answer counts from the time of
+// the question, since the peer's state may change while the answer is in flight. An answer across a
+// suspension confirms nothing.
+func TestPeerAnswerAgeCountsFromTheQuestion(t *testing.T) {
 	asker, clock := newSharer(t)
 	clock.Suspend(time.Minute)
 	asked := time.Now().Add(-300 * time.Millisecond)
 	asker.Learn(sharing.Documents{RoutesVersion: 1, Age: time.Second, Stale: true}, "peer", asked)
 	if age := asker.ageOfRoutes(); age < time.Minute {
-		t.Errorf("after an answer across a suspension the routes are %v old", age)
+		t.Errorf("routes are %v old after an answer across a suspension, want at least 1 minute", age)
 	}
 	asker.Learn(sharing.Documents{RoutesVersion: 1, Age: time.Second}, "peer", asked)
 	if age := asker.ageOfRoutes(); age < 1300*time.Millisecond || age > 30*time.Second {
-		t.Errorf("the routes are %v old, want 1.3 s", age)
+		t.Errorf("routes are %v old, want 1.3 s to 30 s", age)
 	}
 }
 
-// ageOfRoutes looks at the clocks first, as who judges a request does.
+// ageOfRoutes checks the clocks for suspensions first, as the ingress server does for each request.
 func (s *sharer) ageOfRoutes() time.Duration {
 	s.node.watch.Look()
 	return s.node.RoutesAge()
