--- a/internal/peer/sharing/codec.go
+++ b/internal/peer/sharing/codec.go
@@ -10,90 +10,91 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A gob stream tells its types before its first value. Datagrams have no
-// stream: to tell the types in each would make a decoder learn them anew each
-// time, which costs ten times as much as the message. So each datagram holds a
-// digest of the types and the value alone; who has other types, as during an
-// upgrade, drops it.
+// A gob stream describes its types before its first value. Datagrams do not form
+// a stream: with the type descriptions in each datagram, a decoder would have to
+// compile them each time, which costs ten times as much as the message. A datagram
+// therefore holds a digest of the type descriptions and the value alone. A receiver
+// with other types, as during an upgrade, drops it.
 
-// errOtherTypes: the sender's message has other types than this program's.
-var errOtherTypes = errors.New("sharing: a message of other types")
+// errTypeMismatch is returned for a datagram whose type digest differs from this program's.
+var errTypeMismatch = errors.New("sharing: a message of other types")
 
 const digestBytes = 8
 
-// codec writes and reads datagrams of one type. It is safe for concurrent use.
+// codec encodes and decodes datagrams of one type. It is safe for concurrent use.
 type codec[T any] struct {
-	digest uint64 // of what a gob stream of messages begins with, the types
+	digest uint64 // of the type descriptions at the start of a gob stream of T
 
-	writing sync.Mutex // guards encoder and written
-	encoder *gob.Encoder
-	written bytes.Buffer
+	writeMu     sync.Mutex // guards encoder and writeBuffer
+	encoder     *gob.Encoder
+	writeBuffer bytes.Buffer
 
-	reading sync.Mutex // guards decoder and received
+	readMu  sync.Mutex // guards decoder and readBuffer
 	decoder *gob.Decoder
-	// received is what the decoder reads from; it is empty between messages.
-	received bytes.Buffer
+	// readBuffer is the decoder's input. It is empty between messages.
+	readBuffer bytes.Buffer
 }
 
-// newCodec makes a codec whose two sides know the types. Gob numbers types in
-// the order of their use, so a node makes its codecs before it uses others, and always in the
-// same order: that of message first, as builds do that know no other.
+// newCodec creates a codec whose encoder and decoder have already exchanged the types. Gob numbers
+// types in the order of their first use, and the numbers are part of a datagram. A node therefore
+// creates its codecs before any other use of gob and always in the same order, with that of
+// message first, because older builds have that one only.
 func newCodec[T any]() *codec[T] {
 	c := &codec[T]{}
-	c.encoder = gob.NewEncoder(&c.written)
-	var empty T
-	withTypes := c.encode(empty)
-	without := c.encode(empty)
-	c.digest = xxhash.Sum64(withTypes[:len(withTypes)-len(without)])
+	c.encoder = gob.NewEncoder(&c.writeBuffer)
+	var zero T
+	withTypes := c.encode(zero)
+	withoutTypes := c.encode(zero)
+	c.digest = xxhash.Sum64(withTypes[:len(withTypes)-len(withoutTypes)])
 	c.resetDecoder()
 	return c
 }
 
-func (c *codec[T]) encode(told T) []byte {
-	c.written.Reset()
-	if err := c.encoder.Encode(told); err != nil {
-		panic("sharing: a message cannot be written: " + err.Error()) // numbers always can
+func (c *codec[T]) encode(value T) []byte {
+	c.writeBuffer.Reset()
+	if err := c.encoder.Encode(value); err != nil {
+		panic("sharing: a message cannot be written: " + err.Error()) // gob can encode every value of these types
 	}
-	return bytes.Clone(c.written.Bytes())
+	return bytes.Clone(c.writeBuffer.Bytes())
 }
 
-// resetDecoder makes a decoder that has read the types and one value.
+// resetDecoder replaces the decoder by one that has read the type descriptions and one value.
 func (c *codec[T]) resetDecoder() {
-	c.received.Reset()
-	c.decoder = gob.NewDecoder(&c.received)
-	var nothing T
-	_, _ = c.received.Write(gobOf(nothing))
-	if err := c.decoder.Decode(&nothing); err != nil {
+	c.readBuffer.Reset()
+	c.decoder = gob.NewDecoder(&c.readBuffer)
+	var zero T
+	_, _ = c.readBuffer.Write(encodeWithTypes(zero))
+	if err := c.decoder.Decode(&zero); err != nil {
 		panic("sharing: the program's own types cannot be read: " + err.Error())
 	}
 }
 
-// gobOf gives a whole gob stream of one message.
-func gobOf[T any](told T) []byte {
+// encodeWithTypes returns a complete gob stream of one value.
+func encodeWithTypes[T any](value T) []byte {
 	var content bytes.Buffer
-	_ = gob.NewEncoder(&content).Encode(told) // into memory, of numbers
+	_ = gob.NewEncoder(&content).Encode(value) // cannot fail: writes to memory, and gob can encode every value of these types
 	return content.Bytes()
 }
 
-// Write gives a message as a datagram.
-func (c *codec[T]) Write(told T) []byte {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	return append(binary.LittleEndian.AppendUint64(nil, c.digest), c.encode(told)...)
+// Write encodes a value as a datagram.
+func (c *codec[T]) Write(value T) []byte {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return append(binary.LittleEndian.AppendUint64(nil, c.digest), c.encode(value)...)
 }
 
-// Read reads a datagram. Its errors are errOtherTypes and those of gob.
+// Read decodes a datagram. It returns errTypeMismatch or an error of gob.
 func (c *codec[T]) Read(datagram []byte) (T, error) {
-	var told T
+	var value T
 	if len(datagram) < digestBytes || binary.LittleEndian.Uint64(datagram) != c.digest {
-		return told, errOtherTypes
+		return value, errTypeMismatch
 	}
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	_, _ = c.received.Write(datagram[digestBytes:])
-	err := c.decoder.Decode(&told)
-	if err != nil || c.received.Len() > 0 {
-		c.resetDecoder() // what is left of a damaged message is no start of the next
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	_, _ = c.readBuffer.Write(datagram[digestBytes:])
+	err := c.decoder.Decode(&value)
+	if err != nil || c.readBuffer.Len() > 0 {
+		c.resetDecoder() // the rest of a damaged message must not become the start of the next
 	}
-	return told, err
+	return value, err
 }
--- a/internal/peer/sharing/codec_test.go
+++ b/internal/peer/sharing/codec_test.go
@@ -23,31 +23,31 @@
 	return message{Lane: grant.Lane{Pool: "p", Parts: 2, Part: 1}, State: state}
 }
 
-// Whatever is written by one codec is read by another, also between datagrams
-// that are damaged, cut or of other types.
+// A codec decodes what another codec encoded, also after datagrams that are
+// damaged, truncated or of other types.
 func TestCodecReadsWhatAnotherWrote(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := newCodec[message](), newCodec[message]()
 		for range rapid.IntRange(1, 8).Draw(t, "messages") {
-			told := message{Lane: grant.Lane{Pool: rapid.String().Draw(t, "pool"), Parts: rapid.Uint32().Draw(t, "parts")}}
+			sent := message{Lane: grant.Lane{Pool: rapid.String().Draw(t, "pool"), Parts: rapid.Uint32().Draw(t, "parts")}}
 			if rapid.Bool().Draw(t, "reply") {
-				told.Reply = &grant.Reply{Life: rapid.Uint64().Draw(t, "life"), Sequence: rapid.Uint64().Draw(t, "sequence")}
+				sent.Reply = &grant.Reply{Life: rapid.Uint64().Draw(t, "life"), Sequence: rapid.Uint64().Draw(t, "sequence")}
 				for range rapid.IntRange(0, 30).Draw(t, "grants") {
-					told.Reply.Grants = append(told.Reply.Grants, grant.Grant{ID: rapid.Uint64().Draw(t, "id"), Engine: rapid.Uint64().Draw(t, "engine")})
+					sent.Reply.Grants = append(sent.Reply.Grants, grant.Grant{ID: rapid.Uint64().Draw(t, "id"), Engine: rapid.Uint64().Draw(t, "engine")})
 				}
 			} else {
-				told.State = &grant.State{Life: rapid.Uint64().Draw(t, "life"), Zone: rapid.String().Draw(t, "zone")}
+				sent.State = &grant.State{Life: rapid.Uint64().Draw(t, "life"), Zone: rapid.String().Draw(t, "zone")}
 				for range rapid.IntRange(0, 30).Draw(t, "held") {
-					told.State.Held = append(told.State.Held, grant.Held{ID: rapid.Uint64().Draw(t, "id"), MemoryTokens: rapid.Int().Draw(t, "memory")})
+					sent.State.Held = append(sent.State.Held, grant.Held{ID: rapid.Uint64().Draw(t, "id"), MemoryTokens: rapid.Int().Draw(t, "memory")})
 				}
 			}
-			datagram := from.Write(told)
+			datagram := from.Write(sent)
 			damaged := bytes.Clone(datagram)
 			switch rapid.IntRange(0, 3).Draw(t, "damage") {
 			case 0:
 				at := rapid.IntRange(0, len(damaged)-1).Draw(t, "at")
 				damaged[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-				_, _ = to.Read(damaged) // an error or another message; neither spoils the next
+				_, _ = to.Read(damaged) // gives an error or a different message; neither may affect the next one
 			case 1:
 				_, _ = to.Read(damaged[:rapid.IntRange(0, len(damaged)).Draw(t, "length")])
 			}
@@ -55,7 +55,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if difference := cmp.Diff(told, got); difference != "" {
+			if difference := cmp.Diff(sent, got); difference != "" {
 				t.Fatal(difference)
 			}
 		}
@@ -67,8 +67,8 @@
 	if err := gob.NewEncoder(&other).Encode(exampleMessage()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newCodec[message]().Read(other.Bytes()); !errors.Is(err, errOtherTypes) {
-		t.Errorf("got %v", err)
+	if _, err := newCodec[message]().Read(other.Bytes()); !errors.Is(err, errTypeMismatch) {
+		t.Errorf("got error %v, want errTypeMismatch", err)
 	}
 }
 
@@ -79,7 +79,7 @@
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		_, _ = reader.Read(datagram)
 		if got, err := reader.Read(known); err != nil || !cmp.Equal(got, exampleMessage()) {
-			t.Errorf("after %x: %v, %v", datagram, got, err)
+			t.Errorf("after datagram %x: got message %v, error %v", datagram, got, err)
 		}
 	})
 }
--- a/internal/peer/sharing/datagrams.go
+++ b/internal/peer/sharing/datagrams.go
@@ -14,111 +14,115 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// datagramBytes is the longest datagram; what is longer is not sent.
-const datagramBytes = 32 << 10
+// maxDatagramBytes is the size of the largest datagram. Larger ones are not sent.
+const maxDatagramBytes = 32 << 10
 
-// SendState sends a node what this one has in a lane.
+// SendState sends this node's state in a lane to a node.
 func (s *Share) SendState(to string, lane grant.Lane, state grant.State) {
 	s.send(message{Lane: lane, State: &state}, to)
 }
 
-// SendReply sends a node this one's reply, as a lane's dispatcher.
+// SendReply sends this node's reply, as the dispatcher of a lane, to a node.
 func (s *Share) SendReply(to string, lane grant.Lane, reply grant.Reply) {
 	s.send(message{Lane: lane, Reply: &reply}, to)
 }
 
-// SendCrashes tells a node which engines ended under which contents.
+// SendCrashes sends a node the reports of engines that crashed on certain contents.
 func (s *Share) SendCrashes(to string, crashes []quarantine.Crash) {
 	s.send(message{Crashes: crashes}, to)
 }
 
-// AskCrashes asks a node for what SendCrashes tells.
+// AskCrashes requests a node's crash reports, which it sends with SendCrashes.
 func (s *Share) AskCrashes(to string) { s.send(message{AskCrashes: true}, to) }
 
-// SendLiveness tells a node who is alive. It is a datagram of a type of its own: builds that do
-// not know it go on reading the others.
-func (s *Share) SendLiveness(to string, told liveness.Message) { s.post(s.alive.Write(told), to) }
+// SendLiveness sends a liveness message to a node. The datagram has a type of its own, so that
+// builds that do not know it can still read the others.
+func (s *Share) SendLiveness(to string, msg liveness.Message) {
+	s.sendDatagram(s.livenessCodec.Write(msg), to)
+}
 
 // send sends a message about slots or crashes.
-func (s *Share) send(told message, to string) { s.post(s.codec.Write(told), to) }
+func (s *Share) send(msg message, to string) { s.sendDatagram(s.messageCodec.Write(msg), to) }
 
-// post sends a datagram. What cannot be sent is as good as lost on the way: the
-// receiver's next message, or its silence, makes it good.
-func (s *Share) post(content []byte, to string) {
+// sendDatagram sends a datagram. A datagram that cannot be sent is treated as lost in the network:
+// the receiver's next message, or the lack of one, leads to recovery.
+func (s *Share) sendDatagram(content []byte, to string) {
 	datagrams := s.datagrams.Load()
 	address, err := net.ResolveUDPAddr("udp", to)
 	if datagrams == nil || err != nil {
 		return
 	}
-	if len(content) > datagramBytes {
+	if len(content) > maxDatagramBytes {
 		events.PeerMessageTooLong.Log(s.logger, zap.String("peer", to), zap.Int("bytes", len(content)))
 		return
 	}
-	_, _ = (*datagrams).WriteTo(content, address) // lost, see above
+	_, _ = (*datagrams).WriteTo(content, address) // an unsent datagram counts as lost, see above
 }
 
+// listen handles incoming datagrams until the socket closes.
 func (s *Share) listen(ctx context.Context, datagrams net.PacketConn) {
-	buffer := make([]byte, datagramBytes)
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		count, from, err := datagrams.ReadFrom(buffer)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an error of an earlier send
+			continue // the error belongs to an earlier send
 		}
-		if err := s.take(from.String(), buffer[:count]); err != nil {
-			s.noteDropped(from.String(), err)
+		if err := s.handleDatagram(from.String(), buffer[:count]); err != nil {
+			s.logDropped(from.String(), err)
 		}
 	}
 }
 
-// take reads a datagram of either type.
-func (s *Share) take(from string, datagram []byte) error {
-	if alive, err := s.alive.Read(datagram); err == nil {
-		s.watchers.HearLiveness(from, alive)
+// handleDatagram decodes a datagram, a liveness message or a message about slots or crashes, and handles it.
+func (s *Share) handleDatagram(from string, datagram []byte) error {
+	if livenessMsg, err := s.livenessCodec.Read(datagram); err == nil {
+		s.watchers.HearLiveness(from, livenessMsg)
 		return nil
 	}
-	told, err := s.codec.Read(datagram)
+	msg, err := s.messageCodec.Read(datagram)
 	if err != nil {
 		return err
 	}
-	return s.hear(from, told)
+	return s.handleMessage(from, msg)
 }
 
-// errUnknownMessage: a datagram that this program does not know.
+// errUnknownMessage is returned for a message of a kind that this program does not know.
 var errUnknownMessage = errors.New("sharing: a message of an unknown kind")
 
-// hear takes a message; one that is not known changes nothing.
-func (s *Share) hear(from string, told message) error {
+// handleMessage handles a message. A message of an unknown kind changes nothing.
+func (s *Share) handleMessage(from string, msg message) error {
 	switch {
-	case len(told.Crashes) > 0:
-		s.crashes.Hear(from, told.Crashes)
+	case len(msg.Crashes) > 0:
+		s.crashes.Hear(from, msg.Crashes)
 		return nil
-	case told.AskCrashes:
-		if known := s.crashes.Gravest(); len(known) > 0 {
-			s.SendCrashes(from, known)
+	case msg.AskCrashes:
+		if crashes := s.crashes.Gravest(); len(crashes) > 0 {
+			s.SendCrashes(from, crashes)
 		}
 		return nil
-	case told.State != nil && told.Reply == nil:
-		return s.slots.HearState(from, told.Lane, *told.State)
-	case told.Reply != nil && told.State == nil:
-		return s.slots.HearReply(from, told.Lane, *told.Reply)
+	case msg.State != nil && msg.Reply == nil:
+		return s.slots.HearState(from, msg.Lane, *msg.State)
+	case msg.Reply != nil && msg.State == nil:
+		return s.slots.HearReply(from, msg.Lane, *msg.Reply)
 	default:
 		return errUnknownMessage
 	}
 }
 
-// droppedEvery is the least pause between two log lines about dropped datagrams:
-// while nodes of two versions run beside each other, all of some nodes' are.
-const droppedEvery = time.Second
+// dropLogInterval is the minimum time between two log lines about dropped datagrams.
+// While nodes of two versions run side by side, all datagrams of some nodes are dropped.
+const dropLogInterval = time.Second
 
-// noteDropped logs that a datagram was dropped, and how many since the last line.
-func (s *Share) noteDropped(from string, err error) {
+// logDropped counts a dropped datagram and logs the number dropped since the last log line, at most once per
+// dropLogInterval.
+func (s *Share) logDropped(from string, err error) {
 	s.dropped++
-	if time.Since(s.droppedAt) < droppedEvery {
+	if time.Since(s.lastDropLog) < dropLogInterval {
 		return
 	}
 	events.PeerMessageDropped.Log(s.logger, zap.String("peer", from), zap.Int("messages", s.dropped), zap.Error(err))
-	s.dropped, s.droppedAt = 0, time.Now()
+	s.dropped, s.lastDropLog = 0, time.Now()
 }
--- a/internal/peer/sharing/large_test.go
+++ b/internal/peer/sharing/large_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// startWithMany starts a node that knows many engines.
-func startWithMany(t *testing.T, rows int) (address string) {
+// startWithRows starts a node that knows the given number of engines.
+func startWithRows(t *testing.T, rows int) (address string) {
 	t.Helper()
-	answerer := newLocal()
-	answerer.documents = Documents{RoutesVersion: 9, Routes: []byte("routes"), Rows: newListed(rows).rows}
+	answerer := newFakeNode()
+	answerer.documents = Documents{RoutesVersion: 9, Routes: []byte("routes"), Rows: newFakeTable(rows).rows}
 	address = freeAddress(t)
 	start(t, answerer, address)
 	return address
 }
 
-// question asks a node what it knows; the answer waits on the way.
-func question(t *testing.T, address string) net.Conn {
+// sendQuestion sends a question to a node and leaves the answer unread on the returned connection.
+func sendQuestion(t *testing.T, address string) net.Conn {
 	t.Helper()
 	connection := dial(t, address)
 	if err := gob.NewEncoder(connection).Encode(ask{Question: &Question{RoutesVersion: 3, RowsSince: 7}}); err != nil {
@@ -27,52 +27,52 @@
 	return connection
 }
 
-func documentsOn(t *testing.T, connection net.Conn) Documents {
+func receiveDocuments(t *testing.T, connection net.Conn) Documents {
 	t.Helper()
-	var told answer
-	if err := gob.NewDecoder(connection).Decode(&told); err != nil {
+	var response answer
+	if err := gob.NewDecoder(connection).Decode(&response); err != nil {
 		t.Fatal(err)
 	}
-	return *told.Documents
+	return *response.Documents
 }
 
-// All 985 nodes of a fleet started again together and knew no other node. Each asked a seed for the
-// routes and all 10,000 engines four times a second. Three nodes, most likely seeds, ended 4.3 to
-// 5.0 s after their start without a word in their logs, and with them the copies that 25 nodes each
-// waited for: most likely for their memory, since an answer of 10,000 rows takes 5.4 MB while it
-// is made. Of answers that are asked for at once one or two have the rows; all have the routes.
+// Guards against memory exhaustion of seeds when a whole fleet restarts. All 985 nodes restarted at once
+// and asked a seed for the routes and all 10,000 engines four times a second. Three nodes, most likely
+// seeds, died 4.3 to 5.0 s after their start without a log line, most likely for lack of memory, since an
+// answer with 10,000 rows takes 5.4 MB while it is encoded. The copies that 25 nodes each waited for were
+// lost with them. Of concurrent answers one or two have the rows, and all have the routes.
 func TestFewOfManyAnswersAtOnceAreLarge(t *testing.T) {
 	const askers, rows = 31, 10_000
-	address, began := startWithMany(t, rows), time.Now()
+	address, began := startWithRows(t, rows), time.Now()
 	connections := make([]net.Conn, 0, askers)
 	for range askers {
-		connections = append(connections, question(t, address))
+		connections = append(connections, sendQuestion(t, address))
 	}
 	whole := 0
 	for _, connection := range connections {
-		got := documentsOn(t, connection)
+		got := receiveDocuments(t, connection)
 		if string(got.Routes) != "routes" {
-			t.Errorf("an answer without the routes: version %d", got.RoutesVersion)
+			t.Errorf("answer with version %d lacks the routes", got.RoutesVersion)
 		}
 		if len(got.Rows) == rows {
 			whole++
 		}
 	}
-	if most := 1 + int(time.Since(began)/largeEvery); whole == 0 || whole > most {
-		t.Errorf("%d of %d answers have the rows, at most %d wanted", whole, askers, most)
+	if most := 1 + int(time.Since(began)/largeAnswerInterval); whole == 0 || whole > most {
+		t.Errorf("%d of %d answers have the rows, want 1 to %d", whole, askers, most)
 	}
 }
 
-// Who got no rows gets them when it asks again, and small answers are never let go without theirs.
+// A node that got no rows gets them when it asks again, and small answers always have their rows.
 func TestRowsComeWhenAskedAgain(t *testing.T) {
-	many, few := startWithMany(t, manyRows), startWithMany(t, manyRows-1)
+	many, few := startWithRows(t, largeAnswerRows), startWithRows(t, largeAnswerRows-1)
 	for asked := range 3 {
-		if got := documentsOn(t, question(t, few)); len(got.Rows) != manyRows-1 {
-			t.Errorf("question %d: %d rows", asked, len(got.Rows))
+		if got := receiveDocuments(t, sendQuestion(t, few)); len(got.Rows) != largeAnswerRows-1 {
+			t.Errorf("question %d: small answer has %d rows", asked, len(got.Rows))
 		}
-		if got := documentsOn(t, question(t, many)); len(got.Rows) != manyRows {
-			t.Errorf("question %d: %d rows of many", asked, len(got.Rows))
+		if got := receiveDocuments(t, sendQuestion(t, many)); len(got.Rows) != largeAnswerRows {
+			t.Errorf("question %d: large answer has %d rows", asked, len(got.Rows))
 		}
-		time.Sleep(largeEvery)
+		time.Sleep(largeAnswerInterval)
 	}
 }
--- a/internal/peer/sharing/message.go
+++ b/internal/peer/sharing/message.go
@@ -5,8 +5,9 @@
 	"ringstream.example/ringstream/internal/core/quarantine"
 )
 
-// message is one datagram: what a node has in a lane, a dispatcher's reply, engines that
-// ended under requests, or the question for those. One of the four is given.
+// message is the content of one datagram: a node's state in a lane, a dispatcher's reply, a report
+// of engines that crashed while they served requests, or a request for such reports. Exactly one
+// of the four is set; Lane belongs to State and Reply.
 type message struct {
 	Lane       grant.Lane
 	State      *grant.State
--- a/internal/peer/sharing/parts_test.go
+++ b/internal/peer/sharing/parts_test.go
@@ -17,16 +17,16 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// listed answers every call with a table whose rows have entries of engines.
-type listed struct {
+// fakeTable answers every call with a whole table of engines.
+type fakeTable struct {
 	rows  []passthrough.Row
 	asked atomic.Int64
 }
 
 const entryBytes = 200
 
-func newListed(rows int) *listed {
-	table := &listed{}
+func newFakeTable(rows int) *fakeTable {
+	table := &fakeTable{}
 	for i := range rows {
 		table.rows = append(table.rows, passthrough.Row{Key: fmt.Sprintf("engine-%06d", i), Value: make([]byte, entryBytes), Version: int64(i + 1)})
 	}
@@ -34,21 +34,21 @@
 }
 
 // Follow implements Tables.
-func (l *listed) Follow(context.Context, FollowCall) FollowAnswer {
-	l.asked.Add(1)
-	return FollowAnswer{Whole: true, Rows: l.rows, Version: int64(len(l.rows)), At: time.Second, AsOf: time.Second}
+func (f *fakeTable) Follow(context.Context, FollowCall) FollowAnswer {
+	f.asked.Add(1)
+	return FollowAnswer{Whole: true, Rows: f.rows, Version: int64(len(f.rows)), At: time.Second, AsOf: time.Second}
 }
 
-// startListed starts a node that has a table to follow.
-func startListed(t *testing.T, rows int) (table *listed, address string) {
+// startWithTable starts a node that has a table to follow, and waits until it listens.
+func startWithTable(t *testing.T, rows int) (table *fakeTable, address string) {
 	t.Helper()
-	table, address = newListed(rows), freeAddress(t)
-	startWith(t, newLocal(), address, func(share *Share) { share.UseTables(table) })
-	dial(t, address) // until it listens
+	table, address = newFakeTable(rows), freeAddress(t)
+	startWith(t, newFakeNode(), address, func(share *Share) { share.UseTables(table) })
+	dial(t, address) // waits until the node listens
 	return table, address
 }
 
-// dial connects to a node that may not listen yet.
+// dial connects to a node. It retries, since the node may not listen yet.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	for tries := 0; ; tries++ {
@@ -64,35 +64,35 @@
 	}
 }
 
-// inUse gives the bytes of the heap that are in use.
-func inUse() uint64 {
+// heapInUse returns the bytes of allocated heap objects after a garbage collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
 
-// In a fleet of 985 nodes and 10,000 engines one node had 121 MB at its peak where half of the nodes
-// had 29: the store had forgotten its history, and the 24 followers and seven other holders of the
-// node that reads for a zone listed the engines again at one moment. Each answer was encoded
-// whole before its first byte was sent, 2.4 MB in a buffer of up to 4 MB, so that what the node
-// needed grew with followers times engines: 2.7 MB a follower here, and 5.4 while it was made. An answer in parts needs that
-// of one part. All of them may take half of the 32 MB that a node's control may, at any size of
-// the table.
+// Guards against memory that grows with followers times engines. In a fleet of 985 nodes and 10,000
+// engines, the store had lost its history, and the 24 followers and seven other holders of the node
+// that reads for a zone listed the engines again at once. That node peaked at 121 MB, against a median
+// of 29 MB. Each answer was encoded completely before its first byte was sent, 2.4 MB in a buffer of up
+// to 4 MB: 2.7 MB per follower in this test, and 5.4 MB during encoding. An answer in parts needs the
+// memory of one part. All answers together may take half of the 32 MB that a node's control
+// may use, at any size of the table.
 func TestManyFollowersOfALargeTableTakeLittleMemory(t *testing.T) {
 	for _, rows := range []int{10_000, 40_000} {
 		t.Run(fmt.Sprint(rows), func(t *testing.T) { followAtOnce(t, rows) })
 	}
 }
 
-// followAtOnce has many followers list a table of so many rows at one moment.
+// followAtOnce lets many followers list a table with the given number of rows at once, and checks the growth of the heap.
 func followAtOnce(t *testing.T, rows int) {
-	const followers, most = 31, 16 << 20 // bytes
-	table, address := startListed(t, rows)
-	before := inUse()
+	const followers, maxGrowth = 31, 16 << 20 // bytes
+	table, address := startWithTable(t, rows)
+	before := heapInUse()
 	for range followers {
 		connection := dial(t, address)
-		// Its answer waits on the way: a follower on a small machine takes half a second for it.
+		// The answer is left unread: a follower on a small machine takes half a second to read it.
 		if err := gob.NewEncoder(connection).Encode(ask{Follow: &FollowCall{Table: "engines", Parts: true}}); err != nil {
 			t.Fatal(err)
 		}
@@ -100,27 +100,27 @@
 	for until := time.Now().Add(10 * time.Second); table.asked.Load() < followers && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	// What is collected soon counts in most looks, since answers are under way; what they hold on
-	// to counts in each.
+	// Garbage that is collected soon inflates most of the samples while answers are in flight. Only memory
+	// that the answers retain is in every sample, so the minimum counts.
 	grown := uint64(math.MaxUint64)
 	for range 40 {
-		grown = min(grown, max(inUse(), before)-before)
+		grown = min(grown, max(heapInUse(), before)-before)
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Logf("%d KB a follower", grown/followers>>10)
-	if grown > most {
-		t.Errorf("%d followers take %d KB, at most %d wanted", followers, grown>>10, most>>10)
+	t.Logf("%d KB per follower", grown/followers>>10)
+	if grown > maxGrowth {
+		t.Errorf("%d followers take %d KB, want at most %d KB", followers, grown>>10, maxGrowth>>10)
 	}
 }
 
-// A table comes whole and in order however many parts it takes, also to one who asks for no parts,
-// as nodes of builds before do.
+// A table arrives complete and in order in any number of parts, also at a node that does not accept
+// parts, like those of older builds.
 func TestTableInPartsComesWhole(t *testing.T) {
 	for _, rows := range []int{0, 1, 700, 5000} {
 		t.Run(fmt.Sprint(rows), func(t *testing.T) {
-			table, address := startListed(t, rows)
-			asker := start(t, newLocal(), freeAddress(t))
-			for range 2 { // the second on the kept connection
+			table, address := startWithTable(t, rows)
+			asker := start(t, newFakeNode(), freeAddress(t))
+			for range 2 { // the second call uses the kept connection
 				got, _, err := asker.Follow(t.Context(), address, FollowCall{Table: "engines"})
 				if err != nil {
 					t.Fatal(err)
@@ -129,30 +129,30 @@
 				if !slices.EqualFunc(got.Rows, want.Rows, func(a, b passthrough.Row) bool {
 					return a.Key == b.Key && a.Version == b.Version && len(a.Value) == len(b.Value)
 				}) {
-					t.Fatalf("%d rows of %d, or others", len(got.Rows), len(want.Rows))
+					t.Fatalf("got %d rows, want %d; number or content differs", len(got.Rows), len(want.Rows))
 				}
 				got.Rows, want.Rows = nil, nil
 				if difference := cmp.Diff(want, got); difference != "" {
 					t.Fatal(difference)
 				}
 			}
-			if got := followAsBefore(t, address); len(got.Rows) != rows || got.More {
-				t.Errorf("without parts: %d rows, more %v", len(got.Rows), got.More)
+			if got := followWithoutParts(t, address); len(got.Rows) != rows || got.More {
+				t.Errorf("answer without parts has %d rows, More is %v", len(got.Rows), got.More)
 			}
 		})
 	}
 }
 
-// followAsBefore asks as builds do that know of no parts.
-func followAsBefore(t *testing.T, address string) FollowAnswer {
+// followWithoutParts makes a call as builds that do not know parts do.
+func followWithoutParts(t *testing.T, address string) FollowAnswer {
 	t.Helper()
 	connection := dial(t, address)
 	if err := gob.NewEncoder(connection).Encode(ask{Follow: &FollowCall{Table: "engines"}}); err != nil {
 		t.Fatal(err)
 	}
-	var told answer
-	if err := gob.NewDecoder(connection).Decode(&told); err != nil {
+	var response answer
+	if err := gob.NewDecoder(connection).Decode(&response); err != nil {
 		t.Fatal(err)
 	}
-	return *told.Follow
+	return *response.Follow
 }
--- a/internal/peer/sharing/sharing.go
+++ b/internal/peer/sharing/sharing.go
@@ -1,9 +1,10 @@
-// Package sharing is what pass-through nodes tell each other: in datagrams,
-// what each has under way and waiting in a lane of engines, what its dispatcher
-// grants (package core/grant), which engines ended under which contents (package
-// core/quarantine), and that a node is alive (package core/liveness); over TCP, the platform's documents, for
-// a node that the store refuses or does not reach. Both are gob. What is told is
-// a hint: it is lost without harm, and nothing durable rests on it.
+// Package sharing exchanges state between pass-through nodes. Datagrams carry the
+// requests that a node has in flight and waiting in a lane of engines, the grants of
+// a lane's dispatcher (package core/grant), reports of engines that crashed on certain
+// contents (package core/quarantine), and liveness messages (package core/liveness).
+// TCP connections carry the platform's documents to nodes that the store refuses or
+// that cannot reach it. Both use gob. The exchanged data is a hint: losing it does no
+// harm, and nothing durable depends on it.
 package sharing
 
 import (
@@ -27,124 +28,126 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Question asks for the documents that the asker lacks.
+// Question requests the documents that are newer than those of the requesting node.
 type Question struct {
-	RoutesVersion int64 // that the asker has
-	RowsSince     int64 // newest version of an engine's row that the asker has
+	RoutesVersion int64 // version of the requesting node's routes
+	RowsSince     int64 // newest version among the requesting node's rows of engines
 }
 
 // Documents answers a Question.
 type Documents struct {
 	RoutesVersion int64
-	Routes        []byte // nil: nothing newer
+	Routes        []byte // nil if there is nothing newer
 	Rows          []passthrough.Row
-	// Age is how long before the question the answerer heard the store, at the most.
+	// Age is an upper bound of the time between the answering node's last contact with the store
+	// and the question.
 	Age time.Duration
-	// Stale: a node of the two was suspended between question and answer, which confirms nothing.
+	// Stale says that one of the two nodes was suspended between question and answer, so that the
+	// answer does not confirm that the documents are current.
 	Stale bool
 }
 
-// ask is what a node sends to another over TCP: one of its parts is given.
+// ask is a request that a node sends to another over TCP. Exactly one of its fields is set.
 type ask struct {
 	Question *Question
 	Store    *StoreCall
 	Follow   *FollowCall
 }
 
-// answer is what comes back.
+// answer is the response to an ask. The field that corresponds to that of the ask is set.
 type answer struct {
 	Documents *Documents
 	Store     *StoreAnswer
 	Follow    *FollowAnswer
 }
 
-// Local is the node that asks and answers.
+// Local is the node on whose behalf a Share sends and answers requests.
 type Local interface {
-	// Peers gives the addresses of the other nodes that may be alive.
+	// Peers returns the addresses of the other nodes that may be alive.
 	Peers() []string
-	// Seeds gives addresses to turn to while no other node is known.
+	// Seeds returns the addresses to contact while no other node is known.
 	Seeds() []string
-	// Suspensions counts how often this node's machine was suspended.
+	// Suspensions returns how often this node's machine was suspended.
 	Suspensions() uint64
-	// Blind says whether this node does not hear the store.
+	// Blind reports whether this node has no contact with the store.
 	Blind() bool
-	// Question gives what this node has.
+	// Question returns the request for documents newer than this node's.
 	Question() Question
-	// Answer gives what the asker lacks.
+	// Answer returns the documents that the requesting node lacks.
 	Answer(Question) Documents
-	// Learn takes an answer to a question sent at a time; from is the peer's address.
-	Learn(documents Documents, from string, asked time.Time)
+	// Learn applies an answer from the peer at the address from; askedAt is when the question was sent.
+	Learn(documents Documents, from string, askedAt time.Time)
 	// CallStore makes a call to the store for another node.
 	CallStore(ctx context.Context, call StoreCall) StoreAnswer
 }
 
-// Slots hears what other nodes say about slots; an error says that a message
-// was not taken.
+// Slots receives the messages of other nodes about slots. An error means that the
+// message was not accepted.
 type Slots interface {
 	HearState(from string, lane grant.Lane, state grant.State) error
 	HearReply(from string, lane grant.Lane, reply grant.Reply) error
 }
 
-// Crashes hears from other nodes which engines ended under which contents.
+// Crashes receives the reports of other nodes about engines that crashed on certain contents.
 type Crashes interface {
 	Hear(from string, crashes []quarantine.Crash)
-	// Gravest gives what a node that has just started must know.
+	// Gravest returns the reports that a node needs when it has just started.
 	Gravest() []quarantine.Crash
 }
 
-// Watchers hears from other nodes who is alive.
+// Watchers receives the liveness messages of other nodes.
 type Watchers interface {
 	HearLiveness(from string, message liveness.Message)
 }
 
-// Config says where nodes hear each other, and how often one asks.
+// Config sets the address of a node and the interval of its questions.
 type Config struct {
-	Address  string        // IP:port, for both kinds
-	AskEvery time.Duration // pause between two questions while the store is not heard
+	Address  string        // IP:port, for both UDP and TCP
+	AskEvery time.Duration // pause between two questions while the store cannot be reached
 }
 
-// DefaultConfig suits nodes some milliseconds apart.
+// DefaultConfig returns a configuration for nodes with some milliseconds of latency between them.
 func DefaultConfig(address string) Config {
 	return Config{Address: address, AskEvery: 250 * time.Millisecond}
 }
 
 const (
-	askTime       = 400 * time.Millisecond
-	answerTime    = time.Second
-	documentBytes = 8 << 20
+	askTimeout       = 400 * time.Millisecond
+	answerTimeout    = time.Second
+	maxDocumentBytes = 8 << 20
 )
 
-// Share tells and asks for one node.
+// Share exchanges state with other nodes on behalf of one node.
 type Share struct {
-	config   Config
-	local    Local
-	slots    Slots
-	crashes  Crashes
-	watchers Watchers
-	logger   *zap.Logger
-	codec    *codec[message]
-	alive    *codec[liveness.Message]
-	tables   Tables // nil: this node answers nobody from its copies
-	follows  follows
-	large    spacing // of answers with many rows
+	config            Config
+	local             Local
+	slots             Slots
+	crashes           Crashes
+	watchers          Watchers
+	logger            *zap.Logger
+	messageCodec      *codec[message]
+	livenessCodec     *codec[liveness.Message]
+	tables            Tables // nil if this node does not answer from its copies
+	followConnections connectionPool
+	largeAnswers      largeAnswerLimiter // limits answers with many rows
 
-	// Of the goroutine that listens:
-	dropped   int       // datagrams since the last log line about them
-	droppedAt time.Time // when that was
+	// Used by the listening goroutine only:
+	dropped     int       // datagrams dropped since lastDropLog
+	lastDropLog time.Time // when dropped datagrams were last logged
 
 	datagrams atomic.Pointer[net.PacketConn] // nil before Run
 }
 
-// New makes a share for a life of a node.
+// New creates the share of a node, for one run of its process.
 func New(config Config, local Local, slots Slots, crashes Crashes, watchers Watchers, logger *zap.Logger) *Share {
 	messages := newCodec[message]()
 	return &Share{
 		config: config, local: local, slots: slots, crashes: crashes, watchers: watchers, logger: logger,
-		codec: messages, alive: newCodec[liveness.Message](),
+		messageCodec: messages, livenessCodec: newCodec[liveness.Message](),
 	}
 }
 
-// Run tells and listens until ctx ends.
+// Run sends and serves messages and requests until ctx ends.
 func (s *Share) Run(ctx context.Context) error {
 	var network net.ListenConfig
 	datagrams, err := network.ListenPacket(ctx, "udp", s.config.Address)
@@ -157,16 +160,16 @@
 	if err != nil {
 		return errors.Join(err, datagrams.Close())
 	}
-	ended := context.AfterFunc(ctx, func() {
+	stopClosing := context.AfterFunc(ctx, func() {
 		_ = datagrams.Close()
 		_ = listener.Close()
 	})
-	defer ended()
+	defer stopClosing()
 	var group sync.WaitGroup
 	for _, part := range []func(){
 		func() { s.listen(ctx, datagrams) },
-		func() { s.serveAsks(ctx, listener) },
-		func() { s.askPeers(ctx) },
+		func() { s.serveRequests(ctx, listener) },
+		func() { s.askPeersWhileBlind(ctx) },
 	} {
 		group.Go(part)
 	}
@@ -174,86 +177,88 @@
 	return nil
 }
 
-// serveAsks serves what others ask until the listener closes.
-func (s *Share) serveAsks(ctx context.Context, listener net.Listener) {
+// serveRequests serves the requests of other nodes until the listener closes.
+func (s *Share) serveRequests(ctx context.Context, listener net.Listener) {
 	for ctx.Err() == nil {
 		connection, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			go s.answerOne(ctx, connection)
+			go s.serveRequest(ctx, connection)
 		}
 	}
 }
 
-func (s *Share) answerOne(ctx context.Context, raw net.Conn) {
-	defer raw.Close() //nolint:errcheck // what could be said is said
-	ended := context.AfterFunc(ctx, func() { _ = raw.Close() })
-	defer ended()
-	_ = raw.SetDeadline(time.Now().Add(answerTime))
+// serveRequest serves the request on a connection, or the calls of a follower, and closes it.
+func (s *Share) serveRequest(ctx context.Context, raw net.Conn) {
+	defer raw.Close() //nolint:errcheck // the response has been sent or has failed
+	stopClosing := context.AfterFunc(ctx, func() { _ = raw.Close() })
+	defer stopClosing()
+	_ = raw.SetDeadline(time.Now().Add(answerTimeout))
 	connection := newStream(raw)
-	var asked ask
-	if connection.receive(&asked, storeCallBytes) != nil {
+	var request ask
+	if connection.receive(&request, maxStoreCallBytes) != nil {
 		return
 	}
-	var told answer
+	var response answer
 	switch {
-	case asked.Follow != nil:
-		s.serveFollower(ctx, connection, *asked.Follow)
+	case request.Follow != nil:
+		s.serveFollower(ctx, connection, *request.Follow)
 		return
-	case asked.Question != nil:
-		documents, done := s.answerQuestion(*asked.Question)
+	case request.Question != nil:
+		documents, done := s.answerQuestion(*request.Question)
 		defer done()
-		told.Documents = &documents
-	case asked.Store != nil:
-		told.Store = s.answerStore(raw, *asked.Store)
+		response.Documents = &documents
+	case request.Store != nil:
+		response.Store = s.serveStoreCall(raw, *request.Store)
 	}
-	_ = connection.write.Encode(told) // the asker asks again
+	_ = connection.write.Encode(response) // the requesting node retries
 }
 
-// askPeers asks a peer now and then while the store is not heard.
-func (s *Share) askPeers(ctx context.Context) {
+// askPeersWhileBlind asks a random peer for documents every AskEvery while the store cannot be reached.
+func (s *Share) askPeersWhileBlind(ctx context.Context) {
 	for wait.For(ctx, s.config.AskEvery) {
-		peers := s.known()
+		peers := s.askablePeers()
 		if !s.local.Blind() || len(peers) == 0 {
 			continue
 		}
 		peer := peers[rand.IntN(len(peers))]
 		suspensions := s.local.Suspensions()
-		documents, asked, err := s.askOne(ctx, peer)
+		documents, askedAt, err := s.askPeer(ctx, peer)
 		documents.Stale = documents.Stale || s.local.Suspensions() != suspensions
 		if err != nil {
 			events.PeerNotAsked.Log(s.logger, zap.String("peer", peer), zap.Error(err))
 			continue
 		}
-		s.local.Learn(documents, peer, asked)
+		s.local.Learn(documents, peer, askedAt)
 	}
 }
 
-// known gives the addresses of the other nodes, or of the seeds.
-func (s *Share) known() []string {
+// askablePeers returns the addresses of the other nodes, or those of the seeds if there are none.
+func (s *Share) askablePeers() []string {
 	if peers := s.local.Peers(); len(peers) > 0 {
 		return peers
 	}
 	return s.local.Seeds()
 }
 
-// askOne asks a peer, and gives when it did.
-func (s *Share) askOne(ctx context.Context, peer string) (documents Documents, asked time.Time, err error) {
-	dialer := net.Dialer{Timeout: askTime}
+// askPeer sends this node's question to a peer. It returns the answer and the time at which the question
+// was sent.
+func (s *Share) askPeer(ctx context.Context, peer string) (documents Documents, askedAt time.Time, err error) {
+	dialer := net.Dialer{Timeout: askTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", peer)
 	if err != nil {
-		return documents, asked, err
+		return documents, askedAt, err
 	}
-	defer connection.Close() //nolint:errcheck // only read
+	defer connection.Close() //nolint:errcheck // nothing is written after the question
 	question := s.local.Question()
-	asked = time.Now()
-	_ = connection.SetDeadline(asked.Add(askTime))
+	askedAt = time.Now()
+	_ = connection.SetDeadline(askedAt.Add(askTimeout))
 	if err := gob.NewEncoder(connection).Encode(ask{Question: &question}); err != nil {
-		return documents, asked, err
+		return documents, askedAt, err
 	}
-	answered := answer{Documents: &documents}
-	err = gob.NewDecoder(io.LimitReader(connection, documentBytes)).Decode(&answered)
-	return documents, asked, err
+	response := answer{Documents: &documents}
+	err = gob.NewDecoder(io.LimitReader(connection, maxDocumentBytes)).Decode(&response)
+	return documents, askedAt, err
 }
--- a/internal/peer/sharing/sharing_test.go
+++ b/internal/peer/sharing/sharing_test.go
@@ -19,63 +19,63 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// local is a node as the tests make it.
-type local struct {
+// fakeNode implements Local, Slots, Crashes and Watchers.
+type fakeNode struct {
 	mu        sync.Mutex
 	peers     []string
 	blind     bool
 	documents Documents
-	// storeAnswer is what the store says when it is asked for others.
+	// storeAnswer is the store's answer to calls made for other nodes.
 	storeAnswer StoreAnswer
 	gravest     []quarantine.Crash
-	learned     chan told
+	learned     chan learnedAnswer
 	heard       chan message
 	alive       chan liveness.Message
 	suspensions atomic.Uint64
-	// onAnswer is called before a question is answered; nil: nothing is.
+	// onAnswer, if not nil, is called before a question is answered.
 	onAnswer func()
 }
 
-// told is an answer that a node has learned, and when it had asked.
-type told struct {
+// learnedAnswer is an answer that a node received, with the time of its question.
+type learnedAnswer struct {
 	documents Documents
-	asked     time.Time
+	askedAt   time.Time
 }
 
-func newLocal() *local {
-	return &local{learned: make(chan told, 10), heard: make(chan message, 10), alive: make(chan liveness.Message, 10)}
+func newFakeNode() *fakeNode {
+	return &fakeNode{learned: make(chan learnedAnswer, 10), heard: make(chan message, 10), alive: make(chan liveness.Message, 10)}
 }
 
-func (l *local) Peers() []string     { return l.peers }
-func (l *local) Seeds() []string     { return nil }
-func (l *local) Suspensions() uint64 { return l.suspensions.Load() }
-func (l *local) Blind() bool         { return l.blind }
-func (l *local) Question() Question  { return Question{RoutesVersion: 3, RowsSince: 7} }
+func (l *fakeNode) Peers() []string     { return l.peers }
+func (l *fakeNode) Seeds() []string     { return nil }
+func (l *fakeNode) Suspensions() uint64 { return l.suspensions.Load() }
+func (l *fakeNode) Blind() bool         { return l.blind }
+func (l *fakeNode) Question() Question  { return Question{RoutesVersion: 3, RowsSince: 7} }
 
-func (l *local) HearState(_ string, lane grant.Lane, state grant.State) error {
+func (l *fakeNode) HearState(_ string, lane grant.Lane, state grant.State) error {
 	l.heard <- message{Lane: lane, State: &state}
 	return nil
 }
 
-func (l *local) HearReply(_ string, lane grant.Lane, reply grant.Reply) error {
+func (l *fakeNode) HearReply(_ string, lane grant.Lane, reply grant.Reply) error {
 	l.heard <- message{Lane: lane, Reply: &reply}
 	return nil
 }
 
-func (l *local) Hear(_ string, crashes []quarantine.Crash) { l.heard <- message{Crashes: crashes} }
+func (l *fakeNode) Hear(_ string, crashes []quarantine.Crash) { l.heard <- message{Crashes: crashes} }
 
-func (l *local) HearLiveness(_ string, told liveness.Message) { l.alive <- told }
+func (l *fakeNode) HearLiveness(_ string, msg liveness.Message) { l.alive <- msg }
 
-func (l *local) Gravest() []quarantine.Crash { return l.gravest }
+func (l *fakeNode) Gravest() []quarantine.Crash { return l.gravest }
 
-func (l *local) CallStore(context.Context, StoreCall) StoreAnswer {
+func (l *fakeNode) CallStore(context.Context, StoreCall) StoreAnswer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.storeAnswer
 }
 
-func (l *local) Answer(asked Question) Documents {
-	if asked.RoutesVersion != 3 || asked.RowsSince != 7 {
+func (l *fakeNode) Answer(question Question) Documents {
+	if question.RoutesVersion != 3 || question.RowsSince != 7 {
 		return Documents{}
 	}
 	if l.onAnswer != nil {
@@ -84,8 +84,8 @@
 	return l.documents
 }
 
-func (l *local) Learn(documents Documents, _ string, asked time.Time) {
-	l.learned <- told{documents, asked}
+func (l *fakeNode) Learn(documents Documents, _ string, askedAt time.Time) {
+	l.learned <- learnedAnswer{documents, askedAt}
 }
 
 func freeAddress(t *testing.T) string {
@@ -98,17 +98,17 @@
 	return listener.Addr().String()
 }
 
-func start(t *testing.T, nodeLocal *local, address string) *Share {
+func start(t *testing.T, node *fakeNode, address string) *Share {
 	t.Helper()
-	return startWith(t, nodeLocal, address, func(*Share) {})
+	return startWith(t, node, address, func(*Share) {})
 }
 
-// startWith starts a node that is set up before it runs.
-func startWith(t *testing.T, nodeLocal *local, address string, setUp func(*Share)) *Share {
+// startWith starts a node after setUp has prepared its share.
+func startWith(t *testing.T, node *fakeNode, address string, setUp func(*Share)) *Share {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	share := New(DefaultConfig(address), nodeLocal, nodeLocal, nodeLocal, nodeLocal, zap.NewNop())
+	share := New(DefaultConfig(address), node, node, node, node, zap.NewNop())
 	setUp(share)
 	go func() { done <- share.Run(ctx) }()
 	t.Cleanup(func() {
@@ -121,7 +121,7 @@
 }
 
 func TestNodesAskWhatTheyLack(t *testing.T) {
-	first, second := newLocal(), newLocal()
+	first, second := newFakeNode(), newFakeNode()
 	firstAddress, secondAddress := freeAddress(t), freeAddress(t)
 	first.peers, second.peers = []string{secondAddress}, []string{firstAddress}
 	first.documents = Documents{RoutesVersion: 9, Routes: []byte("routes"), Rows: []passthrough.Row{{Key: "e1", Version: 8}}}
@@ -129,32 +129,33 @@
 	start(t, first, firstAddress)
 	start(t, second, secondAddress)
 	if got := (<-second.learned).documents; got.RoutesVersion != 9 || string(got.Routes) != "routes" || len(got.Rows) != 1 {
-		t.Errorf("learned %+v", got)
+		t.Errorf("learned documents %+v", got)
 	}
 }
 
-// TestAnswerIsAsOldAsItsQuestion: a peer that had heard the store just when it answered said
-// so with an age of 0, and the node that asked took its routes for confirmed at the moment
-// at which the answer came. That may be 0.4 s (askTime) after the question: with a key
-// withdrawn in that time the node judged by routes that were up to 0.4 s older than it
-// believed. The moment of asking errs to the safe side alone.
+// TestAnswerIsAsOldAsItsQuestion guards against routes that are staler than the node assumes. A
+// peer that reached the store just when it answered reports an age of 0. A node that counted
+// the routes as confirmed when the answer arrived, up to 0.4 s (askTimeout) after the question, used
+// routes up to 0.4 s staler than it assumed, for example with a key withdrawn in that time. The
+// time of the question errs on the safe side.
 func TestAnswerIsAsOldAsItsQuestion(t *testing.T) {
-	answerer, asker := newLocal(), newLocal()
+	answerer, asker := newFakeNode(), newFakeNode()
 	address := freeAddress(t)
 	asker.peers, asker.blind = []string{address}, true
 	answering := make(chan time.Time, 10)
 	answerer.onAnswer = func() { answering <- time.Now() }
 	start(t, answerer, address)
 	start(t, asker, freeAddress(t))
-	if got, heard := <-asker.learned, <-answering; got.asked.After(heard) {
-		t.Errorf("taken as of %v after the peer had answered", got.asked.Sub(heard))
+	if got, answeredAt := <-asker.learned, <-answering; got.askedAt.After(answeredAt) {
+		t.Errorf("answer counts as of %v after the peer had answered", got.askedAt.Sub(answeredAt))
 	}
 }
 
-// TestAnswerAcrossASuspensionIsStale: on either side.
+// TestAnswerAcrossASuspensionIsStale checks that an answer is stale if either node was suspended between
+// question and answer.
 func TestAnswerAcrossASuspensionIsStale(t *testing.T) {
 	for _, ofAnswerer := range []bool{true, false} {
-		answerer, asker := newLocal(), newLocal()
+		answerer, asker := newFakeNode(), newFakeNode()
 		address := freeAddress(t)
 		asker.peers, asker.blind = []string{address}, true
 		answerer.documents.Stale = ofAnswerer
@@ -166,52 +167,52 @@
 		start(t, answerer, address)
 		start(t, asker, freeAddress(t))
 		if got := <-asker.learned; !got.documents.Stale {
-			t.Errorf("the answerer was suspended: %v; the answer counts as fresh", ofAnswerer)
+			t.Errorf("answer counts as fresh after a suspension (of the answering node: %v)", ofAnswerer)
 		}
 	}
 }
 
-// TestDatagramsTravelWhole sends what a node has in a lane, and a reply; a
-// datagram may be lost, so each is sent until it came.
+// TestDatagramsTravelWhole sends a state, a reply and crash reports. A datagram may
+// be lost, so each is sent until it arrives.
 func TestDatagramsTravelWhole(t *testing.T) {
-	from, to := newLocal(), newLocal()
+	from, to := newFakeNode(), newFakeNode()
 	address := freeAddress(t)
 	start(t, to, address)
 	sender := start(t, from, freeAddress(t))
 	want := exampleMessage()
 	reply := message{Lane: want.Lane, Reply: &grant.Reply{Life: 7, Sequence: 9, Grants: []grant.Grant{{ID: 1, Engine: 3, Preempts: true}}, Stops: []uint64{8}}}
 	crashes := message{Crashes: []quarantine.Crash{{Content: quarantine.Content{Host: "h"}.Digest(), Engine: 1 << 63, Age: time.Second, Excused: true}, {Engine: 2}}}
-	for _, told := range []message{want, reply, crashes} {
+	for _, sent := range []message{want, reply, crashes} {
 		got := message{}
 		for got.State == nil && got.Reply == nil && got.Crashes == nil {
 			switch {
-			case told.State != nil:
-				sender.SendState(address, told.Lane, *told.State)
-			case told.Reply != nil:
-				sender.SendReply(address, told.Lane, *told.Reply)
+			case sent.State != nil:
+				sender.SendState(address, sent.Lane, *sent.State)
+			case sent.Reply != nil:
+				sender.SendReply(address, sent.Lane, *sent.Reply)
 			default:
-				sender.SendCrashes(address, told.Crashes)
+				sender.SendCrashes(address, sent.Crashes)
 			}
 			select {
 			case got = <-to.heard:
-				if (got.State == nil) != (told.State == nil) || (got.Reply == nil) != (told.Reply == nil) {
-					got = message{} // another copy of the one before
+				if (got.State == nil) != (sent.State == nil) || (got.Reply == nil) != (sent.Reply == nil) {
+					got = message{} // a duplicate of the previous message
 				}
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
-		if difference := cmp.Diff(told, got); difference != "" {
+		if difference := cmp.Diff(sent, got); difference != "" {
 			t.Error(difference)
 		}
 	}
 }
 
-// TestWatchersHearWhoIsAlive sends a voucher, which may be lost, until it came.
+// TestWatchersHearWhoIsAlive sends a voucher, which may be lost, until it arrives.
 func TestWatchersHearWhoIsAlive(t *testing.T) {
-	to := newLocal()
+	to := newFakeNode()
 	address := freeAddress(t)
 	start(t, to, address)
-	sender := start(t, newLocal(), freeAddress(t))
+	sender := start(t, newFakeNode(), freeAddress(t))
 	want := liveness.Message{Kind: liveness.Voucher, From: "n1/life", Node: "n2/life", Ago: 70 * time.Millisecond}
 	for {
 		sender.SendLiveness(address, want)
@@ -226,9 +227,9 @@
 	}
 }
 
-// TestStartingNodeIsToldOfCrashes that others know.
+// TestStartingNodeIsToldOfCrashes checks that a node that requests crash reports gets those that another node knows.
 func TestStartingNodeIsToldOfCrashes(t *testing.T) {
-	asked, asker := newLocal(), newLocal()
+	asked, asker := newFakeNode(), newFakeNode()
 	asked.gravest = []quarantine.Crash{{Engine: 7}}
 	address := freeAddress(t)
 	start(t, asked, address)
@@ -246,13 +247,13 @@
 	}
 }
 
-// TestStoreCallsByWayOfAPeer has a node ask another for each kind of answer:
-// what the store said comes back as it was.
+// TestStoreCallsByWayOfAPeer checks that each kind of answer of the store comes back
+// unchanged through a peer.
 func TestStoreCallsByWayOfAPeer(t *testing.T) {
-	served := newLocal()
+	served := newFakeNode()
 	address := freeAddress(t)
 	start(t, served, address)
-	asker := New(DefaultConfig(freeAddress(t)), newLocal(), newLocal(), newLocal(), newLocal(), zap.NewNop())
+	asker := New(DefaultConfig(freeAddress(t)), newFakeNode(), newFakeNode(), newFakeNode(), newFakeNode(), zap.NewNop())
 	for _, want := range []StoreAnswer{
 		{Commit: passthrough.CommitResult{Applied: true, Version: 9}},
 		{Commit: passthrough.CommitResult{Current: []passthrough.Row{{Table: "t", Key: "k", Value: []byte("v"), Version: 3}}}},
@@ -269,7 +270,7 @@
 			if got, err = asker.CallStore(t.Context(), address, StoreCall{Kind: StoreCommit}); err == nil {
 				break
 			}
-			if !errors.Is(err, passthrough.ErrNothingDone) { // it does not listen yet
+			if !errors.Is(err, passthrough.ErrNothingDone) { // the node does not listen yet
 				t.Fatal(err)
 			}
 		}
@@ -278,46 +279,46 @@
 		}
 	}
 	if _, err := asker.CallStore(t.Context(), freeAddress(t), StoreCall{Kind: StoreCommit}); !errors.Is(err, passthrough.ErrNothingDone) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("call to an address without a listener: got %v, want ErrNothingDone", err)
 	}
 }
 
-// TestFaultsKeepWhatIsKnown takes each error of the store to another node.
+// TestFaultsKeepWhatIsKnown checks that each error of the store keeps its identity on the way to another node.
 func TestFaultsKeepWhatIsKnown(t *testing.T) {
 	for _, known := range []error{passthrough.ErrNothingDone, passthrough.ErrOutcomeUnknown, passthrough.ErrHistoryGone, passthrough.ErrNotFound, passthrough.ErrFull} {
 		if got := (StoreAnswer{Fault: FaultOf(fmt.Errorf("a call: %w", known))}).Err(); !errors.Is(got, known) {
-			t.Errorf("%v came as %v", known, got)
+			t.Errorf("error %v arrived as %v", known, got)
 		}
 	}
 	full := fmt.Errorf("%w: %w", passthrough.ErrNothingDone, passthrough.ErrFull)
 	if got := (StoreAnswer{Fault: FaultOf(full)}).Err(); !errors.Is(got, passthrough.ErrNothingDone) || !errors.Is(got, passthrough.ErrFull) {
-		t.Errorf("a full store came as %v", got)
+		t.Errorf("error of a full store arrived as %v", got)
 	}
 	if got := FaultOf(errors.New("anything else")); got != FaultOutcomeUnknown {
-		t.Errorf("got %d", got)
+		t.Errorf("got fault %d for an unrecognized error, want FaultOutcomeUnknown", got)
 	}
 	if (StoreAnswer{}).Err() != nil {
-		t.Error("no fault is an error")
+		t.Error("Err returns an error for an answer without a fault")
 	}
 }
 
-// TestUnknownMessagesChangeNothing hears messages of kinds that a later version
-// may send, and a good one after them.
+// TestUnknownMessagesChangeNothing handles messages of kinds that a later version
+// may send, and a known one after them.
 func TestUnknownMessagesChangeNothing(t *testing.T) {
-	node := newLocal()
+	node := newFakeNode()
 	share := New(DefaultConfig("127.0.0.1:1"), node, node, node, node, zap.NewNop())
-	for _, told := range []message{{}, {State: &grant.State{}, Reply: &grant.Reply{}}} {
-		if err := share.hear("127.0.0.1:2", told); !errors.Is(err, errUnknownMessage) {
-			t.Errorf("%+v: %v", told, err)
+	for _, msg := range []message{{}, {State: &grant.State{}, Reply: &grant.Reply{}}} {
+		if err := share.handleMessage("127.0.0.1:2", msg); !errors.Is(err, errUnknownMessage) {
+			t.Errorf("message %+v: got error %v, want errUnknownMessage", msg, err)
 		}
 	}
 	for range 3 {
-		share.noteDropped("127.0.0.1:2", errUnknownMessage)
+		share.logDropped("127.0.0.1:2", errUnknownMessage)
 	}
 	if share.dropped != 2 {
-		t.Errorf("%d messages wait for the next log line, want 2", share.dropped)
+		t.Errorf("%d dropped messages are not logged yet, want 2", share.dropped)
 	}
-	if err := share.hear("127.0.0.1:2", exampleMessage()); err != nil || len(node.heard) != 1 {
-		t.Errorf("heard %d messages: %v", len(node.heard), err)
+	if err := share.handleMessage("127.0.0.1:2", exampleMessage()); err != nil || len(node.heard) != 1 {
+		t.Errorf("node received %d messages, want 1; error %v", len(node.heard), err)
 	}
 }
--- a/internal/peer/sharing/storecall.go
+++ b/internal/peer/sharing/storecall.go
@@ -12,10 +12,10 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// StoreCallKind says which call to the store a node asks a peer to make.
+// StoreCallKind is the kind of call to the store that a node asks a peer to make.
 type StoreCallKind uint8
 
-// The calls that are made for others.
+// The calls to the store that a node makes for others.
 const (
 	StoreCommit StoreCallKind = iota + 1
 	StoreList
@@ -25,7 +25,7 @@
 )
 
 // StoreCall is a call to the platform's store that a peer makes for a node
-// which the store turns away. Which fields count depends on the kind.
+// which the store refuses. The kind determines which fields are used.
 type StoreCall struct {
 	Kind        StoreCallKind
 	Transaction passthrough.Transaction // StoreCommit
@@ -36,13 +36,13 @@
 	Wait        time.Duration           // StoreFeed: how long the store may hold the call
 	Object      string                  // StorePut, StoreGet
 	Body        []byte                  // StorePut
-	Timeout     time.Duration           // that the asker waits
+	Timeout     time.Duration           // how long the requesting node waits
 }
 
-// StoreFault says how a call failed.
+// StoreFault is the way in which a call to the store failed.
 type StoreFault uint8
 
-// The faults, each the twin of an error of package passthrough.
+// The faults. Each stands for an error of package passthrough.
 const (
 	NoFault StoreFault = iota
 	FaultNothingDone
@@ -60,8 +60,8 @@
 	FaultFull:           errors.Join(passthrough.ErrNothingDone, passthrough.ErrFull),
 }
 
-// FaultOf gives the fault that stands for an error; what is not known counts
-// as an outcome that is not known.
+// FaultOf returns the fault that stands for an error: FaultOutcomeUnknown for an
+// error that it does not recognize.
 func FaultOf(err error) StoreFault {
 	switch {
 	case err == nil:
@@ -79,7 +79,7 @@
 	}
 }
 
-// StoreAnswer is the store's answer as the peer got it.
+// StoreAnswer is the store's answer as the peer received it.
 type StoreAnswer struct {
 	Fault    StoreFault
 	Message  string // of the error behind Fault
@@ -88,7 +88,7 @@
 	Body     []byte // StoreGet
 }
 
-// Err gives the error behind the answer's fault.
+// Err returns the error that the answer's fault stands for, or nil.
 func (a StoreAnswer) Err() error {
 	if a.Fault == NoFault {
 		return nil
@@ -96,47 +96,47 @@
 	return fmt.Errorf("%w: by way of a peer: %s", faultErrors[a.Fault], a.Message)
 }
 
-// Bounds of a call to the store that is made for another node.
+// Limits of a call to the store that is made for another node.
 const (
-	storeCallTime  = 4 * time.Second
-	storeCallBytes = 16 << 20
+	maxStoreCallTimeout = 4 * time.Second
+	maxStoreCallBytes   = 16 << 20
 )
 
-// CallStore has a peer make a call. Errors wrap ErrNothingDone when the peer
-// provably did not get it, else ErrOutcomeUnknown; the store's own answer,
-// faults too, is in the StoreAnswer.
+// CallStore asks a peer to make a call to the store. Errors wrap ErrNothingDone if
+// the peer provably did not receive the call, else ErrOutcomeUnknown. The store's own
+// answer, including its faults, is in the StoreAnswer.
 func (s *Share) CallStore(ctx context.Context, peer string, call StoreCall) (StoreAnswer, error) {
-	dialer := net.Dialer{Timeout: askTime}
+	dialer := net.Dialer{Timeout: askTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", peer)
 	if err != nil {
 		return StoreAnswer{}, fmt.Errorf("%w: %w", passthrough.ErrNothingDone, err)
 	}
-	defer connection.Close() //nolint:errcheck // the answer is read, or given up
-	ended := context.AfterFunc(ctx, func() { _ = connection.SetDeadline(time.Now()) })
-	defer ended()
-	call.Timeout = storeCallTime
-	if deadline, bounded := ctx.Deadline(); bounded {
+	defer connection.Close() //nolint:errcheck // the answer has been read or has failed
+	stopAbort := context.AfterFunc(ctx, func() { _ = connection.SetDeadline(time.Now()) })
+	defer stopAbort()
+	call.Timeout = maxStoreCallTimeout
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
 		call.Timeout = min(call.Timeout, time.Until(deadline))
 	}
 	_ = connection.SetDeadline(time.Now().Add(call.Timeout))
 	if err := gob.NewEncoder(connection).Encode(ask{Store: &call}); err != nil {
 		return StoreAnswer{}, fmt.Errorf("%w: %w", passthrough.ErrOutcomeUnknown, err)
 	}
-	var answered answer
-	if err := gob.NewDecoder(io.LimitReader(connection, storeCallBytes)).Decode(&answered); err != nil || answered.Store == nil {
-		return StoreAnswer{}, fmt.Errorf("%w: %w", passthrough.ErrOutcomeUnknown, errors.Join(err, errNoAnswer))
+	var response answer
+	if err := gob.NewDecoder(io.LimitReader(connection, maxStoreCallBytes)).Decode(&response); err != nil || response.Store == nil {
+		return StoreAnswer{}, fmt.Errorf("%w: %w", passthrough.ErrOutcomeUnknown, errors.Join(err, errNoStoreAnswer))
 	}
-	return *answered.Store, nil
+	return *response.Store, nil
 }
 
-var errNoAnswer = errors.New("the peer gave no answer about the store")
+var errNoStoreAnswer = errors.New("the peer gave no answer about the store")
 
-// answerStore makes a call for another node.
-func (s *Share) answerStore(connection net.Conn, call StoreCall) *StoreAnswer {
-	timeout := min(max(call.Timeout, 0), storeCallTime)
-	_ = connection.SetDeadline(time.Now().Add(timeout + answerTime))
+// serveStoreCall makes a call to the store for another node and returns the answer.
+func (s *Share) serveStoreCall(connection net.Conn, call StoreCall) *StoreAnswer {
+	timeout := min(max(call.Timeout, 0), maxStoreCallTimeout)
+	_ = connection.SetDeadline(time.Now().Add(timeout + answerTimeout))
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	made := s.local.CallStore(ctx, call)
-	return &made
+	result := s.local.CallStore(ctx, call)
+	return &result
 }
