--- a/internal/peer/bus.go
+++ b/internal/peer/bus.go
@@ -40,7 +40,7 @@
 	n.streamHandlers[reflect.TypeOf(prototype)] = handler
 }
 
-// handle runs the handler for a message; false when there is none.
+// handle runs the handler for a message and returns its reply. It returns false if there is no handler.
 func (n *Node) handle(from identity.NodeID, message any) (any, bool) {
 	n.handlersMu.RLock()
 	handler := n.handlers[reflect.TypeOf(message)]
@@ -51,6 +51,7 @@
 	return handler(from, message), true
 }
 
+// streamHandler returns the handler for streams that begin with a message of first's type, or nil.
 func (n *Node) streamHandler(first any) StreamHandler {
 	n.handlersMu.RLock()
 	defer n.handlersMu.RUnlock()
@@ -59,7 +60,7 @@
 
 // Send implements Bus.
 func (n *Node) Send(to identity.NodeID, message any) error {
-	of, err := typeOf(message)
+	msgType, err := typeOf(message)
 	if err != nil {
 		return err
 	}
@@ -71,12 +72,12 @@
 	if err != nil {
 		return err
 	}
-	return c.enqueue(frame{kind: frameMessage, message: message, of: of})
+	return c.enqueue(frame{kind: frameMessage, message: message, msgType: msgType})
 }
 
 // Call implements Bus.
 func (n *Node) Call(ctx context.Context, to identity.NodeID, message any) (any, error) {
-	of, err := typeOf(message)
+	msgType, err := typeOf(message)
 	if err != nil {
 		return nil, err
 	}
@@ -91,20 +92,20 @@
 	if err != nil {
 		return nil, err
 	}
-	number, waiting, err := c.begin(message, of)
+	number, waiting, err := c.beginCall(message, msgType)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case end := <-waiting:
-		return end.message, end.err
+	case result := <-waiting:
+		return result.message, result.err
 	case <-ctx.Done():
-		c.finish(number, reply{})
+		c.finishCall(number, reply{})
 		return nil, ctx.Err()
 	}
 }
 
-// route gives the connection for a node: its link, else the direct one.
+// route returns the connection to a node: its link if there is one, else the direct connection.
 func (n *Node) route(to identity.NodeID) (*connection, error) {
 	n.mu.Lock()
 	link := n.links[to]
@@ -119,6 +120,7 @@
 	return n.directTo(member)
 }
 
+// encodeFailed logs that a message could not be encoded and was not sent.
 func (n *Node) encodeFailed(to identity.NodeID, err error) {
 	events.MessageNotSent.Log(n.logger, zap.String("member", string(to)), zap.Error(err))
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -13,35 +13,35 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// frameKind says what a frame is for.
+// frameKind is the purpose of a frame. Its values are part of the wire format.
 type frameKind uint8
 
 const (
-	frameMessage   frameKind = iota + 1 // one way
-	frameCall                           // wants a reply with its number
+	frameMessage   frameKind = iota + 1 // expects no reply
+	frameCall                           // expects a reply with the same number
 	frameReply                          // answers a call
-	frameNoHandler                      // answers a call that nobody there takes; no message
-	frameFlood                          // to be passed on; has an origin and a number
-	frameEnd                            // orderly end of a stream; no message
+	frameNoHandler                      // answers a call for which the receiver has no handler; without a message
+	frameFlood                          // is forwarded; has an origin and a number
+	frameEnd                            // orderly end of a stream or link; without a message
 )
 
-// frame is what connections carry.
+// frame is the unit that connections carry.
 type frame struct {
 	kind frameKind
-	// number is a call's or, within its origin, a flood's.
+	// number identifies a call within its connection or a flood within its origin.
 	number  uint64
-	origin  identity.NodeID // floods only
+	origin  identity.NodeID // for floods only
 	message any
-	of      *messageType
+	msgType *messageType
 }
 
 const (
 	lengthBytes = 4
 	tagBytes    = 4
-	// maxOrigin bounds the node id in a flood's header.
-	maxOrigin = 256
-	// keptBuffer is the largest buffer kept between frames.
-	keptBuffer = 64 << 10
+	// maxOriginBytes is the maximum length of a node id.
+	maxOriginBytes = 256
+	// maxKeptBufferBytes is the capacity of the largest buffer that is kept between frames.
+	maxKeptBufferBytes = 64 << 10
 )
 
 var (
@@ -49,9 +49,9 @@
 	errFrameInvalid  = errors.New("peer: frame not valid")
 )
 
-// encoder writes frames: a length, a header by encoding/binary, and the
-// message by the connection's one gob stream, so that a type is described in
-// the first frame that has it and never again.
+// encoder writes frames. A frame consists of its length, a header in encoding/binary
+// and the message as part of the connection's single gob stream, so that a type is
+// described only in the first frame that contains it.
 type encoder struct {
 	writer *bufio.Writer
 	buffer bytes.Buffer
@@ -65,10 +65,10 @@
 	return e
 }
 
-// encode writes one frame and gives its size. After an error the connection
-// must be closed: the other side may have missed a type's description.
+// encode writes one frame and returns its size in bytes. After an error the connection
+// must be closed, since the other side may lack a type's description.
 func (e *encoder) encode(f *frame) (int, error) {
-	if e.buffer.Cap() > keptBuffer {
+	if e.buffer.Cap() > maxKeptBufferBytes {
 		e.buffer = bytes.Buffer{}
 	}
 	e.buffer.Reset()
@@ -81,9 +81,9 @@
 		e.buffer.WriteString(string(f.origin))
 	}
 	if f.message != nil {
-		e.buffer.Write(binary.BigEndian.AppendUint32(header[:0], f.of.tag))
+		e.buffer.Write(binary.BigEndian.AppendUint32(header[:0], f.msgType.tag))
 		if err := e.gob.Encode(f.message); err != nil {
-			return 0, fmt.Errorf("peer: encode %s: %w", f.of.name, err)
+			return 0, fmt.Errorf("peer: encode %s: %w", f.msgType.name, err)
 		}
 	}
 	encoded := e.buffer.Bytes()
@@ -95,7 +95,7 @@
 	return len(encoded), err
 }
 
-// decoder reads what an encoder wrote.
+// decoder reads the frames that an encoder wrote.
 type decoder struct {
 	reader *bufio.Reader
 	buffer []byte
@@ -110,8 +110,8 @@
 	return d
 }
 
-// decode reads one frame and gives its size. io.EOF: the connection ended
-// between frames.
+// decode reads one frame and returns it with its size in bytes. The error is io.EOF if
+// the connection ended between frames.
 func (d *decoder) decode() (frame, int, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(d.reader, length[:]); err != nil {
@@ -121,19 +121,19 @@
 	if size > d.limit {
 		return frame{}, 0, fmt.Errorf("%w: %d bytes", errFrameTooLarge, size)
 	}
-	if cap(d.buffer) < size || cap(d.buffer) > keptBuffer {
+	if cap(d.buffer) < size || cap(d.buffer) > maxKeptBufferBytes {
 		d.buffer = make([]byte, size)
 	}
 	d.buffer = d.buffer[:size]
 	if _, err := io.ReadFull(d.reader, d.buffer); err != nil {
-		return frame{}, 0, unexpected(err)
+		return frame{}, 0, unexpectedEOF(err)
 	}
 	d.body.Reset(d.buffer)
 	f, err := d.parse()
-	return f, size + lengthBytes, unexpected(err)
+	return f, size + lengthBytes, unexpectedEOF(err)
 }
 
-// parse reads a frame's header and message from the body.
+// parse decodes a frame's header and message from d.body.
 func (d *decoder) parse() (frame, error) {
 	kind, err := d.body.ReadByte()
 	if err != nil {
@@ -158,23 +158,24 @@
 	if _, err = io.ReadFull(&d.body, tag[:]); err != nil {
 		return frame{}, err
 	}
-	if f.of, err = typeByTag(binary.BigEndian.Uint32(tag[:])); err != nil {
+	if f.msgType, err = typeByTag(binary.BigEndian.Uint32(tag[:])); err != nil {
 		return frame{}, err
 	}
-	value := reflect.New(f.of.kind).Elem()
+	value := reflect.New(f.msgType.goType).Elem()
 	if err = d.gob.DecodeValue(value); err != nil {
-		return frame{}, fmt.Errorf("peer: decode %s: %w", f.of.name, err)
+		return frame{}, fmt.Errorf("peer: decode %s: %w", f.msgType.name, err)
 	}
 	f.message = value.Interface()
 	return f, nil
 }
 
+// origin decodes the origin of a flood.
 func (d *decoder) origin() (identity.NodeID, error) {
 	size, err := binary.ReadUvarint(&d.body)
 	if err != nil {
 		return "", err
 	}
-	if size > maxOrigin || int(size) > d.body.Len() {
+	if size > maxOriginBytes || int(size) > d.body.Len() {
 		return "", fmt.Errorf("%w: origin of %d bytes", errFrameInvalid, size)
 	}
 	origin := make([]byte, size)
@@ -182,8 +183,8 @@
 	return identity.NodeID(origin), err
 }
 
-// unexpected turns an end within a frame into an error other than io.EOF.
-func unexpected(err error) error {
+// unexpectedEOF turns io.EOF, at the end of the data within a frame, into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -19,7 +19,7 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-// tableChange has the shape of the message that floods an edit.
+// tableChange has the fields of the message that floods an edit.
 type tableChange struct {
 	Row         policy.Row
 	By          string
@@ -49,11 +49,11 @@
 }
 
 func testFrame(t interface{ Fatal(...any) }, kind frameKind, message any) *frame {
-	of, err := typeOf(message)
+	msgType, err := typeOf(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &frame{kind: kind, number: 77, message: message, of: of}
+	return &frame{kind: kind, number: 77, message: message, msgType: msgType}
 }
 
 func TestFramesArriveAsSent(t *testing.T) {
@@ -64,7 +64,7 @@
 				testNote{Number: rapid.Int().Draw(t, "number"), Text: rapid.String().Draw(t, "text")})
 			sent.number = rapid.Uint64().Draw(t, "call")
 			if sent.kind == frameFlood {
-				sent.origin = identity.NodeID(rapid.StringN(0, -1, maxOrigin).Draw(t, "origin"))
+				sent.origin = identity.NodeID(rapid.StringN(0, -1, maxOriginBytes).Draw(t, "origin"))
 			}
 			size, err := encoder.encode(sent)
 			if err != nil {
@@ -86,11 +86,11 @@
 	encoder, decoder, pipe := testCodec()
 	large := testNote{Text: string(make([]byte, testFrameLimit+1))}
 	if _, err := encoder.encode(testFrame(t, frameMessage, large)); !errors.Is(err, errFrameTooLarge) {
-		t.Errorf("sent: %v", err)
+		t.Errorf("encode: got error %v, want errFrameTooLarge", err)
 	}
 	_ = binary.Write(pipe, binary.BigEndian, uint32(testFrameLimit+1))
 	if _, _, err := decoder.decode(); !errors.Is(err, errFrameTooLarge) {
-		t.Errorf("received: %v", err)
+		t.Errorf("decode: got error %v, want errFrameTooLarge", err)
 	}
 }
 
@@ -105,7 +105,7 @@
 		decoder := newDecoder(bufio.NewReader(bytes.NewReader(whole[:length])), testFrameLimit)
 		_, _, err := decoder.decode()
 		if orderly := errors.Is(err, io.EOF); err == nil || orderly != (length == 0) {
-			t.Errorf("cut after %d of %d bytes: %v", length, len(whole), err)
+			t.Errorf("frame truncated after %d of %d bytes: error %v", length, len(whole), err)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 func TestUnregisteredMessageIsAnError(t *testing.T) {
 	type unknown struct{ A int }
 	if _, err := typeOf(unknown{}); !errors.Is(err, ErrNotRegistered) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrNotRegistered", err)
 	}
 }
 
@@ -144,8 +144,8 @@
 		for range 200 {
 			number := rapid.Uint64Range(1, 3*floodWindow).Draw(t, "number")
 			want := !seen[number] && number+floodWindow > highest
-			if got := history.first(number); got != want {
-				t.Fatalf("flood %d after %d: first %t, twin says %t", number, highest, got, want)
+			if got := history.addIfNew(number); got != want {
+				t.Fatalf("flood %d with highest number %d: addIfNew returned %t, want %t", number, highest, got, want)
 			}
 			seen[number] = seen[number] || want
 			highest = max(highest, number)
@@ -153,8 +153,8 @@
 	})
 }
 
-// BenchmarkEncode measures a frame on a running stream; the metric wire-B is
-// its size without the transport's headers.
+// BenchmarkEncode measures the encoding of a frame on an established stream. The metric
+// wire-B is the frame's size without the transport's headers.
 func BenchmarkEncode(b *testing.B) {
 	for name, message := range map[string]any{"heartbeat": sampleHeartbeat(), "change": sampleChange()} {
 		b.Run(name, func(b *testing.B) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// BenchmarkDecode measures the other end.
+// BenchmarkDecode measures the encoding and decoding of a frame on an established stream.
 func BenchmarkDecode(b *testing.B) {
 	for name, message := range map[string]any{"heartbeat": sampleHeartbeat(), "change": sampleChange()} {
 		b.Run(name, func(b *testing.B) {
@@ -191,7 +191,7 @@
 	}
 }
 
-// BenchmarkDatagram is the alternative that was weighed: a gob encoder and a
+// BenchmarkDatagram measures the alternative design with a new gob encoder and
 // decoder for each message, as datagrams need. See decision 0060.
 func BenchmarkDatagram(b *testing.B) {
 	b.Run("heartbeat", func(b *testing.B) { benchmarkDatagram(b, sampleHeartbeat()) })
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -27,7 +27,7 @@
 	Detector         membership.Config `koanf:"detector"`
 }
 
-// DefaultConfig gives the defaults; the listen address is left to the settings.
+// DefaultConfig returns the defaults. The listen address has no default.
 func DefaultConfig() Config {
 	return Config{
 		Fleet:          "ringstream",
@@ -43,7 +43,7 @@
 	}
 }
 
-// Validate checks the settings; its error names the key.
+// Validate checks the settings. Its error names the invalid key.
 func (c Config) Validate() error {
 	if err := checkAddress("listen_address", c.ListenAddress); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// advertised is the address that other nodes are told.
+// advertised returns the address at which other nodes reach this one.
 func (c Config) advertised() string {
 	if c.AdvertiseAddress != "" {
 		return c.AdvertiseAddress
@@ -82,6 +82,7 @@
 	return c.ListenAddress
 }
 
+// checkAddress checks that an address has the form IP:port.
 func checkAddress(key, address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// Identity is what a node tells others of itself.
+// Identity is a node's description of itself to other nodes.
 type Identity struct {
 	ID             identity.NodeID
 	Zone, Region   string
@@ -101,7 +102,7 @@
 }
 
 func (i Identity) validate() error {
-	if i.ID == "" || len(i.ID) > maxOrigin {
+	if i.ID == "" || len(i.ID) > maxOriginBytes {
 		return errors.New("peer: node id is empty or too long")
 	}
 	return nil
--- a/internal/peer/connect.go
+++ b/internal/peer/connect.go
@@ -13,9 +13,9 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// acceptPause is the wait after a failed accept, so that a lack of file
-// descriptors does not spin.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while
+// the process lacks file descriptors.
+const acceptRetryDelay = 50 * time.Millisecond
 
 // listen accepts connections until the listener closes.
 func (n *Node) listen(listener net.Listener) {
@@ -26,44 +26,44 @@
 			return
 		case err != nil:
 			events.AcceptFailed.Log(n.logger, zap.Error(err))
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
-		case n.slots <- struct{}{}:
+		case n.connectionSlots <- struct{}{}:
 		default:
 			_ = conn.Close()
 			n.traffic.dropped.Add(1)
 			continue
 		}
-		if !n.spawn(func() { n.welcome(conn); <-n.slots }) {
+		if !n.spawn(func() { n.serveAccepted(conn); <-n.connectionSlots }) {
 			_ = conn.Close()
 		}
 	}
 }
 
-// welcome takes an accepted connection and serves it to its end.
-func (n *Node) welcome(conn net.Conn) {
-	w, said, err := n.accept(conn)
+// serveAccepted completes the handshake on an accepted connection and serves it until it ends.
+func (n *Node) serveAccepted(conn net.Conn) {
+	w, greeting, err := n.accept(conn)
 	if err != nil {
-		if errors.Is(err, errIdentity) || n.tls != nil {
+		if errors.Is(err, errHandshakeRejected) || n.tls != nil {
 			events.PeerRefused.Log(n.logger, zap.String("address", conn.RemoteAddr().String()), zap.Error(err))
 		}
 		return
 	}
-	switch said.Purpose {
+	switch greeting.Purpose {
 	case purposeLink:
-		n.serveLink(w, said.From, false)
+		n.serveLink(w, greeting.From, false)
 	case purposeDirect:
-		n.serveDirect(w, said.From.ID)
+		n.serveDirect(w, greeting.From.ID)
 	case purposeStream:
-		n.serveStream(w, said.From.ID)
+		n.serveStream(w, greeting.From.ID)
 	default:
 		w.close()
 	}
 }
 
-// connect carries out a Connect effect.
+// connect executes a Connect effect: it dials a node and serves the link until it ends.
 func (n *Node) connect(effect membership.Connect) {
 	ctx, cancel := context.WithTimeout(n.ctx, n.config.DialTimeout)
 	defer cancel()
@@ -84,7 +84,8 @@
 	}
 }
 
-// serveLink runs a link to its end; false when another link to the node is kept.
+// serveLink serves a link until it ends. It returns false if the link was not added, for example because
+// another link to the node is kept.
 func (n *Node) serveLink(w *wire, peer membership.Member, dialed bool) bool {
 	link := newConnection(n, peer.ID, purposeLink, dialed)
 	link.attach(w)
@@ -97,17 +98,18 @@
 	return true
 }
 
-// addLink makes a connection the link to its node. Of two that cross, both
-// ends keep the one that the lower id dialled; else the newer replaces the older.
+// addLink makes a connection the link to its node. If both nodes dial each other, both
+// keep the connection that the node with the lower id dialed. Otherwise a newer
+// connection replaces the older one.
 func (n *Node) addLink(link *connection, peer membership.Member) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ctx.Err() != nil || peer.ID == n.identity.ID {
 		return false
 	}
-	byLower := func(c *connection) bool { return c.dialed == (n.identity.ID < c.peer) }
+	dialedByLower := func(c *connection) bool { return c.dialed == (n.identity.ID < c.peer) }
 	old := n.links[link.peer]
-	if old != nil && byLower(old) && !byLower(link) {
+	if old != nil && dialedByLower(old) && !dialedByLower(link) {
 		return false
 	}
 	n.links[link.peer] = link
@@ -118,6 +120,7 @@
 	return true
 }
 
+// removeLink removes a link that has ended, unless another one has replaced it.
 func (n *Node) removeLink(link *connection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,9 +131,9 @@
 	n.perform(n.machine.Step(time.Now(), membership.LinkDown{Peer: link.peer}))
 }
 
-// heard tells the machine of a message on a link; of one that is not its own,
-// only that it came.
-func (n *Node) heard(link *connection, message membership.Message) {
+// receivedOnLink reports a message on a link to the membership machine. message is nil
+// if it is not a membership message; the machine then learns only that the peer sent something.
+func (n *Node) receivedOnLink(link *connection, message membership.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.links[link.peer] == link {
@@ -138,7 +141,7 @@
 	}
 }
 
-// probe carries out a Probe effect.
+// probe executes a Probe effect: it checks by a handshake whether a node is alive.
 func (n *Node) probe(effect membership.Probe) {
 	ctx, cancel := context.WithTimeout(n.ctx, n.config.ProbeTimeout)
 	defer cancel()
@@ -149,7 +152,7 @@
 	n.step(membership.ProbeDone{ID: effect.ID, Answered: err == nil && found.ID == effect.ID})
 }
 
-// serveDirect runs an accepted direct connection.
+// serveDirect serves an accepted direct connection until it ends.
 func (n *Node) serveDirect(w *wire, from identity.NodeID) {
 	c := newConnection(n, from, purposeDirect, false)
 	c.attach(w)
@@ -169,8 +172,8 @@
 	n.connectionsMu.Unlock()
 }
 
-// directTo gives the pooled connection to a node, and dials it where needed;
-// frames wait in its queue meanwhile.
+// directTo returns the pooled direct connection to a node. If there is none, directTo
+// starts to dial; frames wait in the connection's queue meanwhile.
 func (n *Node) directTo(member membership.Member) (*connection, error) {
 	n.connectionsMu.Lock()
 	defer n.connectionsMu.Unlock()
@@ -190,6 +193,7 @@
 	return c, nil
 }
 
+// runDirect dials a pooled direct connection, serves it and removes it from the pool when it ends.
 func (n *Node) runDirect(c *connection, address string) {
 	cause := ErrUnreachable
 	ctx, cancel := context.WithTimeout(n.ctx, n.config.DialTimeout)
@@ -211,13 +215,13 @@
 	c.close(cause)
 }
 
-// sweep closes idle direct connections and forgets floods of lost members.
+// sweep closes idle direct connections and removes the flood histories of former members.
 func (n *Node) sweep() {
-	oldest := time.Now().Add(-n.config.IdleTimeout).UnixNano()
+	idleBefore := time.Now().Add(-n.config.IdleTimeout).UnixNano()
 	n.connectionsMu.Lock()
 	var idle []*connection
 	for _, c := range n.direct {
-		if c.used.Load() < oldest && !c.busy() {
+		if c.lastUsed.Load() < idleBefore && !c.hasPendingCalls() {
 			idle = append(idle, c)
 			delete(n.direct, c.peer)
 		}
@@ -227,14 +231,14 @@
 		c.close(ErrLost)
 	}
 	view := n.View()
-	n.seen.forget(func(origin identity.NodeID) bool {
+	n.seen.retain(func(origin identity.NodeID) bool {
 		_, known := view.Member(origin)
 		return known
 	})
 }
 
-// dropMember closes what is open to a node that is dead.
-func (n *Node) dropMember(id identity.NodeID) {
+// closeMember closes all direct connections and streams to a dead node.
+func (n *Node) closeMember(id identity.NodeID) {
 	n.connectionsMu.Lock()
 	var lost []*connection
 	if c := n.direct[id]; c != nil {
@@ -261,8 +265,8 @@
 	}
 }
 
-// keepStream notes an open stream; false when the node is stopping.
-func (n *Node) keepStream(open *stream) bool {
+// trackStream registers an open stream. It returns false if the node is stopping.
+func (n *Node) trackStream(open *stream) bool {
 	n.connectionsMu.Lock()
 	defer n.connectionsMu.Unlock()
 	if n.stopping {
@@ -272,7 +276,8 @@
 	return true
 }
 
-func (n *Node) dropStream(open *stream) {
+// untrackStream removes a stream that trackStream registered.
+func (n *Node) untrackStream(open *stream) {
 	n.connectionsMu.Lock()
 	defer n.connectionsMu.Unlock()
 	delete(n.streams, open)
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -9,52 +9,53 @@
 	"ringstream.example/ringstream/internal/core/membership"
 )
 
-// controlQueue is how many of the member list's own messages wait on a
-// connection; they go before all others.
-const controlQueue = 64
+// controlQueueLength is the capacity, in messages, of a link's queue for membership
+// messages, which are sent before all others.
+const controlQueueLength = 64
 
-// reply is the end of a call.
+// reply is the result of a call.
 type reply struct {
 	message any
 	err     error
 }
 
-// connection carries messages and calls to one node. Its queues are bounded:
-// what does not fit is dropped and counted.
+// connection carries messages and calls to and from one node. Its send queues are bounded:
+// a frame that does not fit is dropped and counted.
 type connection struct {
-	node    *Node
-	peer    identity.NodeID
-	why     purpose
-	dialed  bool
-	control chan frame
-	data    chan frame
-	done    chan struct{}
-	once    sync.Once
-	used    atomic.Int64 // time of last use, in nanoseconds
+	node     *Node
+	peer     identity.NodeID
+	purpose  purpose
+	dialed   bool
+	control  chan frame
+	data     chan frame
+	done     chan struct{}
+	once     sync.Once
+	lastUsed atomic.Int64 // Unix time of the last use, in nanoseconds
 
-	mu      sync.Mutex
-	wire    *wire // nil while dialling
-	closed  bool
-	pending map[uint64]chan reply
-	calls   uint64
+	mu       sync.Mutex
+	wire     *wire // nil while dialing
+	closed   bool
+	pending  map[uint64]chan reply
+	lastCall uint64
 }
 
-func newConnection(node *Node, peer identity.NodeID, why purpose, dialed bool) *connection {
+func newConnection(node *Node, peer identity.NodeID, connPurpose purpose, dialed bool) *connection {
 	c := &connection{
-		node: node, peer: peer, why: why, dialed: dialed,
+		node: node, peer: peer, purpose: connPurpose, dialed: dialed,
 		data: make(chan frame, node.config.SendQueue),
 		done: make(chan struct{}),
 	}
-	if why == purposeLink {
-		c.control = make(chan frame, controlQueue)
+	if connPurpose == purposeLink {
+		c.control = make(chan frame, controlQueueLength)
 	}
-	c.used.Store(time.Now().UnixNano())
+	c.lastUsed.Store(time.Now().UnixNano())
 	return c
 }
 
-// enqueue hands a frame to the writer without waiting.
+// enqueue queues a frame for sending. It does not block: it returns ErrQueueFull if the queue is full and
+// ErrLost if the connection is closed.
 func (c *connection) enqueue(f frame) error {
-	c.used.Store(time.Now().UnixNano())
+	c.lastUsed.Store(time.Now().UnixNano())
 	queue := c.data
 	if c.control != nil && isControl(f.message) {
 		queue = c.control
@@ -73,12 +74,13 @@
 	}
 }
 
+// isControl reports whether a message is one of the membership protocol.
 func isControl(message any) bool {
 	_, control := message.(membership.Message)
 	return control
 }
 
-// attach gives a dialled connection its wire; false when it was closed meanwhile.
+// attach sets the connection's wire. If the connection was closed meanwhile, attach closes the wire and returns false.
 func (c *connection) attach(w *wire) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +92,7 @@
 	return true
 }
 
-// close ends the connection at once; calls under way fail with the error.
+// close ends the connection at once. Calls in flight fail with cause.
 func (c *connection) close(cause error) {
 	c.once.Do(func() {
 		close(c.done)
@@ -108,7 +110,7 @@
 	})
 }
 
-// serve runs an attached connection until it ends.
+// serve reads and writes frames until the connection ends.
 func (c *connection) serve() {
 	writerDone := make(chan struct{})
 	go func() {
@@ -121,7 +123,7 @@
 	<-writerDone
 }
 
-// write sends queued frames; those that wait together share a flush.
+// write sends queued frames until the connection ends. Frames that are queued together share a flush.
 func (c *connection) write() {
 	for {
 		f, ok := c.next()
@@ -135,7 +137,7 @@
 				c.node.encodeFailed(c.peer, err)
 				return
 			}
-			c.node.traffic.sent(f.of, size)
+			c.node.traffic.sent(f.msgType, size)
 			if f.kind == frameEnd {
 				_ = c.wire.writer.Flush()
 				return
@@ -148,7 +150,7 @@
 	}
 }
 
-// next waits for a frame, the member list's first.
+// next waits for a queued frame and prefers membership messages. It returns false when the connection is closed.
 func (c *connection) next() (frame, bool) {
 	if f, ok := c.poll(); ok {
 		return f, true
@@ -163,6 +165,7 @@
 	}
 }
 
+// poll returns a queued frame without waiting, membership messages first. It returns false if there is none.
 func (c *connection) poll() (frame, bool) {
 	select {
 	case f := <-c.control:
@@ -177,27 +180,27 @@
 	}
 }
 
-// read takes frames until the connection ends.
+// read receives and handles frames until the connection ends.
 func (c *connection) read() {
 	for {
-		if c.why == purposeDirect {
+		if c.purpose == purposeDirect {
 			_ = c.wire.conn.SetReadDeadline(time.Now().Add(2 * c.node.config.IdleTimeout))
 		}
 		f, size, err := c.wire.decoder.decode()
 		if err != nil || f.kind == frameEnd {
 			return
 		}
-		c.node.traffic.received(f.of, size)
-		c.take(f)
+		c.node.traffic.received(f.msgType, size)
+		c.handleFrame(f)
 	}
 }
 
-// take handles one frame. Handlers run here: they do not block.
-func (c *connection) take(f frame) {
-	c.used.Store(time.Now().UnixNano())
-	if c.why == purposeLink {
+// handleFrame handles one received frame. It runs the message handlers, which must not block.
+func (c *connection) handleFrame(f frame) {
+	c.lastUsed.Store(time.Now().UnixNano())
+	if c.purpose == purposeLink {
 		message, _ := f.message.(membership.Message)
-		c.node.heard(c, message)
+		c.node.receivedOnLink(c, message)
 		if message != nil {
 			return
 		}
@@ -206,24 +209,24 @@
 	case frameMessage:
 		c.node.handle(c.peer, f.message)
 	case frameFlood:
-		c.node.takeFlood(c, f)
+		c.node.receiveFlood(c, f)
 	case frameCall:
-		c.answer(f)
+		c.answerCall(f)
 	case frameReply:
-		c.finish(f.number, reply{message: f.message})
+		c.finishCall(f.number, reply{message: f.message})
 	case frameNoHandler:
-		c.finish(f.number, reply{err: ErrNoHandler})
+		c.finishCall(f.number, reply{err: ErrNoHandler})
 	case frameEnd:
 	}
 }
 
-// answer runs a call's handler and sends its reply.
-func (c *connection) answer(f frame) {
+// answerCall runs the handler of a call and sends its reply, or a frame that says that there is none.
+func (c *connection) answerCall(f frame) {
 	message, handled := c.node.handle(c.peer, f.message)
 	if handled && message != nil {
-		of, err := typeOf(message)
+		msgType, err := typeOf(message)
 		if err == nil {
-			_ = c.enqueue(frame{kind: frameReply, number: f.number, message: message, of: of})
+			_ = c.enqueue(frame{kind: frameReply, number: f.number, message: message, msgType: msgType})
 			return
 		}
 		c.node.encodeFailed(c.peer, err)
@@ -231,8 +234,8 @@
 	_ = c.enqueue(frame{kind: frameNoHandler, number: f.number})
 }
 
-// begin starts a call; its reply comes on the channel.
-func (c *connection) begin(message any, of *messageType) (uint64, chan reply, error) {
+// beginCall starts a call. It returns the call's number and the channel that receives the reply.
+func (c *connection) beginCall(message any, msgType *messageType) (uint64, chan reply, error) {
 	waiting := make(chan reply, 1)
 	c.mu.Lock()
 	if c.closed {
@@ -242,29 +245,29 @@
 	if c.pending == nil {
 		c.pending = map[uint64]chan reply{}
 	}
-	c.calls++
-	number := c.calls
+	c.lastCall++
+	number := c.lastCall
 	c.pending[number] = waiting
 	c.mu.Unlock()
-	if err := c.enqueue(frame{kind: frameCall, number: number, message: message, of: of}); err != nil {
-		c.finish(number, reply{err: err})
+	if err := c.enqueue(frame{kind: frameCall, number: number, message: message, msgType: msgType}); err != nil {
+		c.finishCall(number, reply{err: err})
 	}
 	return number, waiting, nil
 }
 
-// finish ends a call that still waits.
-func (c *connection) finish(number uint64, end reply) {
+// finishCall delivers the result of a call if the call is still pending.
+func (c *connection) finishCall(number uint64, result reply) {
 	c.mu.Lock()
 	waiting := c.pending[number]
 	delete(c.pending, number)
 	c.mu.Unlock()
 	if waiting != nil {
-		waiting <- end
+		waiting <- result
 	}
 }
 
-// busy says whether calls wait on the connection.
-func (c *connection) busy() bool {
+// hasPendingCalls reports whether calls wait for a reply on the connection.
+func (c *connection) hasPendingCalls() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending) > 0
--- a/internal/peer/flood.go
+++ b/internal/peer/flood.go
@@ -6,26 +6,27 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// floodWindow is how many of an origin's latest floods are told apart; older
-// ones count as seen.
+// floodWindow is the number of an origin's latest floods that are tracked individually.
+// Older ones count as seen.
 const floodWindow = 1024
 
 const wordBits = 64
 
-// seenFloods tells floods that are new from copies. It is safe for concurrent use.
+// seenFloods distinguishes new floods from duplicates. It is safe for concurrent use.
 type seenFloods struct {
 	mu      sync.Mutex
 	origins map[identity.NodeID]*floodHistory
 }
 
-// floodHistory is a sliding window over one origin's numbers.
+// floodHistory is a sliding window over the flood numbers of one origin. Bit number%floodWindow of seen is
+// set if the flood has been seen.
 type floodHistory struct {
 	highest uint64
 	seen    [floodWindow / wordBits]uint64
 }
 
-// first says whether a flood is seen for the first time, and notes it.
-func (s *seenFloods) first(origin identity.NodeID, number uint64) bool {
+// addIfNew reports whether a flood is seen for the first time, and records it.
+func (s *seenFloods) addIfNew(origin identity.NodeID, number uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	history := s.origins[origin]
@@ -33,10 +34,11 @@
 		history = &floodHistory{}
 		s.origins[origin] = history
 	}
-	return history.first(number)
+	return history.addIfNew(number)
 }
 
-func (h *floodHistory) first(number uint64) bool {
+// addIfNew reports whether a number is seen for the first time, and records it.
+func (h *floodHistory) addIfNew(number uint64) bool {
 	if number+floodWindow <= h.highest {
 		return false
 	}
@@ -44,8 +46,8 @@
 		if number-h.highest >= floodWindow {
 			clear(h.seen[:])
 		} else {
-			for passed := h.highest + 1; passed <= number; passed++ {
-				h.seen[passed%floodWindow/wordBits] &^= 1 << (passed % wordBits)
+			for skipped := h.highest + 1; skipped <= number; skipped++ {
+				h.seen[skipped%floodWindow/wordBits] &^= 1 << (skipped % wordBits)
 			}
 		}
 		h.highest = number
@@ -58,8 +60,8 @@
 	return true
 }
 
-// forget drops the origins that the given function does not keep.
-func (s *seenFloods) forget(keep func(identity.NodeID) bool) {
+// retain removes the origins for which keep returns false.
+func (s *seenFloods) retain(keep func(identity.NodeID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for origin := range s.origins {
@@ -69,27 +71,27 @@
 	}
 }
 
-// Flood passes a message to every live node but this one.
+// Flood implements Bus. This node's own handler is not called.
 func (n *Node) Flood(message any) {
-	of, err := typeOf(message)
+	msgType, err := typeOf(message)
 	if err != nil {
 		n.encodeFailed("", err)
 		return
 	}
-	n.spread(nil, frame{kind: frameFlood, number: n.floods.Add(1), origin: n.identity.ID, message: message, of: of})
+	n.forwardFlood(nil, frame{kind: frameFlood, number: n.floods.Add(1), origin: n.identity.ID, message: message, msgType: msgType})
 }
 
-// takeFlood handles a flood that came by a link, once, and passes it on.
-func (n *Node) takeFlood(source *connection, f frame) {
-	if f.origin == n.identity.ID || !n.seen.first(f.origin, f.number) {
+// receiveFlood handles a flood received on a link and forwards it. Duplicates are ignored.
+func (n *Node) receiveFlood(source *connection, f frame) {
+	if f.origin == n.identity.ID || !n.seen.addIfNew(f.origin, f.number) {
 		return
 	}
-	n.spread(source, f)
+	n.forwardFlood(source, f)
 	n.handle(f.origin, f.message)
 }
 
-// spread queues a flood on all links but its source and the spare ones.
-func (n *Node) spread(source *connection, f frame) {
+// forwardFlood queues a flood on all links except its source and the spare ones.
+func (n *Node) forwardFlood(source *connection, f frame) {
 	n.mu.Lock()
 	links := make([]*connection, 0, len(n.links))
 	for id, link := range n.links {
@@ -99,6 +101,6 @@
 	}
 	n.mu.Unlock()
 	for _, link := range links {
-		_ = link.enqueue(f) // dropped ones are counted, and repaired by anti-entropy
+		_ = link.enqueue(f) // dropped floods are counted and repaired by anti-entropy
 	}
 }
--- a/internal/peer/network.go
+++ b/internal/peer/network.go
@@ -6,14 +6,14 @@
 	"net"
 )
 
-// Network opens and accepts connections. TCP is the real one; tests and the
-// bench use package memnet.
+// Network opens and accepts connections. Nodes use TCP; tests and the bench use
+// package memnet.
 type Network interface {
 	Dial(ctx context.Context, address string) (net.Conn, error)
 	Listen(address string) (net.Listener, error)
 }
 
-// TCP is the network of the machine.
+// TCP is the machine's TCP network.
 type TCP struct{}
 
 // Dial opens a TCP connection.
@@ -33,6 +33,6 @@
 // the other side against the fleet's authority.
 type TLS struct {
 	Server *tls.Config
-	// Client gives the configuration for one dial.
+	// Client returns the configuration for one dial.
 	Client func() *tls.Config
 }
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// sweepEvery is the pause between searches for idle direct connections.
+	// sweepEvery is the minimum time between two calls of sweep.
 	sweepEvery = 10 * time.Second
-	// farewell is how long a stopping node waits for its last words to be sent.
-	farewell = 500 * time.Millisecond
+	// stopFlushTimeout is how long a stopping node waits until its links have sent their last messages.
+	stopFlushTimeout = 500 * time.Millisecond
 )
 
-// Node is this node's part of the fleet; it implements Bus.
+// Node connects this process to the other nodes of the fleet. It implements Bus.
 type Node struct {
 	config   Config
 	identity Identity
@@ -36,7 +36,7 @@
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	mu      sync.Mutex // guards the next three; never held while waiting
+	mu      sync.Mutex // guards machine, links and changed; never held while waiting
 	machine *membership.Machine
 	links   map[identity.NodeID]*connection
 	changed chan struct{}
@@ -52,24 +52,24 @@
 	handlers       map[reflect.Type]Handler
 	streamHandlers map[reflect.Type]StreamHandler
 
-	seen        seenFloods
-	floods      atomic.Uint64
-	traffic     traffic
-	accusations atomic.Int64
-	refutations atomic.Int64
-	slots       chan struct{}
+	seen            seenFloods
+	floods          atomic.Uint64
+	traffic         traffic
+	accusations     atomic.Int64
+	refutations     atomic.Int64
+	connectionSlots chan struct{}
 }
 
 var _ Bus = (*Node)(nil)
 
-// Option changes a node from its defaults.
+// Option changes a default of New.
 type Option func(*Node)
 
 // WithNetwork makes the node use a network other than TCP.
 func WithNetwork(network Network) Option { return func(n *Node) { n.network = network } }
 
-// New makes a node; it connects to nothing before Run. tls may be nil: no TLS.
-// registerer may be nil: no metrics.
+// New creates a node, which opens no connections before Run. Without tls (nil) the
+// connections are not encrypted, and without registerer (nil) there are no metrics.
 func New(config Config, self Identity, tls *TLS, logger *zap.Logger, registerer prometheus.Registerer, options ...Option) (*Node, error) {
 	if err := config.Validate(); err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
@@ -92,8 +92,8 @@
 		streams:  map[*stream]struct{}{},
 		accepted: map[*connection]struct{}{},
 		handlers: map[reflect.Type]Handler{}, streamHandlers: map[reflect.Type]StreamHandler{},
-		seen:  seenFloods{origins: map[identity.NodeID]*floodHistory{}},
-		slots: make(chan struct{}, config.MaxConnections),
+		seen:            seenFloods{origins: map[identity.NodeID]*floodHistory{}},
+		connectionSlots: make(chan struct{}, config.MaxConnections),
 	}
 	view := node.machine.View()
 	node.view.Store(&view)
@@ -109,8 +109,8 @@
 	return node, nil
 }
 
-// Run listens, joins and takes part until ctx is done; then it tells the
-// others that it is gone and closes all connections.
+// Run listens, joins the fleet and takes part in it until ctx is done. It then announces
+// to the others that the node has stopped, and closes all connections.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.cancel()
 	listener, err := n.network.Listen(n.config.ListenAddress)
@@ -122,8 +122,8 @@
 	n.step(membership.Tick{})
 	ticker := time.NewTicker(n.config.TickEvery)
 	defer ticker.Stop()
-	// One ticker, not two: in Go 1.26, two timer channels that fall due at one
-	// instant of a synctest bubble can crash the race detector.
+	// There is one ticker for both tasks: in Go 1.26, two timer channels that fire at
+	// the same instant of a synctest bubble can crash the race detector.
 	lastSweep := time.Now()
 	for {
 		select {
@@ -140,22 +140,23 @@
 	}
 }
 
-// Leave announces that this node stops: it gets no new work from others. Run
-// goes on until its context ends.
+// Leave announces that this node will stop, so that others send it no new work. Run
+// continues until its context ends.
 func (n *Node) Leave() { n.step(membership.LeaveAnnounced{}) }
 
-// Hint gives peer addresses from the platform's machine list, as addresses to
-// try and nothing more.
+// Hint adds peer addresses from the platform's machine list as addresses to dial. They
+// do not make a node a member.
 func (n *Node) Hint(addresses []string) { n.step(membership.Hinted{Addresses: addresses}) }
 
-// Links is the number of overlay links that work.
+// Links returns the number of established overlay links.
 func (n *Node) Links() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.links)
 }
 
-// stop says farewell and closes everything.
+// stop announces that this node has stopped, waits up to stopFlushTimeout until its links have sent their
+// queues, closes everything and waits for the node's goroutines.
 func (n *Node) stop(listener net.Listener) {
 	_ = listener.Close()
 	n.step(membership.LeaveAnnounced{})
@@ -167,13 +168,13 @@
 		_ = link.enqueue(frame{kind: frameEnd})
 	}
 	n.mu.Unlock()
-	patience := time.NewTimer(farewell)
-	defer patience.Stop()
+	flushTimer := time.NewTimer(stopFlushTimeout)
+	defer flushTimer.Stop()
 	for _, link := range links {
 		select {
 		case <-link.done:
-		case <-patience.C:
-			patience.Reset(0)
+		case <-flushTimer.C:
+			flushTimer.Reset(0)
 		}
 	}
 	n.cancel()
@@ -181,7 +182,7 @@
 	n.group.Wait()
 }
 
-// closeAll closes what is open and lets nothing new begin.
+// closeAll closes all connections and streams and prevents new ones.
 func (n *Node) closeAll() {
 	n.mu.Lock()
 	links := n.links
@@ -208,7 +209,7 @@
 	}
 }
 
-// spawn runs a goroutine that stop waits for; false when the node is stopping.
+// spawn starts a goroutine that stop waits for. It returns false, without starting one, if the node is stopping.
 func (n *Node) spawn(run func()) bool {
 	n.connectionsMu.Lock()
 	defer n.connectionsMu.Unlock()
@@ -223,14 +224,14 @@
 	return true
 }
 
-// step gives the machine an event and carries out its effects.
+// step passes an event to the membership machine and executes its effects.
 func (n *Node) step(event membership.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.perform(n.machine.Step(time.Now(), event))
 }
 
-// perform carries out effects, none of which waits. Caller holds mu.
+// perform executes effects of the membership machine without blocking. The caller holds mu.
 func (n *Node) perform(effects []membership.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -262,18 +263,19 @@
 	}
 }
 
+// sendControl queues a membership message on the link to its receiver, if there is one. The caller holds mu.
 func (n *Node) sendControl(effect membership.Send) {
 	link := n.links[effect.To]
 	if link == nil {
 		return
 	}
-	if of, err := typeOf(effect.Message); err == nil {
-		_ = link.enqueue(frame{kind: frameMessage, message: effect.Message, of: of})
+	if msgType, err := typeOf(effect.Message); err == nil {
+		_ = link.enqueue(frame{kind: frameMessage, message: effect.Message, msgType: msgType})
 	}
 }
 
-// memberChanged logs a change, and drops what is open to a dead node: its
-// answers would not come. Caller holds mu.
+// memberChanged logs a change of a member. If the member is dead, memberChanged starts closing all
+// connections and streams to it, since they would wait for answers in vain. The caller holds mu.
 func (n *Node) memberChanged(effect membership.MemberChanged) {
 	fields := []zap.Field{
 		zap.String("member", string(effect.Member.ID)), zap.String("zone", effect.Member.Zone),
@@ -290,6 +292,6 @@
 		events.MemberChanged.Log(n.logger, fields...)
 	}
 	if effect.Member.State == membership.Dead {
-		n.spawn(func() { n.dropMember(effect.Member.ID) })
+		n.spawn(func() { n.closeMember(effect.Member.ID) })
 	}
 }
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -29,7 +29,7 @@
 
 func init() { Register(testNote{}, testAnswer{}, testOpening{}) }
 
-// testFleet runs nodes over a network in memory, in a synctest bubble.
+// testFleet runs nodes over an in-memory network, in a synctest bubble.
 type testFleet struct {
 	t       *testing.T
 	network *memnet.Network
@@ -63,7 +63,7 @@
 	f.cut = cut
 }
 
-// start runs a node at the i-th address; a later one there replaces it.
+// start runs a node at the i-th address. It replaces an earlier node at that address.
 func (f *testFleet) start(i int, id string) *Node {
 	config := DefaultConfig()
 	config.ListenAddress = testAddress(i)
@@ -157,10 +157,10 @@
 			}
 		}
 		if _, err := fleet.nodes[0].Call(t.Context(), fleet.nodes[5].Self(), testAnswer{}); !errors.Is(err, ErrNoHandler) {
-			t.Errorf("call without a handler: %v", err)
+			t.Errorf("call without a handler: got error %v, want ErrNoHandler", err)
 		}
 		if _, err := fleet.nodes[0].Call(t.Context(), "nobody", testNote{}); !errors.Is(err, ErrUnknownMember) {
-			t.Errorf("call to nobody: %v", err)
+			t.Errorf("call to an unknown member: got error %v, want ErrUnknownMember", err)
 		}
 	})
 }
@@ -175,10 +175,10 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		if _, err := fleet.nodes[2].Call(ctx, victim.Self(), testNote{}); err == nil || ctx.Err() != nil {
-			t.Errorf("call to a killed node: %v", err)
+			t.Errorf("call to a killed node: got error %v, want one before the context ends", err)
 		}
 		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("the call hung for %s", took)
+			t.Errorf("call to a killed node took %s, want at most 5s", took)
 		}
 		time.Sleep(5*time.Second - time.Since(began))
 		fleet.expectLive(append(append([]*Node{}, fleet.nodes[:6]...), fleet.nodes[7:]...), 9)
@@ -206,7 +206,7 @@
 			}
 		}
 		if _, err := stream.Receive(); !errors.Is(err, io.EOF) {
-			t.Errorf("end of stream: %v", err)
+			t.Errorf("end of stream: got error %v, want io.EOF", err)
 		}
 		_ = stream.Close()
 	})
@@ -231,10 +231,10 @@
 		fleet.network.Kill(testAddress(1))
 		began := time.Now()
 		if _, err = stream.Receive(); !errors.Is(err, ErrLost) {
-			t.Errorf("stream to a killed node: %v", err)
+			t.Errorf("stream to a killed node: got error %v, want ErrLost", err)
 		}
 		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("the stream hung for %s", took)
+			t.Errorf("stream to a killed node took %s to fail, want at most 5s", took)
 		}
 	})
 }
@@ -322,9 +322,9 @@
 		t.Fatal(err)
 	}
 	c := newConnection(node, "b", purposeDirect, true)
-	of, _ := typeOf(testNote{})
+	msgType, _ := typeOf(testNote{})
 	for i := range 3 {
-		err = c.enqueue(frame{kind: frameMessage, message: testNote{Number: i}, of: of})
+		err = c.enqueue(frame{kind: frameMessage, message: testNote{Number: i}, msgType: msgType})
 	}
 	if !errors.Is(err, ErrQueueFull) || node.traffic.dropped.Load() != 1 {
 		t.Errorf("third message into a queue of two: %v, %d dropped", err, node.traffic.dropped.Load())
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -10,12 +10,12 @@
 	"ringstream.example/ringstream/internal/core/membership"
 )
 
-// messageType is one registered type. Its tag names it on the wire: four bytes
-// instead of the name that gob writes with each interface value.
+// messageType is one registered type. Its tag identifies it on the wire with four bytes,
+// in place of the name that gob writes with each interface value.
 type messageType struct {
-	tag  uint32
-	name string
-	kind reflect.Type
+	tag    uint32
+	name   string
+	goType reflect.Type
 }
 
 var registry = struct {
@@ -24,32 +24,34 @@
 	byType map[reflect.Type]*messageType
 }{byTag: map[uint32]*messageType{}, byType: map[reflect.Type]*messageType{}}
 
-// Register makes message types known, by values of them; registering a type
-// again changes nothing. Two types with one tag are a broken invariant.
+// Register registers the types of the given values as message types. Registering a type
+// again has no effect. Register panics if two types have the same tag, which is a hash of
+// the type's package and name.
 func Register(prototypes ...any) {
 	registry.Lock()
 	defer registry.Unlock()
 	for _, prototype := range prototypes {
-		kind := reflect.TypeOf(prototype)
-		if registry.byType[kind] != nil {
+		goType := reflect.TypeOf(prototype)
+		if registry.byType[goType] != nil {
 			continue
 		}
-		name := kind.String()
-		added := &messageType{tag: uint32(xxhash.Sum64String(name)), name: name, kind: kind}
+		name := goType.String()
+		added := &messageType{tag: uint32(xxhash.Sum64String(name)), name: name, goType: goType}
 		if other := registry.byTag[added.tag]; other != nil {
 			panic(fmt.Sprintf("peer: message types %s and %s have one tag", name, other.name))
 		}
 		registry.byTag[added.tag] = added
-		registry.byType[kind] = added
+		registry.byType[goType] = added
 	}
 }
 
-// Registered says whether a message's type can be sent; every reply's can.
+// Registered reports whether a message's type is registered and can be sent. The types of replies must be too.
 func Registered(message any) bool {
 	_, err := typeOf(message)
 	return err == nil
 }
 
+// typeOf returns the registered type of a message, or an error that wraps ErrNotRegistered.
 func typeOf(message any) (*messageType, error) {
 	registry.RLock()
 	defer registry.RUnlock()
@@ -60,6 +62,7 @@
 	return found, nil
 }
 
+// typeByTag returns the registered type with a tag, or an error that wraps ErrNotRegistered.
 func typeByTag(tag uint32) (*messageType, error) {
 	registry.RLock()
 	defer registry.RUnlock()
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -9,17 +9,17 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// streamBuffer is how many messages of a stream wait to be received; then the
-// sender waits.
+// streamBuffer is the number of received messages that a stream buffers. The stream then stops
+// reading, which blocks the sender.
 const streamBuffer = 16
 
-// stream implements Stream on a connection of its own.
+// stream implements Stream on a dedicated connection.
 type stream struct {
 	node     *Node
 	peer     identity.NodeID
 	wire     *wire
 	incoming chan any
-	// ended is closed after err is set, when nothing more comes.
+	// ended is closed after err is set, when no more messages arrive.
 	ended  chan struct{}
 	err    error
 	closed chan struct{}
@@ -36,7 +36,7 @@
 	}
 }
 
-// read takes messages until the stream ends.
+// read receives messages until the stream ends.
 func (s *stream) read() {
 	defer close(s.ended)
 	for {
@@ -45,7 +45,7 @@
 			s.err = ErrLost
 			return
 		}
-		s.node.traffic.received(f.of, size)
+		s.node.traffic.received(f.msgType, size)
 		if f.kind == frameEnd {
 			s.err = io.EOF
 			return
@@ -59,15 +59,16 @@
 	}
 }
 
-// Send implements Stream. It waits while the other side does not read.
+// Send implements Stream. It blocks while the other side does not read, at most for the write timeout.
 func (s *stream) Send(message any) error {
-	of, err := typeOf(message)
+	msgType, err := typeOf(message)
 	if err != nil {
 		return err
 	}
-	return s.send(&frame{kind: frameMessage, message: message, of: of})
+	return s.send(&frame{kind: frameMessage, message: message, msgType: msgType})
 }
 
+// send writes and flushes a frame. If that fails, it aborts the stream and returns ErrLost.
 func (s *stream) send(f *frame) error {
 	s.sendMu.Lock()
 	defer s.sendMu.Unlock()
@@ -80,7 +81,7 @@
 		s.abort()
 		return ErrLost
 	}
-	s.node.traffic.sent(f.of, size)
+	s.node.traffic.sent(f.msgType, size)
 	return nil
 }
 
@@ -104,18 +105,18 @@
 	}
 }
 
-// Close implements Stream: the other side receives what was sent, then io.EOF.
+// Close implements Stream. The other side receives the messages sent before, then io.EOF.
 func (s *stream) Close() error {
 	s.once.Do(func() {
 		_ = s.send(&frame{kind: frameEnd})
 		close(s.closed)
 		s.wire.close()
-		s.node.dropStream(s)
+		s.node.untrackStream(s)
 	})
 	return nil
 }
 
-// abort ends the stream at once: the other side receives an error.
+// abort closes the connection at once. The other side receives an error.
 func (s *stream) abort() {
 	s.wire.close()
 }
@@ -137,7 +138,7 @@
 		return nil, ErrUnknownMember
 	}
 	opened := newStream(n, to, w)
-	if !n.keepStream(opened) {
+	if !n.trackStream(opened) {
 		w.close()
 		return nil, ErrUnreachable
 	}
@@ -156,10 +157,10 @@
 	return opened, nil
 }
 
-// serveStream runs the handler of an accepted stream.
+// serveStream runs the handler of an accepted stream and closes the stream afterwards.
 func (n *Node) serveStream(w *wire, from identity.NodeID) {
 	accepted := newStream(n, from, w)
-	if !n.keepStream(accepted) {
+	if !n.trackStream(accepted) {
 		w.close()
 		return
 	}
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -51,8 +51,8 @@
 	return a
 }
 
-// pair gives the TLS configurations of a node whose certificate names an IP number.
-func (a *authority) pair(ip string) *TLS {
+// tlsFor returns the TLS configurations of a node whose certificate names an IP address.
+func (a *authority) tlsFor(ip string) *TLS {
 	a.serial++
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(a.serial), NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -78,7 +78,8 @@
 	}
 }
 
-func reserve(t *testing.T) string {
+// reserveAddress returns a free local address.
+func reserveAddress(t *testing.T) string {
 	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -87,12 +88,12 @@
 	return reserved.Addr().String()
 }
 
-func secureNode(t *testing.T, id, advertise string, pair *TLS, seeds ...string) *Node {
+func secureNode(t *testing.T, id, advertise string, configs *TLS, seeds ...string) *Node {
 	config := DefaultConfig()
-	config.ListenAddress, config.Seeds = reserve(t), seeds
+	config.ListenAddress, config.Seeds = reserveAddress(t), seeds
 	config.AdvertiseAddress = advertise
 	config.DialTimeout = 10 * time.Second // a loaded machine must not fail the test
-	node, err := New(config, Identity{ID: identity.NodeID(id)}, pair, zap.NewNop(), nil)
+	node, err := New(config, Identity{ID: identity.NodeID(id)}, configs, zap.NewNop(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +102,7 @@
 
 func TestMutualTLS(t *testing.T) {
 	fleet, others := newAuthority(t), newAuthority(t)
-	first := secureNode(t, "first", "", fleet.pair("127.0.0.1"))
+	first := secureNode(t, "first", "", fleet.tlsFor("127.0.0.1"))
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -114,7 +115,7 @@
 		})
 	}
 	run(first)
-	second := secureNode(t, "second", "", fleet.pair("127.0.0.1"), first.config.ListenAddress)
+	second := secureNode(t, "second", "", fleet.tlsFor("127.0.0.1"), first.config.ListenAddress)
 	run(second)
 	for {
 		changed := second.Changed()
@@ -124,20 +125,20 @@
 		<-changed
 	}
 	for name, stranger := range map[string]*Node{
-		"another authority":       secureNode(t, "stranger", "", others.pair("127.0.0.1")),
-		"no TLS":                  secureNode(t, "stranger", "", nil),
-		"another node's address":  secureNode(t, "stranger", "127.0.0.2:7000", fleet.pair("127.0.0.1")),
-		"a certificate of others": secureNode(t, "stranger", "", fleet.pair("127.0.0.9")),
+		"another authority":          secureNode(t, "stranger", "", others.tlsFor("127.0.0.1")),
+		"no TLS":                     secureNode(t, "stranger", "", nil),
+		"another node's address":     secureNode(t, "stranger", "127.0.0.2:7000", fleet.tlsFor("127.0.0.1")),
+		"another node's certificate": secureNode(t, "stranger", "", fleet.tlsFor("127.0.0.9")),
 	} {
 		dialing, stop := context.WithTimeout(t.Context(), 10*time.Second)
 		w, _, err := stranger.dial(dialing, first.config.ListenAddress, purposeLink)
 		stop()
 		if !errors.Is(err, ErrUnreachable) {
 			w.close()
-			t.Errorf("%s: connected, %v", name, err)
+			t.Errorf("%s: got error %v, want ErrUnreachable", name, err)
 		}
 	}
 	if live := len(first.View().Live()); live != 2 {
-		t.Errorf("%d live members after the strangers, expected 2", live)
+		t.Errorf("%d live members after the rejected dials, expected 2", live)
 	}
 }
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// noMessage names the frames without a message in counts.
+// noMessage is the name under which frames without a message are counted.
 const noMessage = "none"
 
 // Count is the traffic of one message type.
@@ -18,16 +18,16 @@
 
 type counter struct{ sentMessages, sentBytes, receivedMessages, receivedBytes atomic.Int64 }
 
-// traffic counts frames by message type; bytes are those of frames.
+// traffic counts frames and their bytes by message type.
 type traffic struct {
-	counters sync.Map // string to *counter
+	counters sync.Map // message type's name (string) to *counter
 	dropped  atomic.Int64
 }
 
-func (t *traffic) counter(of *messageType) *counter {
+func (t *traffic) counter(msgType *messageType) *counter {
 	name := noMessage
-	if of != nil {
-		name = of.name
+	if msgType != nil {
+		name = msgType.name
 	}
 	if found, ok := t.counters.Load(name); ok {
 		return found.(*counter)
@@ -36,19 +36,19 @@
 	return found.(*counter)
 }
 
-func (t *traffic) sent(of *messageType, size int) {
-	c := t.counter(of)
+func (t *traffic) sent(msgType *messageType, size int) {
+	c := t.counter(msgType)
 	c.sentMessages.Add(1)
 	c.sentBytes.Add(int64(size))
 }
 
-func (t *traffic) received(of *messageType, size int) {
-	c := t.counter(of)
+func (t *traffic) received(msgType *messageType, size int) {
+	c := t.counter(msgType)
 	c.receivedMessages.Add(1)
 	c.receivedBytes.Add(int64(size))
 }
 
-// Traffic gives what the node has sent and received, by message type.
+// Traffic returns the messages and bytes that the node has sent and received, by message type.
 func (n *Node) Traffic() map[string]Count {
 	counts := map[string]Count{}
 	n.traffic.counters.Range(func(name, value any) bool {
@@ -73,7 +73,7 @@
 	refutedDesc       = prometheus.NewDesc("ringstream_peer_refutations_total", "Times that this node denied its own death.", nil, nil)
 )
 
-// collector gives the node's counts to Prometheus.
+// collector exports the node's counts to Prometheus.
 type collector struct{ node *Node }
 
 // Describe implements prometheus.Collector.
