--- a/internal/peer/memnet/memnet.go
+++ b/internal/peer/memnet/memnet.go
@@ -1,7 +1,7 @@
-// Package memnet is a network in memory, for tests and the bench: byte streams
-// with delay between named hosts, that can be cut, one way or both, and whose
-// traffic is counted. It stands for TCP: order is kept, a dial needs both
-// directions, and what a cut holds up is never delivered.
+// Package memnet is an in-memory network for tests and the bench. It carries byte
+// streams with delay between named hosts, can cut links in one or both directions,
+// and counts the traffic. It models TCP: bytes arrive in order, a dial needs both
+// directions, and bytes sent over a cut link are never delivered.
 package memnet
 
 import (
@@ -16,22 +16,23 @@
 	"time"
 )
 
-// headerBytes is what one segment costs on the wire beyond its payload, in IP
-// and TCP headers with time stamps.
-const headerBytes = 52
+// segmentHeaderBytes is the size of the IP and TCP headers, with time stamps, of one
+// segment.
+const segmentHeaderBytes = 52
 
-// acceptBacklog is how many connections wait to be accepted.
+// acceptBacklog is the number of connections that can wait to be accepted.
 const acceptBacklog = 256
 
-// errRefused is the answer of a host that nobody listens on.
+// errRefused is the error of a dial to an address without a listener.
 var errRefused = errors.New("memnet: connection refused")
 
 // Network connects hosts. Its fields are set before use.
 type Network struct {
-	// Delay gives the one-way latency between two addresses; nil: none.
+	// Delay returns the one-way latency between two addresses. If Delay is nil, there is none.
 	Delay func(from, to string) time.Duration
-	// Cut says whether all that one address sends to another is lost; nil: no.
-	// It is asked at each write and may change its answer at any time.
+	// Cut reports whether everything that one address sends to another is lost. If Cut is
+	// nil, nothing is. It is called at each dial, write and close, and its result may change
+	// at any time.
 	Cut func(from, to string) bool
 
 	mu        sync.Mutex
@@ -42,23 +43,23 @@
 	segments, payload atomic.Int64
 }
 
-// New gives a network without delay or cuts.
+// New creates a network without delay or cuts.
 func New() *Network {
 	return &Network{listeners: map[string]*listener{}, hosts: map[string]*Host{}, conns: map[*conn]struct{}{}}
 }
 
-// Segments is the number of writes carried so far, acknowledgements not counted.
+// Segments returns the number of writes so far. Acknowledgements are not counted.
 func (n *Network) Segments() int64 { return n.segments.Load() }
 
-// Payload is the number of bytes carried so far, without headers.
+// Payload returns the number of bytes written so far, without headers.
 func (n *Network) Payload() int64 { return n.payload.Load() }
 
-// WireBytes estimates the bytes on the wire: payload, a header for each
+// WireBytes estimates the bytes on the wire: the payload, a header for each
 // segment, and a header for its acknowledgement.
-func (n *Network) WireBytes() int64 { return n.Payload() + 2*headerBytes*n.Segments() }
+func (n *Network) WireBytes() int64 { return n.Payload() + 2*segmentHeaderBytes*n.Segments() }
 
-// Host gives the network as seen from one address, to one process. A later
-// one of the same address is another process.
+// Host returns the view that a process at one address has of the network. A later
+// Host of the same address stands for another process.
 func (n *Network) Host(address string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,8 +68,8 @@
 	return host
 }
 
-// Kill breaks all of an address at once and silently, as the loss of a machine
-// does: no connection of it carries or ends anything any more.
+// Kill disconnects an address at once and silently, like the loss of a machine. Its
+// connections carry nothing any more, not even their end.
 func (n *Network) Kill(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,7 +93,7 @@
 	killed  atomic.Bool
 }
 
-// Dial connects to a listening address; it takes a round trip.
+// Dial connects to a listening address. It takes one round trip.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n := h.network
 	n.mu.Lock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// Listen listens as an address.
+// Listen listens on an address. An address that is already in use is an error, unless it was killed.
 func (h *Host) Listen(address string) (net.Listener, error) {
 	n := h.network
 	n.mu.Lock()
@@ -198,31 +199,33 @@
 // String implements net.Addr.
 func (a address) String() string { return string(a) }
 
-// conn is one end of a connection; it holds what was sent to it.
+// conn is one end of a connection. It holds the data sent to this end.
 type conn struct {
 	network       *Network
 	local, remote string
 	other         *conn
-	// lost: the connection carries nothing any more, not even its end.
+	// lost says that nothing written at this end is delivered any more, nor its close.
 	lost atomic.Bool
 
-	mu       sync.Mutex
-	arrived  chan struct{} // has an element after each change
-	chunks   []chunk
-	ended    bool // the other side has closed, after the chunks
-	endsAt   time.Time
-	closed   bool
-	deadline time.Time
+	mu             sync.Mutex
+	changed        chan struct{} // holds an element after a change of the state below
+	chunks         []chunk
+	remoteClosed   bool // the other end has closed; applies after the chunks
+	closeArrivesAt time.Time
+	closed         bool
+	deadline       time.Time
 }
 
+// chunk is the data of one write, which can be read from arrivesAt on.
 type chunk struct {
-	at    time.Time
-	bytes []byte
+	arrivesAt time.Time
+	bytes     []byte
 }
 
+// pair creates the two ends of a connection.
 func (n *Network) pair(from, to string) (near, far *conn) {
-	near = &conn{network: n, local: from, remote: to, arrived: make(chan struct{}, 1)}
-	far = &conn{network: n, local: to, remote: from, arrived: make(chan struct{}, 1)}
+	near = &conn{network: n, local: from, remote: to, changed: make(chan struct{}, 1)}
+	far = &conn{network: n, local: to, remote: from, changed: make(chan struct{}, 1)}
 	near.other, far.other = far, near
 	n.mu.Lock()
 	n.conns[near], n.conns[far] = struct{}{}, struct{}{}
@@ -233,16 +236,17 @@
 // Read implements net.Conn.
 func (c *conn) Read(into []byte) (int, error) {
 	for {
-		count, pause, err := c.take(into)
+		count, pause, err := c.readAvailable(into)
 		if count > 0 || err != nil {
 			return count, err
 		}
-		c.sleep(pause)
+		c.waitForChange(pause)
 	}
 }
 
-// take moves arrived bytes out, or says how long to wait (negative: for a change).
-func (c *conn) take(into []byte) (count int, pause time.Duration, err error) {
+// readAvailable reads data that has arrived. If there is none, it returns how long to wait: until a change
+// of the state if pause is negative.
+func (c *conn) readAvailable(into []byte) (count int, pause time.Duration, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -251,21 +255,21 @@
 		return 0, 0, net.ErrClosed
 	case !c.deadline.IsZero() && !now.Before(c.deadline):
 		return 0, 0, os.ErrDeadlineExceeded
-	case len(c.chunks) > 0 && !c.chunks[0].at.After(now):
+	case len(c.chunks) > 0 && !c.chunks[0].arrivesAt.After(now):
 		first := &c.chunks[0]
 		count = copy(into, first.bytes)
 		if first.bytes = first.bytes[count:]; len(first.bytes) == 0 {
 			c.chunks = c.chunks[1:]
 		}
 		return count, 0, nil
-	case len(c.chunks) == 0 && c.ended && !c.endsAt.After(now):
+	case len(c.chunks) == 0 && c.remoteClosed && !c.closeArrivesAt.After(now):
 		return 0, 0, io.EOF
 	}
 	pause = -1
 	if len(c.chunks) > 0 {
-		pause = c.chunks[0].at.Sub(now)
-	} else if c.ended {
-		pause = c.endsAt.Sub(now)
+		pause = c.chunks[0].arrivesAt.Sub(now)
+	} else if c.remoteClosed {
+		pause = c.closeArrivesAt.Sub(now)
 	}
 	if left := c.deadline.Sub(now); !c.deadline.IsZero() && (pause < 0 || left < pause) {
 		pause = left
@@ -273,27 +277,29 @@
 	return 0, pause, nil
 }
 
-func (c *conn) sleep(pause time.Duration) {
+// waitForChange waits for a change of the state, at most for pause unless that is negative.
+func (c *conn) waitForChange(pause time.Duration) {
 	if pause < 0 {
-		<-c.arrived
+		<-c.changed
 		return
 	}
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
-	case <-c.arrived:
+	case <-c.changed:
 	case <-timer.C:
 	}
 }
 
+// wake makes a pending waitForChange return.
 func (c *conn) wake() {
 	select {
-	case c.arrived <- struct{}{}:
+	case c.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Write implements net.Conn; it never blocks.
+// Write implements net.Conn. It never blocks.
 func (c *conn) Write(from []byte) (int, error) {
 	c.mu.Lock()
 	closed := c.closed
@@ -304,22 +310,22 @@
 	c.network.segments.Add(1)
 	c.network.payload.Add(int64(len(from)))
 	if c.lost.Load() || c.network.isCut(c.local, c.remote) {
-		c.lose()
+		c.markLost()
 		return len(from), nil
 	}
 	other := c.other
-	at := time.Now().Add(c.network.delay(c.local, c.remote))
+	arrivesAt := time.Now().Add(c.network.delay(c.local, c.remote))
 	other.mu.Lock()
 	if !other.closed {
-		other.chunks = append(other.chunks, chunk{at: at, bytes: append([]byte(nil), from...)})
+		other.chunks = append(other.chunks, chunk{arrivesAt: arrivesAt, bytes: append([]byte(nil), from...)})
 	}
 	other.mu.Unlock()
 	other.wake()
 	return len(from), nil
 }
 
-// lose ends the direction from here: a byte stream with a hole never goes on.
-func (c *conn) lose() { c.lost.Store(true) }
+// markLost ends the delivery of what this end writes, since a byte stream cannot continue after a gap.
+func (c *conn) markLost() { c.lost.Store(true) }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
@@ -340,8 +346,8 @@
 	}
 	other := c.other
 	other.mu.Lock()
-	other.ended = true
-	other.endsAt = time.Now().Add(c.network.delay(c.local, c.remote))
+	other.remoteClosed = true
+	other.closeArrivesAt = time.Now().Add(c.network.delay(c.local, c.remote))
 	other.mu.Unlock()
 	other.wake()
 	return nil
@@ -353,7 +359,7 @@
 // RemoteAddr implements net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return address(c.remote) }
 
-// SetDeadline implements net.Conn; writes never block and have none.
+// SetDeadline implements net.Conn. It sets the read deadline only, since writes never block.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.Conn.
