--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -1,10 +1,10 @@
-// Package peertest is an in-memory network of peer.Bus nodes for tests:
-// delays, losses, cuts and pauses on demand, and a count of
-// the bytes that each node's messages would take as gob streams. Deliveries
-// are made one at a time in the order of their due time, then of sending, so
-// that a seeded test in a testing/synctest bubble repeats itself.
+// Package peertest is an in-memory network of peer.Bus nodes for tests. It simulates
+// delays, losses, cuts and pauses, and counts the bytes that each node's messages
+// would take as gob streams. Deliveries are made one at a time, ordered by due time
+// and then by the order of sending, so that a seeded test in a testing/synctest
+// bubble is reproducible.
 //
-// One lock (Network.mu) guards everything; it is never held while a handler runs.
+// A single lock, Network.mu, guards all state except that of streams. It is not held while a handler runs.
 package peertest
 
 import (
@@ -18,27 +18,27 @@
 	"ringstream.example/ringstream/internal/core/membership"
 )
 
-// DefaultDelay is the one-way delay between nodes unless Options say else.
+// DefaultDelay is the one-way delay between nodes unless Options.Delay is set.
 const DefaultDelay = time.Millisecond
 
-// Verdict is what a Filter decides for one message on one link.
+// Verdict is the decision of a filter (see SetFilter) about one message on one link.
 type Verdict struct {
 	Drop  bool
 	Delay time.Duration // added to the link's delay
 }
 
-// Options set up a network.
+// Options configure a network.
 type Options struct {
 	Seed uint64
-	// Delay is the one-way delay of a link; nil: DefaultDelay everywhere.
+	// Delay returns the one-way delay of a link. If Delay is nil, it is DefaultDelay.
 	Delay func(from, to membership.Member) time.Duration
-	// Degree is the number of neighbours that a flood is passed to; 0: 4.
+	// Degree is the number of neighbours to which a node forwards a flood. 0 means 4.
 	Degree int
-	// CountBytes encodes each message by gob, once per link it takes.
+	// CountBytes makes Traffic count bytes, by encoding each message with gob once per link that it takes.
 	CountBytes bool
 }
 
-// Network joins the nodes. Create it with New and add nodes with Add.
+// Network connects nodes. New creates a network and Add adds its nodes.
 type Network struct {
 	options Options
 
@@ -52,15 +52,15 @@
 	lossRate   float64
 	neighbours map[identity.NodeID][]identity.NodeID
 
-	queue    deliveries
-	sequence uint64
-	pumping  bool
-	timer    *time.Timer
+	queue      deliveries
+	sequence   uint64
+	delivering bool
+	timer      *time.Timer
 }
 
 type link struct{ from, to identity.NodeID }
 
-// New makes a network without nodes.
+// New creates a network without nodes.
 func New(options Options) *Network {
 	if options.Degree == 0 {
 		options.Degree = 4
@@ -73,7 +73,7 @@
 	}
 }
 
-// Add joins a node; every other node sees it at once, as Alive.
+// Add adds a node. Every other node sees it at once, in the state of the given member.
 func (n *Network) Add(member membership.Member) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,7 +83,7 @@
 	return node
 }
 
-// Node gives a node by id, or nil.
+// Node returns the node with an id, or nil.
 func (n *Network) Node(id identity.NodeID) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Kill stops a node: it neither sends nor receives from now on. The views of
+// Kill stops a node, which neither sends nor receives from then on. The views of
 // others change only with SetState.
 func (n *Network) Kill(id identity.NodeID) {
 	n.mu.Lock()
@@ -113,8 +113,9 @@
 	}
 }
 
-// SetPaused holds back what a node would receive or send until it is resumed;
-// what was held back then arrives at once, late, as after a process's pause.
+// SetPaused pauses or resumes a node. The messages that a paused node would receive or
+// send are held back and delivered without further delay when it resumes, as after the
+// suspension of a process.
 func (n *Network) SetPaused(id identity.NodeID, paused bool) {
 	n.mu.Lock()
 	node := n.nodes[id]
@@ -125,29 +126,29 @@
 	node.paused = paused
 	if !paused {
 		for _, held := range node.held {
-			n.push(held, 0)
+			n.schedule(held, 0)
 		}
 		node.held = nil
 	}
 	n.mu.Unlock()
 }
 
-// SetFilter sets a hook that every message passes on every link; nil removes it.
+// SetFilter sets a function that is called for every message on every link. nil removes it.
 func (n *Network) SetFilter(filter func(from, to identity.NodeID, message any) Verdict) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.filter = filter
 }
 
-// SetLossRate loses this part of all messages, 0 to 1.
+// SetLossRate sets the fraction of all messages that is lost, 0 to 1.
 func (n *Network) SetLossRate(rate float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lossRate = rate
 }
 
-// Partition cuts the links between groups; a node in no group stays with the
-// first. Heal ends it.
+// Partition cuts the links between groups. A node in no group belongs to the
+// first one. Heal ends the partition.
 func (n *Network) Partition(groups ...[]identity.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// Cut loses all messages from one node to another, in this direction only.
+// Cut drops all messages from one node to another, in this direction only.
 func (n *Network) Cut(from, to identity.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -174,7 +175,7 @@
 	n.cuts = map[link]bool{}
 }
 
-// setMember replaces a member in every view. Caller holds mu.
+// setMember adds or replaces a member in every view. The caller holds mu.
 func (n *Network) setMember(member membership.Member) {
 	index, found := slices.BinarySearchFunc(n.members, member, func(a, b membership.Member) int {
 		if a.ID < b.ID {
@@ -198,8 +199,7 @@
 	}
 }
 
-// neighboursOf gives a node's neighbours in the flood overlay: its successors
-// and predecessors at strides that double. Caller holds mu.
+// neighboursOf returns a node's neighbours in the flood overlay. The caller holds mu.
 func (n *Network) neighboursOf(id identity.NodeID) []identity.NodeID {
 	if n.neighbours == nil {
 		n.neighbours = map[identity.NodeID][]identity.NodeID{}
@@ -211,6 +211,8 @@
 	return n.neighbours[id]
 }
 
+// overlayNeighbours returns the neighbours of a node: its successors and predecessors among the live members
+// at strides 1, 6, 31 and so on, until there are degree of them.
 func overlayNeighbours(live []membership.Member, index, degree int) []identity.NodeID {
 	count := len(live)
 	var ids []identity.NodeID
@@ -227,7 +229,7 @@
 	return ids
 }
 
-// delivery is one message on its way, or one event at its end.
+// delivery is one message in flight. run handles it at the target.
 type delivery struct {
 	due      time.Time
 	sequence uint64
@@ -235,6 +237,7 @@
 	run      func(target *Node)
 }
 
+// deliveries is a heap of deliveries, ordered by due time and then by sequence.
 type deliveries []*delivery
 
 func (d deliveries) Len() int { return len(d) }
@@ -256,13 +259,13 @@
 	return last
 }
 
-// post puts a message on a link. Caller holds mu.
-func (n *Network) post(from, to identity.NodeID, message any, run func(target *Node)) {
+// send sends a message over a link, unless it is dropped. The caller holds mu.
+func (n *Network) send(from, to identity.NodeID, message any, run func(target *Node)) {
 	sender, target := n.nodes[from], n.nodes[to]
 	if sender == nil || sender.dead || target == nil {
 		return
 	}
-	sender.count(message)
+	sender.countMessage(message)
 	verdict := Verdict{}
 	if n.filter != nil {
 		verdict = n.filter(from, to, message)
@@ -280,39 +283,39 @@
 		sender.held = append(sender.held, next)
 		return
 	}
-	n.push(next, delay+verdict.Delay)
+	n.schedule(next, delay+verdict.Delay)
 }
 
-// push queues a delivery and arms the timer. Caller holds mu.
-func (n *Network) push(next *delivery, delay time.Duration) {
+// schedule queues a delivery and sets the timer. The caller holds mu.
+func (n *Network) schedule(next *delivery, delay time.Duration) {
 	n.sequence++
 	next.sequence = n.sequence
 	next.due = time.Now().Add(delay)
 	heap.Push(&n.queue, next)
-	n.arm()
+	n.setTimer()
 }
 
-// arm sets the timer for the next delivery. Caller holds mu.
-func (n *Network) arm() {
-	if n.pumping || len(n.queue) == 0 {
+// setTimer sets the timer for the next delivery. The caller holds mu.
+func (n *Network) setTimer() {
+	if n.delivering || len(n.queue) == 0 {
 		return
 	}
 	wait := max(0, time.Until(n.queue[0].due))
 	if n.timer == nil {
-		n.timer = time.AfterFunc(wait, n.pump)
+		n.timer = time.AfterFunc(wait, n.deliverDue)
 		return
 	}
 	n.timer.Reset(wait)
 }
 
-// pump makes the deliveries that are due, one at a time.
-func (n *Network) pump() {
+// deliverDue makes the due deliveries, one at a time.
+func (n *Network) deliverDue() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.pumping {
+	if n.delivering {
 		return
 	}
-	n.pumping = true
+	n.delivering = true
 	for len(n.queue) > 0 && !n.queue[0].due.After(time.Now()) {
 		next := heap.Pop(&n.queue).(*delivery)
 		target := n.nodes[next.to]
@@ -327,6 +330,6 @@
 		next.run(target)
 		n.mu.Lock()
 	}
-	n.pumping = false
-	n.arm()
+	n.delivering = false
+	n.setTimer()
 }
--- a/internal/peer/peertest/network_test.go
+++ b/internal/peer/peertest/network_test.go
@@ -17,7 +17,7 @@
 
 type note struct{ Text string }
 
-// settle lets a second pass, and what is due in it end.
+// settle lets a second pass and waits until the work due in that second has ended.
 func settle() {
 	time.Sleep(time.Second)
 	synctest.Wait()
@@ -53,11 +53,11 @@
 				want = 1
 			}
 			if count != want {
-				t.Errorf("node %d got %d, want %d", i, count, want)
+				t.Errorf("node %d received %d floods, want %d", i, count, want)
 			}
 		}
 		if traffic := nodes[7].Traffic(); traffic.Messages == 0 || traffic.Bytes == 0 {
-			t.Errorf("traffic %+v", traffic)
+			t.Errorf("got traffic %+v, want messages and bytes above 0", traffic)
 		}
 	})
 }
@@ -76,7 +76,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := nodes[0].Call(ctx, "n001", note{"hello"}); err == nil {
-			t.Fatal("an answer came over a cut link")
+			t.Fatal("Call got a reply over a cut link")
 		}
 	})
 }
@@ -90,7 +90,7 @@
 		_ = nodes[0].Send("n001", note{"a"})
 		settle()
 		if got != 0 {
-			t.Fatal("a paused node got a message")
+			t.Fatal("paused node received a message")
 		}
 		network.SetPaused("n001", false)
 		settle()
@@ -98,7 +98,7 @@
 		_ = nodes[0].Send("n001", note{"b"})
 		settle()
 		if got != 1 {
-			t.Fatalf("got %d, want the one held back", got)
+			t.Fatalf("received %d messages, want only the one that was held back", got)
 		}
 	})
 }
--- a/internal/peer/peertest/node.go
+++ b/internal/peer/peertest/node.go
@@ -12,33 +12,34 @@
 	"ringstream.example/ringstream/internal/peer"
 )
 
-// ErrUnreachable is the error of a Send, Call or Open to a node that is not
-// in the view.
+// ErrUnreachable is returned by Send, Call and Open for a node that is not in the
+// network, and by Open for a killed node.
 var ErrUnreachable = errors.New("peertest: no such node in the view")
 
-// Traffic counts what a node has sent.
+// Traffic counts the messages and bytes that a node has sent.
 type Traffic struct {
 	Messages uint64
 	Bytes    uint64
 }
 
-// frameOverhead is the length prefix and kind of one message on a stream.
+// frameOverhead is the size in bytes of the length prefix and kind of one message on a stream.
 const frameOverhead = 8
 
-// seenFloods bounds the flood ids that a node remembers.
-const seenFloods = 4096
+// maxSeenFloods is the maximum number of flood ids that a node remembers.
+const maxSeenFloods = 4096
 
+// floodID identifies a flood.
 type floodID struct {
 	origin   identity.NodeID
 	sequence uint64
 }
 
-// Node is one node of the network; it implements peer.Bus.
+// Node is one node of the network. It implements peer.Bus.
 type Node struct {
 	network *Network
 	member  membership.Member
 
-	// The rest is guarded by network.mu.
+	// The following fields are guarded by network.mu.
 	dead, paused bool
 	held         []*delivery
 	handlers     map[reflect.Type]peer.Handler
@@ -66,7 +67,7 @@
 	return node
 }
 
-// counter is the io.Writer under a node's encoder.
+// counter is the io.Writer of a node's encoder. It counts the bytes and discards them.
 type counter struct{ node *Node }
 
 // Write implements io.Writer.
@@ -75,10 +76,10 @@
 	return len(data), nil
 }
 
-// count adds a message to the traffic. Caller holds network.mu. A message
-// that the real transport would not send, because its type is not registered
-// or gob cannot encode it, is a broken invariant.
-func (b *Node) count(message any) {
+// countMessage adds a message to the traffic. The caller holds network.mu. countMessage
+// panics for a message that the real transport would not send, because its type is
+// not registered or gob cannot encode it.
+func (b *Node) countMessage(message any) {
 	if message != nil && !peer.Registered(message) {
 		panic(fmt.Sprintf("peertest: %T is not registered with peer.Register", message))
 	}
@@ -92,14 +93,14 @@
 	}
 }
 
-// Traffic gives what the node has sent so far.
+// Traffic returns the messages and bytes that the node has sent so far.
 func (b *Node) Traffic() Traffic {
 	b.network.mu.Lock()
 	defer b.network.mu.Unlock()
 	return b.traffic
 }
 
-// notify tells watchers of the view. Caller holds network.mu.
+// notify wakes those who wait for a change of the view. The caller holds network.mu.
 func (b *Node) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
@@ -138,7 +139,7 @@
 	b.streams[reflect.TypeOf(prototype)] = handler
 }
 
-// handle runs the handler for a message; false when there is none.
+// handle runs the handler for a message and returns its reply. It returns false if there is no handler.
 func (b *Node) handle(from identity.NodeID, message any) (any, bool) {
 	b.network.mu.Lock()
 	handler := b.handlers[reflect.TypeOf(message)]
@@ -157,38 +158,39 @@
 	if n.nodes[to] == nil {
 		return ErrUnreachable
 	}
-	n.post(b.member.ID, to, message, func(target *Node) { target.handle(b.member.ID, message) })
+	n.send(b.member.ID, to, message, func(target *Node) { target.handle(b.member.ID, message) })
 	return nil
 }
 
-// Flood implements peer.Bus: each node passes a message on once to its
-// neighbours in the overlay.
+// Flood implements peer.Bus. Each node forwards a flood once, to its neighbours
+// in the overlay.
 func (b *Node) Flood(message any) {
 	n := b.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b.floods++
 	id := floodID{b.member.ID, b.floods}
-	b.remember(id)
-	b.spread(id, b.member.ID, message)
+	b.addIfNew(id)
+	b.forwardFlood(id, b.member.ID, message)
 }
 
-// spread passes a flood on. Caller holds network.mu.
-func (b *Node) spread(id floodID, source identity.NodeID, message any) {
+// forwardFlood sends a flood to all neighbours except its source. The caller holds network.mu.
+func (b *Node) forwardFlood(id floodID, source identity.NodeID, message any) {
 	n := b.network
 	for _, neighbour := range n.neighboursOf(b.member.ID) {
 		if neighbour == source {
 			continue
 		}
-		n.post(b.member.ID, neighbour, message, func(target *Node) { target.takeFlood(id, b.member.ID, message) })
+		n.send(b.member.ID, neighbour, message, func(target *Node) { target.receiveFlood(id, b.member.ID, message) })
 	}
 }
 
-func (b *Node) takeFlood(id floodID, source identity.NodeID, message any) {
+// receiveFlood handles and forwards a flood. Duplicates are ignored.
+func (b *Node) receiveFlood(id floodID, source identity.NodeID, message any) {
 	b.network.mu.Lock()
-	fresh := b.remember(id)
+	fresh := b.addIfNew(id)
 	if fresh {
-		b.spread(id, source, message)
+		b.forwardFlood(id, source, message)
 	}
 	b.network.mu.Unlock()
 	if fresh {
@@ -196,21 +198,21 @@
 	}
 }
 
-// remember notes a flood's id; false when it was known. Caller holds network.mu.
-func (b *Node) remember(id floodID) bool {
+// addIfNew records a flood's id. It returns false if the id was known. The caller holds network.mu.
+func (b *Node) addIfNew(id floodID) bool {
 	if b.seen[id] {
 		return false
 	}
 	b.seen[id] = true
 	b.seenOrder = append(b.seenOrder, id)
-	if len(b.seenOrder) > seenFloods {
+	if len(b.seenOrder) > maxSeenFloods {
 		delete(b.seen, b.seenOrder[0])
 		b.seenOrder = b.seenOrder[1:]
 	}
 	return true
 }
 
-// Call implements peer.Bus. A lost question or answer ends with the context.
+// Call implements peer.Bus. If the message or its reply is lost, Call returns when the context ends.
 func (b *Node) Call(ctx context.Context, to identity.NodeID, message any) (any, error) {
 	n := b.network
 	answer := make(chan any, 1)
@@ -219,14 +221,14 @@
 		n.mu.Unlock()
 		return nil, ErrUnreachable
 	}
-	n.post(b.member.ID, to, message, func(target *Node) {
+	n.send(b.member.ID, to, message, func(target *Node) {
 		reply, ok := target.handle(b.member.ID, message)
 		if !ok {
 			return
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.post(to, b.member.ID, reply, func(*Node) { answer <- reply })
+		n.send(to, b.member.ID, reply, func(*Node) { answer <- reply })
 	})
 	n.mu.Unlock()
 	select {
--- a/internal/peer/peertest/stream.go
+++ b/internal/peer/peertest/stream.go
@@ -12,26 +12,27 @@
 
 // stream is one end of an open stream.
 type stream struct {
-	node *Node
-	far  *stream
+	node   *Node
+	remote *stream
 
 	mu     sync.Mutex
 	queue  []any
-	closed bool          // nothing more comes: the far end, or this one, closed
+	closed bool          // no more messages arrive, since either end has closed
 	wake   chan struct{} // holds one token when the state has changed
 }
 
 var _ peer.Stream = (*stream)(nil)
 
+// newStreams creates the two ends of a stream.
 func newStreams(near, far *Node) (*stream, *stream) {
 	a := &stream{node: near, wake: make(chan struct{}, 1)}
 	b := &stream{node: far, wake: make(chan struct{}, 1)}
-	a.far, b.far = b, a
+	a.remote, b.remote = b, a
 	return a, b
 }
 
-// Open implements peer.Bus. Messages lost by a cut are lost without an error,
-// as on a connection whose far end is silent.
+// Open implements peer.Bus. Messages that are lost by a cut cause no error, as on
+// a connection whose other end does not respond.
 func (b *Node) Open(ctx context.Context, to identity.NodeID, first any) (peer.Stream, error) {
 	n := b.network
 	n.mu.Lock()
@@ -41,7 +42,7 @@
 		return nil, ErrUnreachable
 	}
 	near, far := newStreams(b, target)
-	n.post(b.member.ID, to, first, func(target *Node) {
+	n.send(b.member.ID, to, first, func(target *Node) {
 		n.mu.Lock()
 		handler := target.streams[reflect.TypeOf(first)]
 		n.mu.Unlock()
@@ -65,7 +66,7 @@
 	if closed {
 		return io.ErrClosedPipe
 	}
-	s.post(message, func() { s.far.push(message) })
+	s.send(message, func() { s.remote.push(message) })
 	return nil
 }
 
@@ -91,20 +92,22 @@
 // Close implements peer.Stream.
 func (s *stream) Close() error {
 	s.end()
-	s.post(endOfStream{}, s.far.end)
+	s.send(endOfStream{}, s.remote.end)
 	return nil
 }
 
-// endOfStream is what Close puts on the link.
+// endOfStream is the message that Close sends to the other end.
 type endOfStream struct{ Ended bool }
 
-func (s *stream) post(message any, run func()) {
+// send sends a message to the other end; run handles it there.
+func (s *stream) send(message any, run func()) {
 	n := s.node.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.post(s.node.member.ID, s.far.node.member.ID, message, func(*Node) { run() })
+	n.send(s.node.member.ID, s.remote.node.member.ID, message, func(*Node) { run() })
 }
 
+// push queues a message to be received.
 func (s *stream) push(message any) {
 	s.mu.Lock()
 	s.queue = append(s.queue, message)
@@ -112,6 +115,7 @@
 	s.signal()
 }
 
+// end marks the stream as closed.
 func (s *stream) end() {
 	s.mu.Lock()
 	s.closed = true
@@ -119,6 +123,7 @@
 	s.signal()
 }
 
+// signal wakes a pending Receive.
 func (s *stream) signal() {
 	select {
 	case s.wake <- struct{}{}:
