--- a/internal/limits/admission.go
+++ b/internal/limits/admission.go
@@ -10,23 +10,23 @@
 // Admit implements Limiter.
 func (s *Service) Admit(row policy.Row, tenant identity.TenantID, tokens int) (func(used int), Decision) {
 	if row.Limits == (policy.Limits{}) && row.TenantLimits == (policy.Limits{}) {
-		return releaseNothing, Decision{Allowed: true}
+		return noopRelease, Decision{Allowed: true}
 	}
-	estimate := float64(max(0, tokens))
-	s.watch.Look()
+	estimatedTokens := float64(max(0, tokens))
+	s.suspensions.Look()
 	now := time.Now()
 	s.mu.Lock()
-	a := admission{service: s, estimate: estimate}
+	a := admission{service: s, estimatedTokens: estimatedTokens}
 	a.meters[0] = s.meterFor(meterKey{row: row.ID}, row.Limits, now)
 	a.meters[1] = s.meterFor(meterKey{row: row.ID, tenant: tenant}, row.TenantLimits, now)
 	for _, m := range a.meters {
 		if m != nil {
-			m.want(now, estimate)
+			m.recordDemand(now, estimatedTokens)
 		}
 	}
 	result := a.check(now)
 	s.mu.Unlock()
-	if result.lacking {
+	if result.mustAsk {
 		result = a.wait(now.Add(s.config.GrantWait), result)
 	}
 	if result.limit != "" {
@@ -37,17 +37,19 @@
 	return a.release, Decision{Allowed: true}
 }
 
-func releaseNothing(int) {}
+func noopRelease(int) {}
 
-// admission is one request before its limits.
+// admission is the state of one call of Admit.
 type admission struct {
-	service  *Service
-	estimate float64
-	meters   [2]*meter // nil: no limits there
+	service         *Service
+	estimatedTokens float64
+	meters          [2]*meter // of the row and the tenant; nil without limits
 }
 
-// check spends when all limits have room, else names one that has not. Caller
-// holds mu.
+// check charges the request to all meters if every limit admits it. Otherwise
+// it charges nothing and returns the verdict of one limit that does not admit
+// it, preferring a limit known to be exhausted over one whose owner must be
+// asked. The caller holds mu.
 func (a *admission) check(now time.Time) verdict {
 	s := a.service
 	result := verdict{}
@@ -56,54 +58,56 @@
 			continue
 		}
 		m.advance(now, len(s.ownership.current.nodes), s.parameters)
-		found := m.check(now, a.estimate, s.parameters)
-		if found.limit != "" && (result.limit == "" || (result.lacking && !found.lacking)) {
-			found.limit = m.key.scope() + " " + found.limit
-			result = found
+		meterResult := m.check(now, a.estimatedTokens, s.parameters)
+		if meterResult.limit != "" && (result.limit == "" || (result.mustAsk && !meterResult.mustAsk)) {
+			meterResult.limit = m.key.scope() + " " + meterResult.limit
+			result = meterResult
 		}
 	}
 	if result.limit == "" {
 		for _, m := range a.meters {
 			if m != nil {
-				m.spend(a.estimate)
+				m.spend(a.estimatedTokens)
 			}
 		}
 	}
 	return result
 }
 
-// wait asks the owners, and waits for their answers until the deadline.
+// wait asks the owners and checks again after each answer, until the request is
+// admitted or refused or the deadline passes.
 func (a *admission) wait(deadline time.Time, result verdict) verdict {
 	s := a.service
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
-	for result.lacking {
-		answered, overdue := a.ask(time.Now())
-		inTime := waitFor(answered, overdue, timer.C)
+	for result.mustAsk {
+		answered, remaining := a.askOwners(time.Now())
+		inTime := waitForAnswer(answered, remaining, timer.C)
 		now := time.Now()
 		s.mu.Lock()
 		for _, m := range a.meters {
 			if m != nil {
 				m.waiters--
-				s.expire(m, now)
+				s.expireAsk(m, now)
 			}
 		}
 		result = a.check(now)
 		s.mu.Unlock()
-		if !inTime && result.lacking {
+		if !inTime && result.mustAsk {
 			return verdict{limit: result.limit, retryAfter: s.config.GrantWait}
 		}
 	}
 	return result
 }
 
-// waitFor waits until an answer has come or is overdue; false when the
-// deadline comes first. Without an answer to wait for it returns at once.
-func waitFor(answered <-chan struct{}, overdue time.Duration, deadline <-chan time.Time) bool {
+// waitForAnswer waits until an answer has arrived or the remaining time of the
+// ask is over. It returns false if the deadline passes first. If answered is
+// nil, it returns true at once.
+func waitForAnswer(answered <-chan struct{}, remaining time.Duration, deadline <-chan time.Time) bool {
 	if answered == nil {
 		return true
 	}
-	timer := time.NewTimer(overdue)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-answered:
@@ -114,34 +118,35 @@
 	return true
 }
 
-// ask sends what the lacking meters need and are not asking for yet. It gives
-// a channel that closes with one's answer, and the time until that is overdue;
-// nil when none lacks anything any more.
-func (a *admission) ask(now time.Time) (answered chan struct{}, overdue time.Duration) {
+// askOwners sends an ask for each meter that must ask its owner and has none in
+// flight. It returns a channel that is closed when one of these meters has its
+// answer, and the time until the first of their asks is overdue. The channel is
+// nil if no meter needs to ask anymore.
+func (a *admission) askOwners(now time.Time) (answered chan struct{}, remaining time.Duration) {
 	s := a.service
 	s.mu.Lock()
 	asks := outbox{}
-	overdue = s.config.AskTimeout
+	remaining = s.config.AskTimeout
 	for _, m := range a.meters {
 		if m == nil {
 			continue
 		}
 		m.waiters++
-		if !m.check(now, a.estimate, s.parameters).lacking {
+		if !m.check(now, a.estimatedTokens, s.parameters).mustAsk {
 			continue
 		}
 		if m.answered == nil {
 			m.answered = make(chan struct{})
 		}
 		answered = m.answered
-		if !m.asking {
-			s.post(asks, m, m.coldAsk(now, a.estimate, s.parameters), now)
+		if !m.askInFlight {
+			s.enqueue(asks, m, m.urgentAsk(now, a.estimatedTokens, s.parameters), now)
 		}
-		overdue = min(overdue, s.config.AskTimeout-now.Sub(m.askedAt))
+		remaining = min(remaining, s.config.AskTimeout-now.Sub(m.askSentAt))
 	}
 	s.mu.Unlock()
 	s.send(asks)
-	return answered, overdue
+	return answered, remaining
 }
 
 func (a *admission) release(used int) {
@@ -150,7 +155,7 @@
 	defer s.mu.Unlock()
 	for _, m := range a.meters {
 		if m != nil {
-			m.release(a.estimate, float64(used))
+			m.release(a.estimatedTokens, float64(used))
 		}
 	}
 }
--- a/internal/limits/config.go
+++ b/internal/limits/config.go
@@ -7,8 +7,8 @@
 	"ringstream.example/ringstream/internal/core/quota"
 )
 
-// Config sets how limits are shared between nodes. The first three must be
-// alike on all nodes.
+// Config sets how limits are shared between nodes. Burst, StandingPart and
+// StandingBurst must be the same on all nodes.
 type Config struct {
 	Burst         time.Duration `koanf:"burst" usage:"how many seconds' worth of a rate limit may be used at once"`
 	StandingPart  float64       `koanf:"standing_part" usage:"part of a rate limit that the nodes share evenly without messages, 0 to 0.5"`
@@ -19,7 +19,7 @@
 	IdleTimeout   time.Duration `koanf:"idle_timeout" usage:"after how long an unused limit is forgotten; at least standing_burst / standing_part"`
 }
 
-// DefaultConfig suits 3 to 340 nodes.
+// DefaultConfig returns settings for fleets of 3 to 340 nodes.
 func DefaultConfig() Config {
 	parameters := quota.DefaultParameters()
 	return Config{
@@ -33,12 +33,12 @@
 	}
 }
 
-// Validate checks the values; the error names the key.
+// Validate checks the values. The error names the invalid key.
 func (c Config) Validate() error {
 	if c.Burst < 100*time.Millisecond || c.Burst > time.Minute {
 		return fmt.Errorf("burst: %s is not allowed, want 100ms to 1m", c.Burst)
 	}
-	if !(c.StandingPart >= 0 && c.StandingPart <= 0.5) { // also false for NaN
+	if !(c.StandingPart >= 0 && c.StandingPart <= 0.5) { // the inner comparison is false for NaN, too
 		return fmt.Errorf("standing_part: %v is not allowed, want 0 to 0.5", c.StandingPart)
 	}
 	if c.StandingBurst < 0 || c.StandingBurst > time.Minute {
--- a/internal/limits/cost_test.go
+++ b/internal/limits/cost_test.go
@@ -18,8 +18,8 @@
 
 var costNodes = flag.String("cost.nodes", "6", "numbers of nodes to measure the cost of limits on")
 
-// The target's load: 8,300 requests a second on 340 nodes, 3.8 million tokens
-// a second, 2,600 tenants of unlike size.
+// The target load is 8,300 requests and 3.8 million tokens per second on 340
+// nodes, from 2,600 tenants of different sizes.
 const (
 	costTenants     = 2600
 	costPerNode     = 8300.0 / 340
@@ -27,15 +27,15 @@
 	costHold        = 5 * time.Second
 	costWarmUp      = 15 * time.Second
 	costMeasured    = 30 * time.Second
-	costLimitOfMean = 4 // limits are this many times what a tenant uses
+	costLimitOfMean = 4 // ratio of a tenant's limits to its mean use
 )
 
-// costTenant is one tenant's part of the load and its limits.
+// costTenant is one tenant's share of the load and its limits.
 type costTenant struct {
-	id     identity.TenantID
-	naive  *naiveLimits
-	row    policy.Row
-	weight float64
+	id        identity.TenantID
+	reference *referenceLimiter
+	row       policy.Row
+	weight    float64
 }
 
 func costTable(nodes int) []costTenant {
@@ -50,7 +50,7 @@
 		mean := tenants[i].weight * costPerNode * float64(nodes)
 		id := fmt.Sprintf("tenant-%04d", i)
 		tenants[i].id = identity.TenantID(id)
-		tenants[i].naive = &naiveLimits{}
+		tenants[i].reference = &referenceLimiter{}
 		tenants[i].row = policy.Row{
 			ID: identity.RowID(id), Match: policy.Match{Tenant: id, Model: policy.Any, Kind: policy.Any}, Revision: uint64(i + 1),
 			Limits: policy.Limits{
@@ -63,14 +63,14 @@
 	return tenants
 }
 
-// naiveLimits is the twin: one tenant's limits in one place.
-type naiveLimits struct {
+// referenceLimiter is the reference model: a central limiter of one tenant.
+type referenceLimiter struct {
 	requests, tokens float64
 	at               time.Time
 	ends             []time.Time
 }
 
-func (n *naiveLimits) admit(now time.Time, limits policy.Limits) bool {
+func (n *referenceLimiter) admit(now time.Time, limits policy.Limits) bool {
 	elapsed := now.Sub(n.at).Seconds()
 	n.at = now
 	n.requests = min(n.requests+elapsed*limits.RequestsPerSecond, max(1, limits.RequestsPerSecond))
@@ -87,8 +87,8 @@
 	return true
 }
 
-// pick draws a tenant by weight.
-func pick(random *rand.Rand, tenants []costTenant) costTenant {
+// pickTenant draws a random tenant by weight.
+func pickTenant(random *rand.Rand, tenants []costTenant) costTenant {
 	at := random.Float64()
 	for _, tenant := range tenants {
 		if at -= tenant.weight; at < 0 {
@@ -98,11 +98,11 @@
 	return tenants[0]
 }
 
-// costResult is per node and second.
+// costResult holds the cost per node and second, and the requests admitted and refused.
 type costResult struct {
-	bytes, messages, busiest, core float64
-	admitted, refused              int
-	centralRefused                 int // by one limiter that every request asks at once
+	bytes, messages, busiest, coreFraction float64
+	admitted, refused                      int
+	referenceRefused                       int // by a central limiter
 }
 
 func measureCost(t *testing.T, nodes int) (result costResult) {
@@ -117,11 +117,11 @@
 		f.rows.mu.Unlock()
 		load := costLoad{fleet: f, tenants: tenants, random: rand.New(rand.NewPCG(2, uint64(nodes)))}
 		load.run(costWarmUp)
-		load.take()
+		load.takeResult()
 		before, cpu := f.traffic(), processorTime()
 		load.run(costMeasured)
-		result = load.take()
-		result.core = (processorTime() - cpu).Seconds() / costMeasured.Seconds() / float64(nodes)
+		result = load.takeResult()
+		result.coreFraction = (processorTime() - cpu).Seconds() / costMeasured.Seconds() / float64(nodes)
 		for i, after := range f.traffic() {
 			result.messages += float64(after.Messages-before[i].Messages) / float64(nodes) / costMeasured.Seconds()
 			sent := float64(after.Bytes-before[i].Bytes) / costMeasured.Seconds()
@@ -143,17 +143,17 @@
 	result   costResult
 }
 
-func (l *costLoad) run(lasting time.Duration) {
+func (l *costLoad) run(duration time.Duration) {
 	perSecond := costPerNode * float64(len(l.fleet.nodes))
-	for end := time.Now().Add(lasting); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(l.random.ExpFloat64() / perSecond * float64(time.Second)))
-		tenant, node := pick(l.random, l.tenants), l.fleet.nodes[l.random.IntN(len(l.fleet.nodes))]
-		central := tenant.naive.admit(time.Now(), tenant.row.Limits)
+		tenant, node := pickTenant(l.random, l.tenants), l.fleet.nodes[l.random.IntN(len(l.fleet.nodes))]
+		allowedByReference := tenant.reference.admit(time.Now(), tenant.row.Limits)
 		l.requests.Go(func() {
 			release, decision := node.Admit(tenant.row, tenant.id, costTokens)
 			l.mu.Lock()
-			if !central {
-				l.result.centralRefused++
+			if !allowedByReference {
+				l.result.referenceRefused++
 			}
 			if decision.Allowed {
 				l.result.admitted++
@@ -169,8 +169,8 @@
 	}
 }
 
-// take gives the counts so far and starts again.
-func (l *costLoad) take() costResult {
+// takeResult returns the counts so far and resets them.
+func (l *costLoad) takeResult() costResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	result := l.result
@@ -195,9 +195,9 @@
 		result := measureCost(t, nodes)
 		requests := float64(result.refused + result.admitted)
 		t.Logf("%3d nodes: %4.0f B/s and %4.1f messages/s a node (busiest %4.0f B/s), %.2f%% of a core, %.2f%% of requests refused (one central limiter: %.2f%%)",
-			nodes, result.bytes, result.messages, result.busiest, 100*result.core, 100*float64(result.refused)/requests, 100*float64(result.centralRefused)/requests)
+			nodes, result.bytes, result.messages, result.busiest, 100*result.coreFraction, 100*float64(result.refused)/requests, 100*float64(result.referenceRefused)/requests)
 		if result.bytes > 3000 {
-			t.Errorf("%d nodes: %.0f B/s a node", nodes, result.bytes)
+			t.Errorf("%d nodes: %.0f B/s per node, want at most 3000", nodes, result.bytes)
 		}
 	}
 }
--- a/internal/limits/division_test.go
+++ b/internal/limits/division_test.go
@@ -16,12 +16,12 @@
 
 var divisionNodes = flag.String("division.nodes", "3", "numbers of nodes to compare divisions of a limit on")
 
-// evenDivision is the naive twin: each node has 1/N of every limit, and no
-// message is sent.
+// evenDivision is the reference model: each of N nodes has 1/N of every limit,
+// and no messages are sent.
 type evenDivision struct {
 	mu      sync.Mutex
 	nodes   float64
-	level   float64
+	credits float64
 	updated time.Time
 	running int
 }
@@ -31,15 +31,15 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	rate := row.Limits.RequestsPerSecond / e.nodes
-	e.level = min(e.level+now.Sub(e.updated).Seconds()*rate, max(rate, 1))
+	e.credits = min(e.credits+now.Sub(e.updated).Seconds()*rate, max(rate, 1))
 	e.updated = now
-	if rate > 0 && e.level < 1 {
+	if rate > 0 && e.credits < 1 {
 		return nil, Decision{}
 	}
-	if most := row.Limits.Concurrency; most > 0 && e.running >= max(1, most/int(e.nodes)) {
+	if limit := row.Limits.Concurrency; limit > 0 && e.running >= max(1, limit/int(e.nodes)) {
 		return nil, Decision{}
 	}
-	e.level--
+	e.credits--
 	e.running++
 	release := func(int) {
 		e.mu.Lock()
@@ -49,24 +49,24 @@
 	return release, Decision{Allowed: true}
 }
 
-// skews say which node a request comes to.
+// skews select the node that receives a request.
 var skews = map[string]func(random *rand.Rand, nodes int, at time.Duration) int{
 	"even":   func(random *rand.Rand, nodes int, _ time.Duration) int { return random.IntN(nodes) },
 	"tenth":  func(random *rand.Rand, nodes int, _ time.Duration) int { return random.IntN(max(1, nodes/10)) },
 	"moving": func(_ *rand.Rand, nodes int, at time.Duration) int { return int(at/(10*time.Second)) * 7 % nodes },
 }
 
-// divisionResult is what one run admitted.
+// divisionResult is the outcome of one run.
 type divisionResult struct {
-	admitted, central int
-	worst             map[time.Duration]float64 // admitted in the worst window, of what the limit allows in it
-	mostRunning       int
-	meanRunning       float64
-	bytesPerNode      float64 // per second
+	admitted, centralAdmitted int
+	worstWindowRatio          map[time.Duration]float64 // by window length: the most admitted in any window, relative to what the limit allows
+	mostRunning               int
+	meanRunning               float64
+	bytesPerNode              float64 // per second
 }
 
-// divisionRun is one scenario: requests at a multiple of a limit of 300 a
-// second, or held for 5 s under a concurrency of 300, for a minute.
+// divisionRun is one scenario of a minute: requests at a multiple of a limit of
+// 300 per second, or requests of 5 s under a concurrency limit of 300.
 type divisionRun struct {
 	nodes       int
 	skew        string
@@ -106,7 +106,7 @@
 	var mu sync.Mutex
 	var requests sync.WaitGroup
 	var times []time.Duration
-	running, area, result := 0, 0.0, divisionResult{worst: map[time.Duration]float64{}}
+	running, runningSeconds, result := 0, 0.0, divisionResult{worstWindowRatio: map[time.Duration]float64{}}
 	before := uint64(0)
 	for _, bus := range f.buses {
 		before += bus.Traffic().Bytes
@@ -123,10 +123,10 @@
 		last = at
 		if level >= 1 {
 			level--
-			result.central++
+			result.centralAdmitted++
 		}
 		mu.Lock()
-		area += float64(running) * wait.Seconds()
+		runningSeconds += float64(running) * wait.Seconds()
 		mu.Unlock()
 		limiter := limiters[skews[d.skew](random, d.nodes, at)]
 		requests.Go(func() {
@@ -153,15 +153,15 @@
 		after += bus.Traffic().Bytes
 	}
 	result.bytesPerNode = float64(after-before) / float64(d.nodes) / divisionLength.Seconds()
-	result.admitted, result.meanRunning = len(times), area/divisionLength.Seconds()
+	result.admitted, result.meanRunning = len(times), runningSeconds/divisionLength.Seconds()
 	for _, window := range []time.Duration{time.Second, 10 * time.Second} {
-		result.worst[window] = worstWindow(times, window)
+		result.worstWindowRatio[window] = worstWindow(times, window)
 	}
 	return result
 }
 
-// worstWindow gives the most admitted in any window, over what the limit
-// allows in that time.
+// worstWindow returns the highest number admitted in any window, divided by what
+// the limit allows in that time.
 func worstWindow(times []time.Duration, window time.Duration) float64 {
 	most, first := 0, 0
 	for last := range times {
@@ -182,25 +182,27 @@
 		for _, load := range []float64{0.8, 2} {
 			for _, skew := range []string{"even", "tenth", "moving"} {
 				even := divisionRun{nodes: nodes, skew: skew, load: load}.run(t)
-				lent := divisionRun{nodes: nodes, skew: skew, load: load, borrow: true}.run(t)
+				borrowed := divisionRun{nodes: nodes, skew: skew, load: load, borrow: true}.run(t)
 				t.Logf("rate, %3d nodes, load %.1f, %-6s: of central %.3f -> %.3f, worst 1 s %.2f -> %.2f, 10 s %.2f -> %.2f, %.0f B/s a node",
-					nodes, load, skew, ratio(even), ratio(lent), even.worst[time.Second], lent.worst[time.Second],
-					even.worst[10*time.Second], lent.worst[10*time.Second], lent.bytesPerNode)
-				if ratio(lent) < 0.9 || ratio(lent) > 1.15 {
-					t.Errorf("%d nodes, load %.1f, %s: borrowing admits %.3f of a central limiter", nodes, load, skew, ratio(lent))
+					nodes, load, skew, ratio(even), ratio(borrowed), even.worstWindowRatio[time.Second], borrowed.worstWindowRatio[time.Second],
+					even.worstWindowRatio[10*time.Second], borrowed.worstWindowRatio[10*time.Second], borrowed.bytesPerNode)
+				if ratio(borrowed) < 0.9 || ratio(borrowed) > 1.15 {
+					t.Errorf("%d nodes, load %.1f, %s: borrowing admits %.3f of what a central limiter admits, want 0.9 to 1.15", nodes, load, skew, ratio(borrowed))
 				}
 			}
 		}
 		for _, skew := range []string{"even", "tenth", "moving"} {
 			even := divisionRun{nodes: nodes, skew: skew, load: 2, concurrency: true}.run(t)
-			lent := divisionRun{nodes: nodes, skew: skew, load: 2, concurrency: true, borrow: true}.run(t)
+			borrowed := divisionRun{nodes: nodes, skew: skew, load: 2, concurrency: true, borrow: true}.run(t)
 			t.Logf("concurrency, %3d nodes, load 2.0, %-6s: most running %d -> %d, mean %.0f -> %.0f, %.0f B/s a node",
-				nodes, skew, even.mostRunning, lent.mostRunning, even.meanRunning, lent.meanRunning, lent.bytesPerNode)
-			if lent.mostRunning > divisionLimit {
-				t.Errorf("%d nodes, %s: %d run at a concurrency of %d", nodes, skew, lent.mostRunning, divisionLimit)
+				nodes, skew, even.mostRunning, borrowed.mostRunning, even.meanRunning, borrowed.meanRunning, borrowed.bytesPerNode)
+			if borrowed.mostRunning > divisionLimit {
+				t.Errorf("%d nodes, %s: %d requests run under a concurrency limit of %d", nodes, skew, borrowed.mostRunning, divisionLimit)
 			}
 		}
 	}
 }
 
-func ratio(result divisionResult) float64 { return float64(result.admitted) / float64(result.central) }
+func ratio(result divisionResult) float64 {
+	return float64(result.admitted) / float64(result.centralAdmitted)
+}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,12 +1,15 @@
-// Package limits holds this node's share of every row's and tenant's limits,
-// borrowed from the node that owns the limit. It never admits from what it
-// does not hold; what two owners cost during a hand-over is stated in package
-// quota.
+// Package limits enforces the limits of rows and tenants across the fleet. Each
+// limit has an owner node that lends credits and permits; every node admits
+// requests only from what it has borrowed and from its standing share. Package
+// quota states the worst overshoot, including the time of a change of owner.
 //
-// A limit that no request of this node meets costs nothing: no message, and no
-// memory after its idle timeout.
+// In this package, an ask is a node's message to the owner of a limit for
+// credits or permits, as opposed to an inference request.
 //
-// Locks: Service.mu alone; no message is sent under it.
+// A limit that no request on this node uses causes no messages, and its state
+// is freed after the idle timeout.
+//
+// Service.mu is the only lock. No message is sent while it is held.
 package limits
 
 import (
@@ -16,21 +19,22 @@
 	"ringstream.example/ringstream/internal/core/policy"
 )
 
-// Decision is the answer to one admission.
+// Decision is the result of one call of Admit.
 type Decision struct {
 	Allowed bool
-	// Limit names the limit that refused ("row requests_per_second").
+	// Limit names the limit that refused the request ("row requests_per_second").
 	Limit string
-	// RetryAfter is when the caller may come back.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 }
 
-// Limiter admits requests against their row's and tenant's limits.
+// Limiter admits requests under the limits of their row and tenant.
 type Limiter interface {
-	// Admit takes one request of about this many tokens. When allowed, the
-	// caller calls release exactly once at the end, with the tokens really used.
-	// The first request in a while that meets a limit on this node may wait for
-	// the owner's answer, for Config.GrantWait at most; a limit that is used up
-	// refuses at once.
+	// Admit decides on one request with the estimated number of tokens. If the
+	// request is allowed, the caller must call release exactly once when it
+	// ends, with the number of tokens it used. A request may wait up to
+	// Config.GrantWait for the owner's answer, for instance the first one under
+	// a limit that this node has not used recently. A limit known to be
+	// exhausted refuses at once.
 	Admit(row policy.Row, tenant identity.TenantID, tokens int) (release func(used int), decision Decision)
 }
--- a/internal/limits/messages.go
+++ b/internal/limits/messages.go
@@ -8,22 +8,23 @@
 	"ringstream.example/ringstream/internal/core/quota"
 )
 
-// asksMessage carries what one node asks of one owner at a time.
+// asksMessage carries a node's asks to one owner in one batch.
 type asksMessage struct{ Asks []ask }
 
-// answersMessage answers it.
+// answersMessage carries the answers to an asksMessage.
 type answersMessage struct{ Answers []answer }
 
-// recallMessage tells the holders of a concurrency limit that others go short
-// of it: idle permits go back at once.
+// recallMessage requests that the holders of a concurrency limit's permits
+// return idle ones at once, because other nodes lack permits.
 type recallMessage struct {
 	Row    identity.RowID
 	Tenant identity.TenantID
 }
 
-// ask is for one row's limits, or one tenant's within a row. The owner reads
-// the limits' values from its own copy of the table. Sequence is unique among
-// the asks of one node; with 0 something is given back, and nothing answered.
+// ask requests credits and permits of one row's limits, or of one tenant's
+// limits within a row. The owner reads the limits' values from its own copy of
+// the table. Sequence is unique among the asks of one node. An ask with
+// Sequence 0 only returns credits or permits and has no answer.
 type ask struct {
 	Row      identity.RowID
 	Tenant   identity.TenantID
@@ -33,16 +34,16 @@
 	Permits  permitAsk
 }
 
-// rateAsk is quota.RateAsk in whole credits, with credits given back.
+// rateAsk is quota.RateAsk in whole credits. Back is the number of credits returned.
 type rateAsk struct{ Need, Want, Back uint32 }
 
-// permitAsk is quota.PermitAsk; Sequence 0: nothing is asked.
+// permitAsk is quota.PermitAsk. With Sequence 0 the ask is not about permits.
 type permitAsk struct {
 	Sequence   uint64
 	Hold, Want uint32
 }
 
-// answer is an owner's answer to the ask of the same Sequence.
+// answer is an owner's answer to the ask with the same Sequence.
 type answer struct {
 	Sequence uint64
 	Requests loan
@@ -50,11 +51,12 @@
 	Permits  permits
 }
 
-// loan is quota.Loan; the time is in milliseconds.
+// loan is quota.Loan with RetryAfter in milliseconds.
 type loan struct{ Credits, RetryAfter uint32 }
 
-// permits is the answer to a permitAsk; Given says that there is one, Short
-// that idle permits are to be given back at once.
+// permits is the answer to a permitAsk. Given reports whether the answer is
+// present, and Short whether idle permits must be returned at once. RetryAfter
+// is in milliseconds.
 type permits struct {
 	Given, Short      bool
 	Total, RetryAfter uint32
@@ -62,27 +64,28 @@
 
 func (a ask) key() meterKey { return meterKey{row: a.Row, tenant: a.Tenant} }
 
-// givesBack says whether an ask only gives back, and needs no answer.
-func (a ask) givesBack() bool {
+// onlyReturns reports whether an ask only returns credits or permits, which needs no answer.
+func (a ask) onlyReturns() bool {
 	return a.Requests.Want == 0 && a.Tokens.Want == 0 && (a.Permits.Sequence == 0 || a.Permits.Want == 0)
 }
 
-func toRateAsk(asked quota.RateAsk) rateAsk {
-	return rateAsk{Need: whole(asked.Need), Want: whole(asked.Want)}
+func toRateAsk(quotaAsk quota.RateAsk) rateAsk {
+	return rateAsk{Need: roundUp(quotaAsk.Need), Want: roundUp(quotaAsk.Want)}
 }
 
-func whole(amount float64) uint32 {
+// roundUp rounds up to a whole number within the range of uint32.
+func roundUp(amount float64) uint32 {
 	return uint32(min(max(0, math.Ceil(amount)), math.MaxUint32))
 }
 
-func toLoan(given quota.Loan) loan {
-	return loan{Credits: whole(given.Credits), RetryAfter: milliseconds(given.RetryAfter)}
+func toLoan(quotaLoan quota.Loan) loan {
+	return loan{Credits: roundUp(quotaLoan.Credits), RetryAfter: milliseconds(quotaLoan.RetryAfter)}
 }
 
-func (l loan) loan() quota.Loan {
+func (l loan) toQuota() quota.Loan {
 	return quota.Loan{Credits: float64(l.Credits), RetryAfter: time.Duration(l.RetryAfter) * time.Millisecond}
 }
 
-func milliseconds(wait time.Duration) uint32 {
-	return whole(float64(wait) / float64(time.Millisecond))
+func milliseconds(duration time.Duration) uint32 {
+	return roundUp(float64(duration) / float64(time.Millisecond))
 }
--- a/internal/limits/meter.go
+++ b/internal/limits/meter.go
@@ -8,18 +8,18 @@
 	"ringstream.example/ringstream/internal/core/quota"
 )
 
-// meterKey names a row's limits, or a tenant's within a row.
+// meterKey identifies the limits of a row, or of a tenant within a row.
 type meterKey struct {
 	row    identity.RowID
-	tenant identity.TenantID // empty: the row's own
+	tenant identity.TenantID // empty for the limits of the row itself
 }
 
-// ownerKey is what the owner is chosen by.
+// ownerKey returns the rendezvous hashing key that selects the limit's owner.
 func (k meterKey) ownerKey() string {
 	return "limits/" + string(k.row) + "/" + string(k.tenant)
 }
 
-// scope is the first word of a refused limit's name.
+// scope returns the first word of the limit's name in a Decision.
 func (k meterKey) scope() string {
 	if k.tenant == "" {
 		return "row"
@@ -27,7 +27,7 @@
 	return "tenant"
 }
 
-// meter is this node's use of one set of limits.
+// meter tracks this node's use of one set of limits and what it has borrowed.
 type meter struct {
 	key      meterKey
 	limits   policy.Limits
@@ -35,85 +35,88 @@
 	tokens   quota.RateMeter
 	permits  quota.PermitMeter
 
-	generation    uint64 // of the ownership that owner and deputy are of
-	owner, deputy identity.NodeID
-	deputyUntil   time.Time // until then the deputy is asked
-	unreachable   time.Time // until then nobody is asked
+	generation       uint64 // of the ownership that owner and deputy were derived from
+	owner, deputy    identity.NodeID
+	useDeputyUntil   time.Time // asks go to the deputy until this time
+	unreachableUntil time.Time // no asks are sent until this time
 
-	sequence uint64
-	asking   bool // the ask of this sequence is unanswered
-	askedAt  time.Time
-	answered chan struct{} // closed with the answer; nil when nobody waits
-	waiters  int
+	askSequence uint64
+	askInFlight bool // the ask with askSequence is unanswered
+	askSentAt   time.Time
+	answered    chan struct{} // closed when the answer arrives; nil if no request waits
+	waiters     int
 
-	renewAt time.Time
-	short   bool // idle permits are to be given back at once
-	lastUse time.Time
+	renewAt      time.Time
+	permitsShort bool // idle permits must be returned at once
+	lastUsed     time.Time
 }
 
-// verdict is what a meter says to one request.
+// verdict is the result of checking one request against a meter.
 type verdict struct {
-	limit      string // the limit that has no room; empty: there is room
+	limit      string // the limit that does not admit the request; empty if all do
 	retryAfter time.Duration
-	// lacking: there may be room, the owner must be asked.
-	lacking bool
+	// mustAsk reports that the owner may grant more and has to be asked.
+	mustAsk bool
 }
 
-// advance brings the buckets to a time.
+// advance updates the rate buckets to the given time.
 func (m *meter) advance(now time.Time, nodes int, parameters quota.Parameters) {
 	m.requests.Advance(now, quota.Share{Limit: m.limits.RequestsPerSecond, Nodes: nodes}, parameters)
 	m.tokens.Advance(now, quota.Share{Limit: m.limits.TokensPerSecond, Nodes: nodes}, parameters)
 }
 
-// check says whether a request has room under all limits.
+// check reports whether all limits admit a request, and otherwise which one does not.
 func (m *meter) check(now time.Time, tokens float64, parameters quota.Parameters) verdict {
 	result := verdict{}
 	if m.limits.RequestsPerSecond > 0 && !m.requests.Has(1) {
-		result.add("requests_per_second", m.requests.Denied(now))
+		result.addExhausted("requests_per_second", m.requests.Denied(now))
 	}
 	if m.limits.TokensPerSecond > 0 && !m.tokens.Has(tokens) {
-		result.add("tokens_per_second", m.tokens.Denied(now))
+		result.addExhausted("tokens_per_second", m.tokens.Denied(now))
 	}
 	if m.limits.Concurrency > 0 && !m.permits.Has(now, parameters) {
-		result.add("concurrency", m.permits.Denied(now))
+		result.addExhausted("concurrency", m.permits.Denied(now))
 	}
-	if result.lacking && now.Before(m.unreachable) {
-		result = verdict{limit: result.limit, retryAfter: m.unreachable.Sub(now)}
+	if result.mustAsk && now.Before(m.unreachableUntil) {
+		result = verdict{limit: result.limit, retryAfter: m.unreachableUntil.Sub(now)}
 	}
 	return result
 }
 
-// add takes one limit without room: a denial stands over a lack.
-func (v *verdict) add(limit string, denied time.Duration) {
+// addExhausted records a limit without enough credits or permits. The limit
+// with the longest wait imposed by its owner takes precedence; a limit whose
+// owner must be asked counts only without such a wait.
+func (v *verdict) addExhausted(limit string, denied time.Duration) {
 	switch {
 	case denied > v.retryAfter:
 		*v = verdict{limit: limit, retryAfter: denied}
 	case denied == 0 && v.retryAfter == 0:
-		*v = verdict{limit: limit, lacking: true}
+		*v = verdict{limit: limit, mustAsk: true}
 	}
 }
 
-// setLimits takes the row's values. What was lent under a higher limit shrinks
-// in proportion, so that a lowered limit is in force at once.
+// setLimits applies the row's values. What was borrowed under a higher limit is
+// reduced in proportion, so that a lowered limit takes effect at once.
 func (m *meter) setLimits(limits policy.Limits) {
 	if limits == m.limits {
 		return
 	}
-	m.requests.Scale(lowered(m.limits.RequestsPerSecond, limits.RequestsPerSecond))
-	m.tokens.Scale(lowered(m.limits.TokensPerSecond, limits.TokensPerSecond))
-	m.permits.Scale(lowered(float64(m.limits.Concurrency), float64(limits.Concurrency)))
+	m.requests.Scale(reductionRatio(m.limits.RequestsPerSecond, limits.RequestsPerSecond))
+	m.tokens.Scale(reductionRatio(m.limits.TokensPerSecond, limits.TokensPerSecond))
+	m.permits.Scale(reductionRatio(float64(m.limits.Concurrency), float64(limits.Concurrency)))
 	m.limits = limits
 }
 
-// lowered is the part of a limit that is left, 1 when it was raised or lifted.
-func lowered(before, after float64) float64 {
+// reductionRatio returns the remaining fraction of a limit, or 1 if the limit was
+// raised, removed or newly set.
+func reductionRatio(before, after float64) float64 {
 	if before <= 0 || after <= 0 || after >= before {
 		return 1
 	}
 	return after / before
 }
 
-// spend takes one request, for which check found room.
+// spend charges one request that check has admitted.
 func (m *meter) spend(tokens float64) {
 	if m.limits.RequestsPerSecond > 0 {
 		m.requests.Spend(1)
@@ -124,14 +127,15 @@
 	m.permits.Spend()
 }
 
-// want counts a request in the demand, admitted or not.
-func (m *meter) want(now time.Time, tokens float64) {
-	m.lastUse = now
+// recordDemand adds a request to the demand, whether or not it is admitted.
+func (m *meter) recordDemand(now time.Time, tokens float64) {
+	m.lastUsed = now
 	m.requests.Wanted(1)
 	m.tokens.Wanted(tokens)
 }
 
-// release ends a request.
+// release frees the permit of a request that has ended and corrects the token
+// estimate by the tokens it used.
 func (m *meter) release(estimate, used float64) {
 	m.permits.Release()
 	if m.limits.TokensPerSecond > 0 {
@@ -139,8 +143,8 @@
 	}
 }
 
-// coldAsk asks for what a request without room needs.
-func (m *meter) coldAsk(now time.Time, tokens float64, parameters quota.Parameters) ask {
+// urgentAsk returns an ask for what a waiting request lacks.
+func (m *meter) urgentAsk(now time.Time, tokens float64, parameters quota.Parameters) ask {
 	next := ask{Row: m.key.row, Tenant: m.key.tenant}
 	if m.limits.RequestsPerSecond > 0 && !m.requests.Has(1) {
 		next.Requests = toRateAsk(m.requests.Ask(1))
@@ -149,125 +153,130 @@
 		next.Tokens = toRateAsk(m.tokens.Ask(tokens))
 	}
 	if m.limits.Concurrency > 0 && !m.permits.Has(now, parameters) {
-		next.Permits = m.permitAsk(now, max(1, m.waiters))
+		next.Permits = m.newPermitAsk(now, max(1, m.waiters))
 	}
 	return next
 }
 
-// routineAsk asks ahead of the demand, renews permits that are due, and gives
-// back what is idle; ok is false when there is nothing to say.
-func (m *meter) routineAsk(now time.Time, within time.Duration, parameters quota.Parameters) (next ask, ok bool) {
+// routineAsk returns an ask that prefetches credits for the demand within the
+// horizon, renews permits and returns what is idle. ok is false if there is
+// nothing to ask for or return.
+func (m *meter) routineAsk(now time.Time, horizon time.Duration, parameters quota.Parameters) (next ask, ok bool) {
 	next = ask{Row: m.key.row, Tenant: m.key.tenant}
-	if m.runsOut(now, within) {
-		within = topUpWithin // one ask for both rates
+	if m.needsTopUp(now, horizon) {
+		horizon = topUpHorizon // top up both rates with one ask
 	}
 	if m.limits.RequestsPerSecond > 0 {
-		next.Requests = toRateAsk(m.requests.Prefetch(now, within))
-		next.Requests.Back = whole(m.requests.Idle(parameters))
+		next.Requests = toRateAsk(m.requests.Prefetch(now, horizon))
+		next.Requests.Back = roundUp(m.requests.Idle(parameters))
 	}
 	if m.limits.TokensPerSecond > 0 {
-		next.Tokens = toRateAsk(m.tokens.Prefetch(now, within))
-		next.Tokens.Back = whole(m.tokens.Idle(parameters))
+		next.Tokens = toRateAsk(m.tokens.Prefetch(now, horizon))
+		next.Tokens.Back = roundUp(m.tokens.Idle(parameters))
 	}
-	if m.limits.Concurrency > 0 && m.permitsDue(now) {
-		next.Permits = m.permitAsk(now, 0)
+	if m.limits.Concurrency > 0 && m.permitAskDue(now) {
+		next.Permits = m.newPermitAsk(now, 0)
 	}
 	return next, next.Requests != rateAsk{} || next.Tokens != rateAsk{} || next.Permits.Sequence != 0
 }
 
-// topUpWithin is the demand that credits must cover, else they are topped up
-// when the other rate is asked for anyway.
-const topUpWithin = 2 * time.Second
+// topUpHorizon is the time for which credits must cover the demand when an ask
+// is sent for either rate. It is longer than the usual horizon so that one ask
+// serves both rates.
+const topUpHorizon = 2 * time.Second
 
-// runsOut says whether the credits of a rate do not cover its demand.
-func (m *meter) runsOut(now time.Time, within time.Duration) bool {
-	requests := m.limits.RequestsPerSecond > 0 && m.requests.Prefetch(now, within).Want > 0
-	tokens := m.limits.TokensPerSecond > 0 && m.tokens.Prefetch(now, within).Want > 0
+// needsTopUp reports whether the credits of a rate do not cover its demand
+// within the horizon.
+func (m *meter) needsTopUp(now time.Time, horizon time.Duration) bool {
+	requests := m.limits.RequestsPerSecond > 0 && m.requests.Prefetch(now, horizon).Want > 0
+	tokens := m.limits.TokensPerSecond > 0 && m.tokens.Prefetch(now, horizon).Want > 0
 	return requests || tokens
 }
 
-// permitsDue says whether held permits must be renewed, or idle ones given back.
-func (m *meter) permitsDue(now time.Time) bool {
-	const idleTime = 2 * tickInterval
-	if m.short && m.permits.Held() > m.permits.Running() && now.Sub(m.lastUse) >= idleTime {
+// permitAskDue reports whether held permits must be renewed or idle ones returned.
+func (m *meter) permitAskDue(now time.Time) bool {
+	const minIdleTime = 2 * tickInterval
+	if m.permitsShort && m.permits.Held() > m.permits.Running() && now.Sub(m.lastUsed) >= minIdleTime {
 		m.permits.ForgetPeak()
 		return true
 	}
 	return m.permits.Held()+m.permits.Running() > 0 && !now.Before(m.renewAt)
 }
 
-func (m *meter) permitAsk(now time.Time, more int) permitAsk {
-	asked := m.permits.Ask(now, more)
-	return permitAsk{Sequence: asked.Sequence, Hold: uint32(asked.Hold), Want: uint32(asked.Want)} //nolint:gosec // counts of requests
+func (m *meter) newPermitAsk(now time.Time, extra int) permitAsk {
+	quotaAsk := m.permits.Ask(now, extra)
+	return permitAsk{Sequence: quotaAsk.Sequence, Hold: uint32(quotaAsk.Hold), Want: uint32(quotaAsk.Want)} //nolint:gosec // counts of requests
 }
 
-// receive takes the answer to the last ask.
-func (m *meter) receive(now time.Time, given answer, asked time.Duration, parameters quota.Parameters) {
-	m.asking = false
+// applyAnswer applies the answer to the last ask and wakes the waiting requests.
+func (m *meter) applyAnswer(now time.Time, reply answer, renewInterval time.Duration, parameters quota.Parameters) {
+	m.askInFlight = false
 	m.requests.Heard()
 	m.tokens.Heard()
-	if given.Requests != (loan{}) {
-		m.requests.Receive(now, given.Requests.loan(), parameters)
+	if reply.Requests != (loan{}) {
+		m.requests.Receive(now, reply.Requests.toQuota(), parameters)
 	}
-	if given.Tokens != (loan{}) {
-		m.tokens.Receive(now, given.Tokens.loan(), parameters)
+	if reply.Tokens != (loan{}) {
+		m.tokens.Receive(now, reply.Tokens.toQuota(), parameters)
 	}
-	if given.Permits.Given {
-		m.permits.Receive(now, m.permits.Sequence(), int(given.Permits.Total), time.Duration(given.Permits.RetryAfter)*time.Millisecond)
-		m.renewAt = now.Add(asked)
-		m.short = given.Permits.Short
+	if reply.Permits.Given {
+		m.permits.Receive(now, m.permits.Sequence(), int(reply.Permits.Total), time.Duration(reply.Permits.RetryAfter)*time.Millisecond)
+		m.renewAt = now.Add(renewInterval)
+		m.permitsShort = reply.Permits.Short
 	}
-	m.wake()
+	m.wakeWaiters()
 }
 
-// drop gives up all that is borrowed, and the answer that is waited for. The owner is told of
-// what runs at once.
-func (m *meter) drop(now time.Time) {
+// dropBorrowed discards everything borrowed and ignores the answer in flight.
+// The permit renewal is due at once, so that the owner learns of the requests
+// that still run.
+func (m *meter) dropBorrowed(now time.Time) {
 	m.requests.Scale(0)
 	m.tokens.Scale(0)
 	m.permits.Scale(0)
-	m.asking = false
+	m.askInFlight = false
 	m.renewAt = now
-	m.deputyUntil, m.unreachable = time.Time{}, time.Time{}
-	m.wake()
+	m.useDeputyUntil, m.unreachableUntil = time.Time{}, time.Time{}
+	m.wakeWaiters()
 }
 
-// wake lets the waiting requests look again.
-func (m *meter) wake() {
+// wakeWaiters lets the waiting requests check the meter again.
+func (m *meter) wakeWaiters() {
 	if m.answered != nil {
 		close(m.answered)
 		m.answered = nil
 	}
 }
 
-// unanswered notes that the last ask had no answer in time: the deputy is
-// asked for a while; when it is silent too, nobody is.
-func (m *meter) unanswered(now time.Time) {
+// markUnanswered records that the last ask timed out. After a timeout of the
+// owner, asks go to the deputy for deputyPeriod. After a timeout of the deputy,
+// or without one, no asks are sent for unreachablePeriod.
+func (m *meter) markUnanswered(now time.Time) {
 	const (
-		deputyTime      = 3 * time.Second
-		unreachableTime = time.Second
+		deputyPeriod      = 3 * time.Second
+		unreachablePeriod = time.Second
 	)
-	m.asking = false
+	m.askInFlight = false
 	m.requests.Silence()
 	m.tokens.Silence()
-	if now.Before(m.deputyUntil) || m.deputy == "" {
-		m.unreachable = now.Add(unreachableTime)
-		m.deputyUntil = time.Time{}
+	if now.Before(m.useDeputyUntil) || m.deputy == "" {
+		m.unreachableUntil = now.Add(unreachablePeriod)
+		m.useDeputyUntil = time.Time{}
 	} else {
-		m.deputyUntil = now.Add(deputyTime)
+		m.useDeputyUntil = now.Add(deputyPeriod)
 	}
-	m.wake()
+	m.wakeWaiters()
 }
 
-// target is whom to ask now.
+// target returns the node to which asks are sent at the given time.
 func (m *meter) target(now time.Time) identity.NodeID {
-	if now.Before(m.deputyUntil) {
+	if now.Before(m.useDeputyUntil) {
 		return m.deputy
 	}
 	return m.owner
 }
 
-// idle says whether the meter can be forgotten.
+// idle reports whether the meter can be deleted.
 func (m *meter) idle(now time.Time, timeout time.Duration) bool {
-	return !m.asking && m.waiters == 0 && m.permits.Running() == 0 && m.permits.Held() == 0 && now.Sub(m.lastUse) > timeout
+	return !m.askInFlight && m.waiters == 0 && m.permits.Running() == 0 && m.permits.Held() == 0 && now.Sub(m.lastUsed) > timeout
 }
--- a/internal/limits/metrics.go
+++ b/internal/limits/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the service's counters.
+// metrics holds the service's counters.
 type metrics struct {
 	admitted, asks, unanswered prometheus.Counter
 	refused                    *prometheus.CounterVec
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -9,129 +9,133 @@
 )
 
 const (
-	// adoptTime is how long a new owner of a concurrency limit only takes
-	// declarations of what borrowers hold.
-	adoptTime = time.Second
-	// permitRetry is how long a borrower without a free permit waits, for each
-	// borrower of the limit, and at least and at most.
-	permitRetry         = 20 * time.Millisecond
-	shortestPermitRetry = 100 * time.Millisecond
-	longestPermitRetry  = 2 * time.Second
-	// unknownRow is how long a borrower waits when the owner does not have the
-	// row yet.
-	unknownRow = 200 * time.Millisecond
+	// adoptionPeriod is how long a new owner of a concurrency limit only records
+	// the permits that borrowers report to hold, before it lends further ones.
+	adoptionPeriod = time.Second
+	// permitRetryPerBorrower, multiplied by the number of the limit's borrowers,
+	// is how long a borrower that got too few permits waits before it retries.
+	// minPermitRetry and maxPermitRetry bound the product.
+	permitRetryPerBorrower = 20 * time.Millisecond
+	minPermitRetry         = 100 * time.Millisecond
+	maxPermitRetry         = 2 * time.Second
+	// unknownRowRetry is how long a borrower waits when the owner's table does
+	// not have the row yet.
+	unknownRowRetry = 200 * time.Millisecond
 )
 
-// lender is this node's side as owner of one set of limits.
+// lender is the state of one set of limits that this node lends as owner or deputy.
 type lender struct {
-	requests quota.RateLender
-	tokens   quota.RateLender
-	permits  quota.PermitLender
-	lastAsk  time.Time
-	recallAt time.Time // when the next recall may be sent
+	requests     quota.RateLender
+	tokens       quota.RateLender
+	permits      quota.PermitLender
+	lastAskAt    time.Time
+	nextRecallAt time.Time // earliest time of the next recall
 }
 
-// recall is a recallMessage to its receivers.
+// recall is a recallMessage with its recipients.
 type recall struct {
 	message recallMessage
 	holders []identity.NodeID
 }
 
-// recallInterval is the least time between two recalls of one limit.
+// recallInterval is the minimum time between two recalls of one limit.
 const recallInterval = time.Second
 
-// lenderFor gives the lender of a set of limits, or nil when this node is
-// neither its owner nor its deputy. Caller holds mu.
+// lenderFor returns the lender of a set of limits, which it creates if needed.
+// It returns nil if this node is neither owner nor deputy. The caller holds mu.
 func (s *Service) lenderFor(key meterKey, now time.Time) *lender {
 	if found := s.lenders[key]; found != nil {
 		return found
 	}
 	ownerKey := key.ownerKey()
-	if !s.ownership.lends(ownerKey) {
+	if !s.ownership.mayLend(ownerKey) {
 		return nil
 	}
 	since := s.ownership.ownedSince(ownerKey, now)
-	lendFrom := since.Add(adoptTime)
+	lendFrom := since.Add(adoptionPeriod)
 	if s.ownership.alwaysAlone() {
-		lendFrom = since // no one can hold anything of an earlier owner
+		lendFrom = since // no node can hold permits of an earlier owner
 	}
-	made := &lender{requests: quota.NewRateLender(since), tokens: quota.NewRateLender(since), permits: quota.NewPermitLender(lendFrom)}
-	s.lenders[key] = made
-	return made
+	created := &lender{requests: quota.NewRateLender(since), tokens: quota.NewRateLender(since), permits: quota.NewPermitLender(lendFrom)}
+	s.lenders[key] = created
+	return created
 }
 
-// answerAsk lends; ok is false when this node does not own the limit, or the
-// ask is an old one. Caller holds mu.
-func (s *Service) answerAsk(from identity.NodeID, asked ask, now time.Time) (given answer, ok bool) {
-	given = answer{Sequence: asked.Sequence}
-	row, exists := s.rows.Table().Row(asked.Row)
+// answerAsk lends what an ask requests. ok is false if this node does not lend
+// the limit, or if the ask is older than one already seen. The caller holds mu.
+func (s *Service) answerAsk(from identity.NodeID, request ask, now time.Time) (reply answer, ok bool) {
+	reply = answer{Sequence: request.Sequence}
+	row, exists := s.rows.Table().Row(request.Row)
 	if !exists {
-		wait := loan{RetryAfter: milliseconds(unknownRow)}
-		given.Requests, given.Tokens = wait, wait
-		given.Permits = permits{Given: true, Total: asked.Permits.Hold, RetryAfter: wait.RetryAfter}
-		return given, true
+		wait := loan{RetryAfter: milliseconds(unknownRowRetry)}
+		reply.Requests, reply.Tokens = wait, wait
+		reply.Permits = permits{Given: true, Total: request.Permits.Hold, RetryAfter: wait.RetryAfter}
+		return reply, true
 	}
-	held := s.lenderFor(asked.key(), now)
-	if held == nil {
+	entry := s.lenderFor(request.key(), now)
+	if entry == nil {
 		return answer{}, false
 	}
-	held.lastAsk = now
+	entry.lastAskAt = now
 	limits := row.Limits
-	if asked.Tenant != "" {
+	if request.Tenant != "" {
 		limits = row.TenantLimits
 	}
-	given.Requests = lendRate(&held.requests, now, limits.RequestsPerSecond, asked.Requests, s.parameters)
-	given.Tokens = lendRate(&held.tokens, now, limits.TokensPerSecond, asked.Tokens, s.parameters)
-	if asked.Permits.Sequence == 0 {
-		return given, true
+	reply.Requests = lendRate(&entry.requests, now, limits.RequestsPerSecond, request.Requests, s.parameters)
+	reply.Tokens = lendRate(&entry.tokens, now, limits.TokensPerSecond, request.Tokens, s.parameters)
+	if request.Permits.Sequence == 0 {
+		return reply, true
 	}
-	given.Permits, ok = held.lendPermits(from, now, limits, asked.Permits, s.parameters)
-	if held.permits.Short(now) && !now.Before(held.recallAt) {
-		held.recallAt = now.Add(recallInterval)
-		message := recallMessage{Row: asked.Row, Tenant: asked.Tenant}
-		s.recalls = append(s.recalls, recall{message: message, holders: held.permits.Holders(from)})
+	reply.Permits, ok = entry.lendPermits(from, now, limits, request.Permits, s.parameters)
+	if entry.permits.Short(now) && !now.Before(entry.nextRecallAt) {
+		entry.nextRecallAt = now.Add(recallInterval)
+		message := recallMessage{Row: request.Row, Tenant: request.Tenant}
+		s.pendingRecalls = append(s.pendingRecalls, recall{message: message, holders: entry.permits.Holders(from)})
 	}
-	return given, ok
+	return reply, ok
 }
 
-func lendRate(held *quota.RateLender, now time.Time, limit float64, asked rateAsk, parameters quota.Parameters) loan {
-	if limit <= 0 { // lifted here, not yet there
-		return loan{Credits: asked.Want}
+// lendRate lends credits of one rate, after it has accepted the credits returned.
+func lendRate(rateLender *quota.RateLender, now time.Time, limit float64, request rateAsk, parameters quota.Parameters) loan {
+	if limit <= 0 { // removed in this node's table, but not yet in the borrower's
+		return loan{Credits: request.Want}
 	}
-	if asked.Back > 0 {
-		held.Return(now, limit, float64(asked.Back), parameters)
+	if request.Back > 0 {
+		rateLender.Return(now, limit, float64(request.Back), parameters)
 	}
-	if asked.Want == 0 {
+	if request.Want == 0 {
 		return loan{}
 	}
-	return toLoan(held.Lend(now, limit, float64(asked.Need), float64(asked.Want), parameters))
+	return toLoan(rateLender.Lend(now, limit, float64(request.Need), float64(request.Want), parameters))
 }
 
-func (l *lender) lendPermits(from identity.NodeID, now time.Time, limits policy.Limits, asked permitAsk, parameters quota.Parameters) (permits, bool) {
-	if limits.Concurrency <= 0 { // lifted here, not yet there
-		return permits{Given: true, Total: asked.Want}, true
+// lendPermits lends permits of a concurrency limit. The result is false if the
+// request is older than one already seen.
+func (l *lender) lendPermits(from identity.NodeID, now time.Time, limits policy.Limits, request permitAsk, parameters quota.Parameters) (permits, bool) {
+	if limits.Concurrency <= 0 { // removed in this node's table, but not yet in the borrower's
+		return permits{Given: true, Total: request.Want}, true
 	}
-	question := quota.PermitAsk{Sequence: asked.Sequence, Hold: int(asked.Hold), Want: int(asked.Want)}
-	total, ok := l.permits.Lend(now, from, limits.Concurrency, question, parameters)
+	quotaAsk := quota.PermitAsk{Sequence: request.Sequence, Hold: int(request.Hold), Want: int(request.Want)}
+	total, ok := l.permits.Lend(now, from, limits.Concurrency, quotaAsk, parameters)
 	if !ok {
 		return permits{}, false
 	}
-	given := permits{Given: true, Total: uint32(total), Short: !l.permits.Abundant(now)} //nolint:gosec // at most the limit
-	if total < int(asked.Want) {
-		wait := min(max(shortestPermitRetry, time.Duration(l.permits.Borrowers())*permitRetry), longestPermitRetry)
-		given.RetryAfter = milliseconds(wait)
+	reply := permits{Given: true, Total: uint32(total), Short: !l.permits.Abundant(now)} //nolint:gosec // at most the limit
+	if total < int(request.Want) {
+		wait := min(max(minPermitRetry, time.Duration(l.permits.Borrowers())*permitRetryPerBorrower), maxPermitRetry)
+		reply.RetryAfter = milliseconds(wait)
 	}
-	return given, true
+	return reply, true
 }
 
-// dropLenders forgets limits that this node no longer lends, and what nodes
-// held that are gone. Caller holds mu.
+// dropLenders deletes the lenders of limits that this node no longer lends, and
+// the permits of nodes that are no longer live. The caller holds mu.
 func (s *Service) dropLenders() {
-	for key, held := range s.lenders {
-		if !s.ownership.lends(key.ownerKey()) {
+	for key, entry := range s.lenders {
+		if !s.ownership.mayLend(key.ownerKey()) {
 			delete(s.lenders, key)
 			continue
 		}
-		held.permits.ForgetUnless(s.ownership.live)
+		entry.permits.ForgetUnless(s.ownership.isLive)
 	}
 }
--- a/internal/limits/service.go
+++ b/internal/limits/service.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// tickInterval is the pace of routine asks, which are batched by owner.
+	// tickInterval is the interval of routine asks, which are batched by owner.
 	tickInterval = 250 * time.Millisecond
-	// lookAhead is the demand that credits in hand must cover, else more are
-	// asked for: the next tick and an answer's way.
-	lookAhead = 2 * tickInterval
+	// prefetchHorizon is the time for which credits must cover the demand before
+	// more are asked for. It spans the wait for the next tick and for its answer.
+	prefetchHorizon = 2 * tickInterval
 )
 
-// Service borrows from the owners of the limits in use, and lends as owner.
+// Service borrows from the owners of the limits in use, and lends the limits of
+// which this node is owner or deputy.
 type Service struct {
-	config     Config
-	parameters quota.Parameters
-	bus        peer.Bus
-	rows       rows.Source
-	logger     *zap.Logger
-	metrics    *metrics
-	started    time.Time
-	watch      *suspension.Watch // nil: the machine is never suspended
+	config      Config
+	parameters  quota.Parameters
+	bus         peer.Bus
+	rows        rows.Source
+	logger      *zap.Logger
+	metrics     *metrics
+	started     time.Time
+	suspensions *suspension.Watch // nil without suspension detection
 
-	mu        sync.Mutex
-	ownership ownership
-	meters    map[meterKey]*meter
-	lenders   map[meterKey]*lender
-	sequence  uint64
-	asked     map[uint64]*meter // by the sequence of its unanswered ask
-	recalls   []recall          // to be sent
+	mu             sync.Mutex
+	ownership      ownership
+	meters         map[meterKey]*meter
+	lenders        map[meterKey]*lender
+	lastSequence   uint64
+	inFlight       map[uint64]*meter // by the sequence of the unanswered ask
+	pendingRecalls []recall          // to be sent
 }
 
 var _ Limiter = (*Service)(nil)
 
-// New makes a limiter. It registers its messages with the bus; Run starts it.
+// New returns a limiter whose messages are registered with the bus. Run starts it.
 func New(config Config, bus peer.Bus, source rows.Source, logger *zap.Logger, registerer prometheus.Registerer) *Service {
 	if logger == nil {
 		logger = zap.NewNop()
@@ -62,46 +63,48 @@
 		ownership:  ownership{self: bus.Self()},
 		meters:     map[meterKey]*meter{},
 		lenders:    map[meterKey]*lender{},
-		asked:      map[uint64]*meter{},
+		inFlight:   map[uint64]*meter{},
 	}
 	s.metrics = newMetrics(registerer, s)
 	s.ownership.update(bus.View(), s.started)
 	bus.Handle(asksMessage{}, func(from identity.NodeID, message any) any {
-		s.takeAsks(from, message.(asksMessage))
+		s.handleAsks(from, message.(asksMessage))
 		return nil
 	})
 	bus.Handle(answersMessage{}, func(_ identity.NodeID, message any) any {
-		s.takeAnswers(message.(answersMessage))
+		s.handleAnswers(message.(answersMessage))
 		return nil
 	})
 	bus.Handle(recallMessage{}, func(_ identity.NodeID, message any) any {
-		s.takeRecall(message.(recallMessage))
+		s.handleRecall(message.(recallMessage))
 		return nil
 	})
 	return s
 }
 
-// WatchBy has the service look for suspensions of the machine before it admits, lends or
-// borrows; called before Run.
+// WatchBy makes the service check for suspensions of the machine before it
+// admits, lends or borrows. It must be called before Run.
 func (s *Service) WatchBy(watch *suspension.Watch) {
-	s.watch = watch
-	watch.OnWake(func(time.Duration) { s.woke(time.Now()) })
+	s.suspensions = watch
+	watch.OnWake(func(time.Duration) { s.handleWake(time.Now()) })
 }
 
-// woke drops what this node had borrowed, and what it lent: its clock stood still while the
-// leases on both sides ran out. What runs here is told to the owners with the next asks.
-func (s *Service) woke(now time.Time) {
+// handleWake discards what this node has borrowed and its records of what it
+// has lent. Its clock stood still during the suspension while the leases on both
+// sides expired. The next asks report the requests that still run here to the
+// owners.
+func (s *Service) handleWake(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.asked)
+	clear(s.inFlight)
 	for _, m := range s.meters {
-		m.drop(now)
+		m.dropBorrowed(now)
 	}
 	clear(s.lenders)
-	s.ownership.notBefore = now
+	s.ownership.earliestOwnership = now
 }
 
-// Run follows the member list and makes the routine asks until the context ends.
+// Run follows the membership and sends the routine asks until the context ends.
 func (s *Service) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -127,11 +130,11 @@
 	}
 }
 
-// outbox is the asks to send, by whom they go to.
+// outbox holds the asks to send by recipient.
 type outbox map[identity.NodeID][]ask
 
-// meterFor gives the meter of a set of limits, or nil when it limits nothing.
-// Caller holds mu.
+// meterFor returns the meter of a set of limits, which it creates if needed. It
+// returns nil if no limit is set. The caller holds mu.
 func (s *Service) meterFor(key meterKey, limits policy.Limits, now time.Time) *meter {
 	if limits == (policy.Limits{}) {
 		return nil
@@ -143,7 +146,7 @@
 			key:      key,
 			requests: quota.NewRateMeter(now, s.started, quota.Share{Limit: limits.RequestsPerSecond, Nodes: nodes}, s.parameters),
 			tokens:   quota.NewRateMeter(now, s.started, quota.Share{Limit: limits.TokensPerSecond, Nodes: nodes}, s.parameters),
-			permits:  quota.NewPermitMeter(s.sequence), // rises with every ask, so that it is above any that was used
+			permits:  quota.NewPermitMeter(s.lastSequence), // increases with every ask, so it is at least any sequence used before
 		}
 		m.limits = limits
 		s.meters[key] = m
@@ -152,39 +155,40 @@
 	return m
 }
 
-// post adds an ask to the outbox, or answers it here when this node is the one
-// to ask. Caller holds mu.
-func (s *Service) post(asks outbox, m *meter, next ask, now time.Time) {
-	s.resolve(m, now)
-	s.sequence++
-	if !next.givesBack() {
-		next.Sequence = s.sequence
-		m.sequence, m.asking, m.askedAt = next.Sequence, true, now
-		s.asked[next.Sequence] = m
+// enqueue adds an ask to the outbox, or answers it locally if this node is the
+// recipient. The caller holds mu.
+func (s *Service) enqueue(asks outbox, m *meter, next ask, now time.Time) {
+	s.updateOwner(m, now)
+	s.lastSequence++
+	if !next.onlyReturns() {
+		next.Sequence = s.lastSequence
+		m.askSequence, m.askInFlight, m.askSentAt = next.Sequence, true, now
+		s.inFlight[next.Sequence] = m
 	}
 	target := m.target(now)
 	if target != s.bus.Self() {
 		asks[target] = append(asks[target], next)
 		return
 	}
-	if given, ok := s.answerAsk(target, next, now); ok {
-		s.receive(given, now)
+	if reply, ok := s.answerAsk(target, next, now); ok {
+		s.handleAnswer(reply, now)
 	}
 }
 
-// receive takes an answer; a late one is void. Caller holds mu.
-func (s *Service) receive(given answer, now time.Time) {
-	m := s.asked[given.Sequence]
+// handleAnswer applies an answer, unless it arrives after the ask expired. The
+// caller holds mu.
+func (s *Service) handleAnswer(reply answer, now time.Time) {
+	m := s.inFlight[reply.Sequence]
 	if m == nil {
 		return
 	}
-	delete(s.asked, given.Sequence)
-	m.receive(now, given, s.config.RenewInterval, s.parameters)
+	delete(s.inFlight, reply.Sequence)
+	m.applyAnswer(now, reply, s.config.RenewInterval, s.parameters)
 }
 
-// resolve finds a meter's owner in the current view. A new owner is told what
-// the node holds with the next tick. Caller holds mu.
-func (s *Service) resolve(m *meter, now time.Time) {
+// updateOwner sets a meter's owner and deputy by the current view. The next tick
+// reports the permits that this node holds to a new owner. The caller holds mu.
+func (s *Service) updateOwner(m *meter, now time.Time) {
 	if m.generation == s.ownership.generation {
 		return
 	}
@@ -192,65 +196,67 @@
 	owner, deputy := s.ownership.owners(m.key.ownerKey())
 	if owner != m.owner {
 		m.renewAt = now
-		m.deputyUntil, m.unreachable = time.Time{}, time.Time{}
+		m.useDeputyUntil, m.unreachableUntil = time.Time{}, time.Time{}
 	}
 	m.owner, m.deputy = owner, deputy
 }
 
-// send sends the asks and recalls; an ask that is lost is overdue after the ask
-// timeout, a recall is repeated while the limit is short.
+// send sends the given asks and the pending recalls. A lost ask expires after
+// the ask timeout. A recall is repeated while permits are short.
 func (s *Service) send(asks outbox) {
 	s.mu.Lock()
-	recalls := s.recalls
-	s.recalls = nil
+	recalls := s.pendingRecalls
+	s.pendingRecalls = nil
 	s.mu.Unlock()
-	for _, due := range recalls {
-		for _, node := range due.holders {
+	for _, pending := range recalls {
+		for _, node := range pending.holders {
 			if node == s.bus.Self() {
-				s.takeRecall(due.message)
+				s.handleRecall(pending.message)
 				continue
 			}
-			_ = s.bus.Send(node, due.message) // a lost recall is made good by the next one, recallInterval later
+			_ = s.bus.Send(node, pending.message) // best effort; the next recall follows after recallInterval
 		}
 	}
 	for node, list := range asks {
 		s.metrics.asks.Add(float64(len(list)))
-		_ = s.bus.Send(node, asksMessage{Asks: list}) // a lost ask is overdue after AskTimeout (expire)
+		_ = s.bus.Send(node, asksMessage{Asks: list}) // a lost ask expires after AskTimeout (expireAsk)
 	}
 }
 
-// expire notes an ask that is overdue. Caller holds mu.
-func (s *Service) expire(m *meter, now time.Time) {
-	if m.asking && now.Sub(m.askedAt) >= s.config.AskTimeout {
+// expireAsk marks the meter's ask as unanswered if it is overdue. The caller
+// holds mu.
+func (s *Service) expireAsk(m *meter, now time.Time) {
+	if m.askInFlight && now.Sub(m.askSentAt) >= s.config.AskTimeout {
 		s.metrics.unanswered.Inc()
 		events.LimitOwnerSilent.Log(s.logger, zap.String("owner", string(m.target(now))), zap.String("row", string(m.key.row)))
-		delete(s.asked, m.sequence)
-		m.unanswered(now)
+		delete(s.inFlight, m.askSequence)
+		m.markUnanswered(now)
 	}
 }
 
-// tick makes the routine asks of the limits in use, and forgets idle ones.
+// tick sends the routine asks of the limits in use and deletes idle meters and
+// lenders.
 func (s *Service) tick(now time.Time) {
-	s.watch.Look()
+	s.suspensions.Look()
 	s.mu.Lock()
 	asks := outbox{}
 	for key, m := range s.meters {
-		s.expire(m, now)
+		s.expireAsk(m, now)
 		m.advance(now, len(s.ownership.current.nodes), s.parameters)
 		if m.idle(now, s.config.IdleTimeout) {
 			delete(s.meters, key)
 			continue
 		}
-		s.resolve(m, now)
-		if m.asking || now.Before(m.unreachable) {
+		s.updateOwner(m, now)
+		if m.askInFlight || now.Before(m.unreachableUntil) {
 			continue
 		}
-		if next, ok := m.routineAsk(now, lookAhead, s.parameters); ok {
-			s.post(asks, m, next, now)
+		if next, ok := m.routineAsk(now, prefetchHorizon, s.parameters); ok {
+			s.enqueue(asks, m, next, now)
 		}
 	}
-	for key, held := range s.lenders {
-		if now.Sub(held.lastAsk) > s.config.IdleTimeout {
+	for key, entry := range s.lenders {
+		if now.Sub(entry.lastAskAt) > s.config.IdleTimeout {
 			delete(s.lenders, key)
 		}
 	}
@@ -258,37 +264,37 @@
 	s.send(asks)
 }
 
-func (s *Service) takeAsks(from identity.NodeID, message asksMessage) {
-	s.watch.Look()
+func (s *Service) handleAsks(from identity.NodeID, message asksMessage) {
+	s.suspensions.Look()
 	now := time.Now()
 	s.mu.Lock()
 	answers := make([]answer, 0, len(message.Asks))
-	for _, asked := range message.Asks {
-		if given, ok := s.answerAsk(from, asked, now); ok && asked.Sequence != 0 {
-			answers = append(answers, given)
+	for _, request := range message.Asks {
+		if reply, ok := s.answerAsk(from, request, now); ok && request.Sequence != 0 {
+			answers = append(answers, reply)
 		}
 	}
 	s.mu.Unlock()
 	s.send(nil)
 	if len(answers) > 0 {
-		_ = s.bus.Send(from, answersMessage{Answers: answers}) // a lost answer is asked again
+		_ = s.bus.Send(from, answersMessage{Answers: answers}) // best effort; the borrower asks again
 	}
 }
 
-func (s *Service) takeRecall(message recallMessage) {
+func (s *Service) handleRecall(message recallMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m := s.meters[meterKey{row: message.Row, tenant: message.Tenant}]; m != nil {
-		m.short = true
+		m.permitsShort = true
 	}
 }
 
-func (s *Service) takeAnswers(message answersMessage) {
-	s.watch.Look()
+func (s *Service) handleAnswers(message answersMessage) {
+	s.suspensions.Look()
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, given := range message.Answers {
-		s.receive(given, now)
+	for _, reply := range message.Answers {
+		s.handleAnswer(reply, now)
 	}
 }
--- a/internal/limits/service_test.go
+++ b/internal/limits/service_test.go
@@ -16,7 +16,7 @@
 	"ringstream.example/ringstream/internal/suspension/suspensiontest"
 )
 
-// fixedRows is a table that tests set.
+// fixedRows is a table source whose only row the tests set.
 type fixedRows struct {
 	mu    sync.Mutex
 	table *policy.Table
@@ -39,13 +39,13 @@
 	return row
 }
 
-// limitFleet is a number of nodes over one in-memory network and one table.
+// limitFleet is a fleet of nodes that share an in-memory network and a table.
 type limitFleet struct {
 	network *peertest.Network
 	rows    *fixedRows
 	nodes   []*Service
 	buses   []*peertest.Node
-	clocks  []*suspensiontest.Clock // of the nodes' machines
+	clocks  []*suspensiontest.Clock // one per node
 }
 
 func runLimitFleet(t *testing.T, count int, row policy.Row, test func(f *limitFleet, row policy.Row)) {
@@ -72,7 +72,7 @@
 	})
 }
 
-// traffic gives what each node has sent so far.
+// traffic returns what each node has sent so far.
 func (f *limitFleet) traffic() []peertest.Traffic {
 	sent := make([]peertest.Traffic, len(f.buses))
 	for i, bus := range f.buses {
@@ -81,10 +81,10 @@
 	return sent
 }
 
-// offer sends requests to a node at a rate and gives how many were admitted.
-func offer(f *limitFleet, node int, row policy.Row, tokens int, perSecond float64, lasting time.Duration) int {
+// offer sends requests to a node at a fixed rate and returns the number admitted.
+func offer(f *limitFleet, node int, row policy.Row, tokens int, perSecond float64, duration time.Duration) int {
 	admitted := 0
-	for end := time.Now().Add(lasting); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		if release, decision := f.nodes[node].Admit(row, "t", tokens); decision.Allowed {
 			admitted++
 			release(tokens)
@@ -94,12 +94,12 @@
 	return admitted
 }
 
-func TestEachLimitRefusesWithItsNameAndAComeBackTime(t *testing.T) {
+func TestEachLimitRefusesWithItsNameAndRetryAfter(t *testing.T) {
 	cases := []struct {
-		name        string
-		limits      policy.Limits
-		least, most int // at once: a burst, and at most the standing shares besides
-		want        string
+		name                     string
+		limits                   policy.Limits
+		minAdmitted, maxAdmitted int // without waiting: the burst, and at most the standing shares in addition
+		want                     string
 	}{
 		{"requests", policy.Limits{RequestsPerSecond: 5}, 5, 30, "requests_per_second"},
 		{"tokens", policy.Limits{TokensPerSecond: 500}, 5, 30, "tokens_per_second"},
@@ -114,7 +114,7 @@
 			for _, count := range []int{1, 3} {
 				t.Run(fmt.Sprint(scope, " ", c.name, " ", count), func(t *testing.T) {
 					runLimitFleet(t, count, row, func(f *limitFleet, row policy.Row) {
-						checkRefusal(t, f, row, c.least, c.most, scope+" "+c.want)
+						checkRefusal(t, f, row, c.minAdmitted, c.maxAdmitted, scope+" "+c.want)
 					})
 				})
 			}
@@ -122,22 +122,22 @@
 	}
 }
 
-func checkRefusal(t *testing.T, f *limitFleet, row policy.Row, least, most int, limit string) {
+func checkRefusal(t *testing.T, f *limitFleet, row policy.Row, minAdmitted, maxAdmitted int, limit string) {
 	var last func(int)
 	admitted := 0
 	for range 200 {
 		release, decision := f.nodes[0].Admit(row, "t", 100)
 		if !decision.Allowed {
 			if decision.Limit != limit || decision.RetryAfter <= 0 {
-				t.Fatalf("refused by %q with %s", decision.Limit, decision.RetryAfter)
+				t.Fatalf("refused by limit %q with RetryAfter %s", decision.Limit, decision.RetryAfter)
 			}
 			break
 		}
 		admitted++
 		last = release
 	}
-	if admitted < least || admitted > most {
-		t.Fatalf("%d admitted at once, want %d to %d", admitted, least, most)
+	if admitted < minAdmitted || admitted > maxAdmitted {
+		t.Fatalf("%d admitted at once, want %d to %d", admitted, minAdmitted, maxAdmitted)
 	}
 	last(100)
 	time.Sleep(2 * time.Second)
@@ -152,7 +152,7 @@
 			offer(f, 1, row, 10, 100, 5*time.Second)
 			got := offer(f, 1, row, 10, 100, 20*time.Second)
 			if got < 900 || got > 1060 {
-				t.Errorf("%d nodes: %d admitted in 20 s at 50 a second", count, got)
+				t.Errorf("%d nodes: %d admitted in 20 s under a limit of 50 per second, want 900 to 1060", count, got)
 			}
 		})
 	}
@@ -169,16 +169,16 @@
 			}
 		}
 		if running != 12 {
-			t.Errorf("%d run at a concurrency of 12", running)
+			t.Errorf("%d requests run under a concurrency limit of 12", running)
 		}
-		time.Sleep(time.Minute) // renewals keep what runs
+		time.Sleep(time.Minute) // renewals keep the permits of running requests
 		if _, decision := f.nodes[3].Admit(row, "t", 1); decision.Allowed {
-			t.Error("a thirteenth was admitted")
+			t.Error("a 13th request was admitted under a concurrency limit of 12")
 		}
 		for _, release := range releases {
 			release(1)
 		}
-		time.Sleep(5 * time.Second) // idle permits come back
+		time.Sleep(5 * time.Second) // idle permits are returned
 		again := 0
 		for range 40 {
 			if _, decision := f.nodes[4].Admit(row, "t", 1); decision.Allowed {
@@ -186,7 +186,7 @@
 			}
 		}
 		if again != 12 {
-			t.Errorf("one node got %d of 12 that the others gave back", again)
+			t.Errorf("one node got %d of the 12 permits that the others returned", again)
 		}
 	})
 }
@@ -201,14 +201,14 @@
 		}
 		offer(f, borrower, row, 1, 100, 5*time.Second)
 		f.network.Kill(owner)
-		got := offer(f, borrower, row, 1, 100, 5*time.Second) // not yet known to be dead
+		got := offer(f, borrower, row, 1, 100, 5*time.Second) // the membership does not list it as dead yet
 		if got < 125 || got > 500 {
-			t.Errorf("%d admitted in 5 s after the owner's loss, at 50 a second", got)
+			t.Errorf("%d admitted in 5 s after the loss of the owner, under a limit of 50 per second, want 125 to 500", got)
 		}
 		f.network.SetState(owner, membership.Dead)
 		got = offer(f, borrower, row, 1, 100, 10*time.Second)
 		if got < 450 || got > 600 {
-			t.Errorf("%d admitted in 10 s under the new owner", got)
+			t.Errorf("%d admitted in 10 s under the new owner, want 450 to 600", got)
 		}
 	})
 }
@@ -220,7 +220,7 @@
 		row.Limits.RequestsPerSecond = 10
 		row = f.rows.set(row)
 		if got := offer(f, 0, row, 1, 300, 5*time.Second); got > 90 {
-			t.Errorf("%d admitted in 5 s after the limit went from 200 to 10", got)
+			t.Errorf("%d admitted in 5 s after the limit was lowered from 200 to 10, want at most 90", got)
 		}
 	})
 }
@@ -239,7 +239,7 @@
 		f.nodes[0].mu.Lock()
 		defer f.nodes[0].mu.Unlock()
 		if after := f.buses[0].Traffic(); after != before || len(f.nodes[0].meters) != 0 || len(f.nodes[0].lenders) != 0 {
-			t.Errorf("idle: %d messages, %d meters, %d lenders", after.Messages-before.Messages, len(f.nodes[0].meters), len(f.nodes[0].lenders))
+			t.Errorf("idle limits caused %d messages, %d meters and %d lenders remain", after.Messages-before.Messages, len(f.nodes[0].meters), len(f.nodes[0].lenders))
 		}
 	})
 }
