--- a/internal/rows/audit.go
+++ b/internal/rows/audit.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// revisionCalls bounds the calls that Revisions makes at a time.
-	revisionCalls = 32
-	// maxAudit bounds one page of Audit.
-	maxAudit = 500
-	// compactInterval is the mean time between two compactions; compactPage
-	// the audit records that one deletes at most.
+	// maxStatusCalls bounds the concurrent calls of Revisions.
+	maxStatusCalls = 32
+	// maxAuditEntries bounds the entries of one call of Audit.
+	maxAuditEntries = 500
+	// compactInterval is the mean time between two compactions. compactPageSize
+	// is the maximum number of audit records that one compaction deletes.
 	compactInterval = time.Minute
-	compactPage     = 200
+	compactPageSize = 200
 )
 
-// Revisions asks every live node what it holds, and gives the answers by node.
+// Revisions requests the table's state from every live node and returns the
+// answers sorted by node.
 func (s *Service) Revisions(ctx context.Context) []NodeRevision {
 	members := s.bus.View().Live()
 	revisions := make([]NodeRevision, len(members))
 	var group errgroup.Group
-	group.SetLimit(revisionCalls)
+	group.SetLimit(maxStatusCalls)
 	for i, member := range members {
 		group.Go(func() error {
 			revisions[i] = NodeRevision{Node: member.ID, Zone: member.Zone}
@@ -50,26 +51,27 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // its functions give no error
+	_ = group.Wait() // the functions return no errors
 	slices.SortFunc(revisions, func(a, b NodeRevision) int { return strings.Compare(string(a.Node), string(b.Node)) })
 	return revisions
 }
 
-// Audit gives accepted edits after a revision, oldest first, up to limit. The
-// error is a *backend.Error when the store cannot be read.
+// Audit returns up to limit accepted edits after a revision, oldest first. The
+// error is a *backend.Error if the store cannot be read.
 func (s *Service) Audit(ctx context.Context, after uint64, limit int) ([]AuditEntry, error) {
-	if limit <= 0 || limit > maxAudit {
-		limit = maxAudit
+	if limit <= 0 || limit > maxAuditEntries {
+		limit = maxAuditEntries
 	}
 	return s.readLog(ctx, after, limit)
 }
 
-// compactLoop deletes old audit records and edit markers, on one node at a time.
+// compactLoop deletes old audit records and edit markers while this node is the
+// one that rendezvous hashing selects for it.
 func (s *Service) compactLoop(ctx context.Context) {
 	delay := jitter(compactInterval)
 	for wait.For(ctx, delay) {
 		delay = jitter(compactInterval)
-		owner, ok := rendezvous.Owner("rows/compaction", s.everyone())
+		owner, ok := rendezvous.Owner("rows/compaction", s.liveNodes())
 		if !ok || owner != s.bus.Self() || !s.loaded.Load() {
 			continue
 		}
@@ -78,16 +80,16 @@
 			events.RowsCompactionFailed.Log(s.logger, zap.Error(err))
 			continue
 		}
-		if deleted == compactPage {
-			delay = jitter(s.config.PollInterval) // there is more
+		if deleted == compactPageSize {
+			delay = jitter(s.config.PollInterval) // more records may be expired
 		}
 	}
 }
 
-// compact deletes one page of what is past its retention: an audit record and
-// the marker of its edit go together.
+// compact deletes one page of expired audit records, each together with the
+// marker of its edit. It returns the number of audit records deleted.
 func (s *Service) compact(ctx context.Context, now time.Time) (int, error) {
-	records, err := s.store.Table.List(ctx, logPrefix, "", compactPage)
+	records, err := s.store.Table.List(ctx, logPrefix, "", compactPageSize)
 	if err != nil {
 		return 0, err
 	}
@@ -109,7 +111,8 @@
 	if deleted == 0 {
 		return 0, nil
 	}
-	// No compare: deleting twice does nothing, so that a lost answer is harmless.
+	// The transaction needs no compares: deleting a record twice has no effect,
+	// so a lost answer is harmless.
 	_, err = s.store.Table.Commit(ctx, backend.Transaction{ID: fmt.Sprintf("rows-compact-%d", now.UnixNano()), Writes: writes})
 	return deleted, err
 }
--- a/internal/rows/config.go
+++ b/internal/rows/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config sets the pace of the table's distribution.
+// Config holds the intervals, timeouts and bounds of the table's distribution.
 type Config struct {
 	PollInterval        time.Duration `koanf:"poll_interval" usage:"how often one node per zone reads the table's head from the store"`
 	AntiEntropyInterval time.Duration `koanf:"anti_entropy_interval" usage:"how often a node compares its revision with a random other node"`
@@ -18,7 +18,7 @@
 	RecentChanges       int           `koanf:"recent_changes" usage:"how many changes a node keeps in memory for others that missed them"`
 }
 
-// DefaultConfig suits 340 nodes and 66,000 edits a day.
+// DefaultConfig returns settings for 340 nodes and 66,000 edits per day.
 func DefaultConfig() Config {
 	return Config{
 		PollInterval:        time.Second,
@@ -33,7 +33,7 @@
 	}
 }
 
-// Validate checks the values; the error names the key.
+// Validate checks the values. The error names the invalid key.
 func (c Config) Validate() error {
 	durations := []struct {
 		key     string
--- a/internal/rows/convergence_test.go
+++ b/internal/rows/convergence_test.go
@@ -17,13 +17,13 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// pauseNode stands a node still, as its process would be: nothing comes in or
-// goes out, and its clock jumps when it wakes.
-func (f *fleet) pauseNode(index int, lasting time.Duration) {
+// pauseNode pauses a node like a suspended process: it receives and sends
+// nothing, and its clock jumps when it resumes.
+func (f *fleet) pauseNode(index int, duration time.Duration) {
 	node := f.nodes[index]
 	f.network.SetPaused(node.bus.Self(), true)
-	f.settle(lasting)
-	node.lastTick.Store(time.Now().Add(-lasting).UnixNano())
+	f.settle(duration)
+	node.lastTick.Store(time.Now().Add(-duration).UnixNano())
 	f.network.SetPaused(node.bus.Self(), false)
 }
 
@@ -36,7 +36,7 @@
 		result := f.edit(0, Edit{ID: "e1", Row: exampleRow("a")})
 		f.table.set(func(table *fakeTable) { table.down = true })
 		f.settle(10 * time.Second)
-		f.network.SetFilter(dropHeld(paused)) // what was on its way is lost
+		f.network.SetFilter(dropAllButChangesReplies(paused)) // messages in flight are lost
 		paused.lastTick.Store(time.Now().Add(-10 * time.Second).UnixNano())
 		f.network.SetPaused(paused.bus.Self(), false)
 		if paused.Ready() {
@@ -50,16 +50,17 @@
 	})
 }
 
-// TestPauseWhileTheNodeCatchesUpCounts has a node pause again while the answer to what it asked
-// after a first pause is on its way. The answer may be as old as the second pause was long;
-// the node took it for the end of both, and was ready with a table that lacked edits until the
-// next question was answered.
+// TestPauseWhileTheNodeCatchesUpCounts guards against a node that is ready too
+// early when it pauses a second time while the answer to its first catch-up
+// request is in flight. That answer may be as old as the second pause was long.
+// The node took it as the end of both pauses and was ready with a table that
+// lacked edits until the next request was answered.
 func TestPauseWhileTheNodeCatchesUpCounts(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
 		node := f.nodes[1]
 		pause := func() {
 			node.lastTick.Store(time.Now().Add(-10 * time.Second).UnixNano())
-			node.noticePause(time.Now())
+			node.detectPause(time.Now())
 		}
 		var asked atomic.Int64
 		var readyAgain atomic.Bool
@@ -77,7 +78,7 @@
 		pause()
 		f.settle(time.Second)
 		if asked.Load() < 2 || readyAgain.Load() {
-			t.Errorf("asked %d times, ready before the second answer: %v", asked.Load(), readyAgain.Load())
+			t.Errorf("%d catch-up requests, ready before the second answer: %v", asked.Load(), readyAgain.Load())
 		}
 		if !node.Ready() {
 			t.Error("not ready a second after the pauses")
@@ -85,16 +86,17 @@
 	})
 }
 
-// dropHeld is a filter for TestPausedNodeIsNotReadyUntilItHasCaughtUp: only
-// calls reach the node, so that it must ask for what it missed.
-func dropHeld(paused *Service) func(from, to identity.NodeID, message any) peertest.Verdict {
+// dropAllButChangesReplies returns a filter for
+// TestPausedNodeIsNotReadyUntilItHasCaughtUp. Only replies to a changesRequest
+// reach the node, so it has to request the changes it missed.
+func dropAllButChangesReplies(paused *Service) func(from, to identity.NodeID, message any) peertest.Verdict {
 	return func(_, to identity.NodeID, message any) peertest.Verdict {
 		_, isReply := message.(changesReply)
 		return peertest.Verdict{Drop: to == paused.bus.Self() && !isReply}
 	}
 }
 
-func TestPausedNodeThatReachesNobodyServesOnByItsTable(t *testing.T) {
+func TestPausedNodeWithoutPeersOrStoreResumesWithItsTable(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
 		result := f.edit(0, Edit{ID: "e1", Row: exampleRow("a")})
 		f.settle(time.Second)
@@ -106,33 +108,33 @@
 		}
 		f.settle(time.Second)
 		if f.nodes[2].Ready() {
-			t.Error("ready while it still looks for someone to ask")
+			t.Error("ready while it still looks for a node to catch up from")
 		}
 		f.settle(10 * time.Second)
 		if !f.nodes[2].Ready() {
-			t.Error("never ready again without anyone to ask")
+			t.Error("not ready again after the catch-up limit without any node or store to catch up from")
 		}
 		f.expect(1, result.Row)
 	})
 }
 
-// storm drives a fleet with racing edits under random faults, and keeps what
-// each edit's caller was told.
-type storm struct {
+// faultScenario drives a fleet with concurrent edits under random faults and
+// records the result that each edit's caller received.
+type faultScenario struct {
 	*fleet
-	random *rand.Rand
-	mu     sync.Mutex
-	told   map[string]EditResult
-	edits  map[string]Edit
-	asking sync.WaitGroup
-	// uncertain counts the edits whose callers had to ask again.
-	uncertain int
-	dead      map[int]bool
-	seen      map[int]map[identity.RowID]uint64
-	tops      map[int]uint64
+	random      *rand.Rand
+	mu          sync.Mutex
+	results     map[string]EditResult
+	edits       map[string]Edit
+	submissions sync.WaitGroup
+	// uncertain is the number of edits whose callers had to retry.
+	uncertain      int
+	dead           map[int]bool
+	rowRevisions   map[int]map[identity.RowID]uint64
+	tableRevisions map[int]uint64
 }
 
-func (s *storm) live() int {
+func (s *faultScenario) randomLiveNode() int {
 	for {
 		if index := s.random.IntN(len(s.nodes)); !s.dead[index] {
 			return index
@@ -140,9 +142,10 @@
 	}
 }
 
-// editSomething starts one edit of one of a few rows, by what a node holds.
-func (s *storm) editSomething(number int) {
-	node := s.nodes[s.live()]
+// startRandomEdit starts one edit of one of a few rows, based on a random node's
+// copy of the table.
+func (s *faultScenario) startRandomEdit(number int) {
+	node := s.nodes[s.randomLiveNode()]
 	row := exampleRow(identity.RowID(fmt.Sprintf("row%d", s.random.IntN(4))))
 	if current, ok := node.Table().Row(row.ID); ok {
 		row = current
@@ -152,20 +155,20 @@
 	s.mu.Lock()
 	s.edits[edit.ID] = edit
 	s.mu.Unlock()
-	s.ask(node, edit)
+	s.submit(node, edit)
 }
 
-func (s *storm) ask(node *Service, edit Edit) {
-	s.asking.Go(func() {
+func (s *faultScenario) submit(node *Service, edit Edit) {
+	s.submissions.Go(func() {
 		result, _ := node.Edit(s.t.Context(), edit)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.told[edit.ID] = result
+		s.results[edit.ID] = result
 	})
 }
 
-// fault starts or ends one fault.
-func (s *storm) fault() {
+// injectFault starts or ends one random fault.
+func (s *faultScenario) injectFault() {
 	switch s.random.IntN(10) {
 	case 0:
 		var cut []identity.NodeID
@@ -188,7 +191,7 @@
 	case 8:
 		s.table.set(func(table *fakeTable) { table.loseNext, table.downAfterLoss = 1, true })
 	case 9:
-		if index := s.live(); len(s.dead) < 3 {
+		if index := s.randomLiveNode(); len(s.dead) < 3 {
 			s.dead[index] = true
 			s.kill(index)
 			s.start()
@@ -196,55 +199,57 @@
 	}
 }
 
-// watch holds every node to never going back.
-func (s *storm) watch() {
+// checkNoRegression checks that no node's table or row goes back to an earlier
+// revision.
+func (s *faultScenario) checkNoRegression() {
 	for i, node := range s.nodes {
 		table := node.Table()
-		if s.seen[i] == nil {
-			s.seen[i] = map[identity.RowID]uint64{}
+		if s.rowRevisions[i] == nil {
+			s.rowRevisions[i] = map[identity.RowID]uint64{}
 		}
-		if table.Revision() < s.tops[i] {
-			s.t.Errorf("node %d went back from revision %d to %d", i, s.tops[i], table.Revision())
+		if table.Revision() < s.tableRevisions[i] {
+			s.t.Errorf("node %d went back from revision %d to %d", i, s.tableRevisions[i], table.Revision())
 		}
-		s.tops[i] = table.Revision()
+		s.tableRevisions[i] = table.Revision()
 		for _, row := range table.Rows() {
-			if row.Revision < s.seen[i][row.ID] {
-				s.t.Errorf("node %d: row %s went back from %d to %d", i, row.ID, s.seen[i][row.ID], row.Revision)
+			if row.Revision < s.rowRevisions[i][row.ID] {
+				s.t.Errorf("node %d: row %s went back from %d to %d", i, row.ID, s.rowRevisions[i][row.ID], row.Revision)
 			}
-			s.seen[i][row.ID] = row.Revision
+			s.rowRevisions[i][row.ID] = row.Revision
 		}
 	}
 }
 
-// settleUncertain ends the faults and asks again, on any node, for every edit
-// whose caller was not told how it ended.
-func (s *storm) settleUncertain() {
-	s.asking.Wait()
+// resolveUncertain ends the faults and retries every edit with an unknown outcome
+// on a random node.
+func (s *faultScenario) resolveUncertain() {
+	s.submissions.Wait()
 	s.network.Heal()
 	s.network.SetLossRate(0)
 	s.table.set(func(table *fakeTable) { table.down, table.loseNext = false, 0 })
 	s.settle(10 * time.Second)
-	var open []Edit
-	for id, result := range s.told {
+	var unresolved []Edit
+	for id, result := range s.results {
 		if result.Status == Uncertain {
-			open = append(open, s.edits[id])
+			unresolved = append(unresolved, s.edits[id])
 		}
 	}
-	s.uncertain = len(open)
-	for _, edit := range open {
-		s.ask(s.nodes[s.live()], edit)
+	s.uncertain = len(unresolved)
+	for _, edit := range unresolved {
+		s.submit(s.nodes[s.randomLiveNode()], edit)
 	}
-	s.asking.Wait()
+	s.submissions.Wait()
 	s.settle(time.Minute)
 }
 
-// check compares what callers were told, the log, and every node's table.
-func (s *storm) check() {
+// check compares the results that callers received with the log, and every node's
+// table with the accepted edits.
+func (s *faultScenario) check() {
 	t := s.t
 	log := map[string]AuditEntry{}
 	var changes []policy.Change
 	for after := uint64(0); ; {
-		entries, err := s.nodes[s.live()].readLog(t.Context(), after, logPage)
+		entries, err := s.nodes[s.randomLiveNode()].readLog(t.Context(), after, logPageSize)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -260,13 +265,13 @@
 			after = entry.Revision
 		}
 	}
-	for id, result := range s.told {
-		entry, took := log[id]
-		if took != (result.Status == Accepted) || (took && entry.Revision != result.Revision) {
-			t.Errorf("edit %s: its caller was told %s at %d, the log says %v at %d", id, result.Status, result.Revision, took, entry.Revision)
+	for id, result := range s.results {
+		entry, applied := log[id]
+		if applied != (result.Status == Accepted) || (applied && entry.Revision != result.Revision) {
+			t.Errorf("edit %s: its caller received %s at revision %d, the log has it: %v, at revision %d", id, result.Status, result.Revision, applied, entry.Revision)
 		}
 	}
-	want := map[identity.RowID]policy.Row{} // the naive twin: all changes in order
+	want := map[identity.RowID]policy.Row{} // reference model: all changes applied in order
 	for _, change := range changes {
 		delete(want, change.Row.ID)
 		if !change.Deleted {
@@ -285,29 +290,29 @@
 	if len(changes) < 10 {
 		t.Errorf("only %d edits were accepted", len(changes))
 	}
-	t.Logf("%d edits, %d accepted, %d uncertain at first", len(s.told), len(changes), s.uncertain)
+	t.Logf("%d edits, %d accepted, %d uncertain at first", len(s.results), len(changes), s.uncertain)
 }
 
 func TestEveryNodeEndsWithTheAcceptedEditsUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runFleet(t, 9, func(f *fleet) {
-				s := &storm{
-					fleet: f, random: rand.New(rand.NewPCG(seed, 9)), told: map[string]EditResult{}, edits: map[string]Edit{},
-					dead: map[int]bool{}, seen: map[int]map[identity.RowID]uint64{}, tops: map[int]uint64{},
+				s := &faultScenario{
+					fleet: f, random: rand.New(rand.NewPCG(seed, 9)), results: map[string]EditResult{}, edits: map[string]Edit{},
+					dead: map[int]bool{}, rowRevisions: map[int]map[identity.RowID]uint64{}, tableRevisions: map[int]uint64{},
 				}
 				for step := range 600 {
 					if s.random.IntN(5) == 0 {
-						s.editSomething(step)
+						s.startRandomEdit(step)
 					}
 					if s.random.IntN(10) == 0 {
-						s.fault()
+						s.injectFault()
 					}
 					f.settle(50 * time.Millisecond)
-					s.watch()
+					s.checkNoRegression()
 				}
-				s.settleUncertain()
-				s.watch()
+				s.resolveUncertain()
+				s.checkNoRegression()
 				s.check()
 			})
 		})
@@ -324,27 +329,28 @@
 			next.Revision, next.Weight = row.Revision, i+1
 			row = f.edit(0, Edit{ID: fmt.Sprint("e", i), Row: next}).Row
 			if i == 2 {
-				f.settle(61 * time.Minute) // the first three are past their retention
+				f.settle(61 * time.Minute) // the first three expire
 			}
 		}
 		f.settle(10 * time.Minute)
-		entries, err := f.nodes[0].readLog(f.t.Context(), 0, logPage)
+		entries, err := f.nodes[0].readLog(f.t.Context(), 0, logPageSize)
 		if err != nil || len(entries) != 3 || entries[0].Revision != 4 {
-			t.Errorf("log %+v %v", entries, err)
+			t.Errorf("log after compaction: %+v, error %v", entries, err)
 		}
 		f.table.set(func(table *fakeTable) {
 			_, old := table.records[markerKey("e0")]
 			_, recent := table.records[markerKey("e5")]
 			if old || !recent {
-				t.Errorf("marker of the first edit %v, of the last %v", old, recent)
+				t.Errorf("marker of the first edit present: %v, of the last edit: %v; want only the last", old, recent)
 			}
 		})
-		// A node far behind finds the log too short and loads the whole table.
+		// The log no longer reaches back to the revision of a new node, which
+		// therefore loads the whole table.
 		late := New(f.config, store.New(f.table), f.network.Add(f.member()), nil, nil)
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Second)
 		defer cancel()
 		if err := late.fetchFromStore(ctx); err != nil || late.Table().Revision() != 6 {
-			t.Errorf("late node at %d: %v", late.Table().Revision(), err)
+			t.Errorf("new node is at revision %d, want 6; error %v", late.Table().Revision(), err)
 		}
 	})
 }
--- a/internal/rows/cost_test.go
+++ b/internal/rows/cost_test.go
@@ -18,19 +18,19 @@
 
 const (
 	costRows     = 2600
-	costEdits    = 0.76 // a second: 66,000 a day
+	costEdits    = 0.76 // per second, or 66,000 per day
 	costMeasured = time.Minute
 	targetNodes  = 340
 	targetZones  = 18
 )
 
-// costOfTable is what the table costs a node each second.
-type costOfTable struct {
-	bytes, messages, busiest, core float64
-	reads, longest                 float64 // store reads a second; the longest time in force
+// tableCost is the cost of the table per node and second.
+type tableCost struct {
+	bytes, messages, busiest, coreFraction float64
+	reads, maxInForce                      float64 // store reads per second of the fleet; the longest time, in seconds, until an edit was in force on all nodes
 }
 
-func measureTable(t *testing.T, nodes int, edits float64) (result costOfTable) {
+func measureTable(t *testing.T, nodes int, edits float64) (result tableCost) {
 	runFleet(t, 0, func(f *fleet) {
 		rows := make([]policy.Row, costRows)
 		for i := range rows {
@@ -45,13 +45,13 @@
 		before, reads, cpu := f.traffic(), f.table.readCount(), processorTime()
 		count := int(edits * costMeasured.Seconds())
 		for i := range count {
-			result.longest = max(result.longest, f.timedEdit(i, nodes).Seconds())
+			result.maxInForce = max(result.maxInForce, f.timedEdit(i, nodes).Seconds())
 			time.Sleep(time.Duration(float64(time.Second)/edits) - time.Second)
 		}
 		if count == 0 {
 			f.settle(costMeasured)
 		}
-		result.core = (processorTime() - cpu).Seconds() / costMeasured.Seconds() / float64(nodes)
+		result.coreFraction = (processorTime() - cpu).Seconds() / costMeasured.Seconds() / float64(nodes)
 		result.reads = float64(f.table.readCount()-reads) / costMeasured.Seconds()
 		for i, after := range f.traffic() {
 			sent := float64(after.Bytes-before[i].Bytes) / costMeasured.Seconds()
@@ -63,7 +63,7 @@
 	return result
 }
 
-// preload puts rows into the store as edits would have.
+// preload writes rows to the store in the way of edits.
 func (f *fleet) preload(rows []policy.Row) {
 	f.table.set(func(table *fakeTable) {
 		put := func(key string, value any) {
@@ -80,8 +80,8 @@
 	})
 }
 
-// timedEdit makes one edit on some node and gives the time until every node
-// has it, which it looks for in steps of 5 ms for a second.
+// timedEdit makes one edit and returns the time until every node has it. It
+// checks every 5 ms for a second, and returns a second if a node still lacks it.
 func (f *fleet) timedEdit(number, nodes int) time.Duration {
 	node := number * 7 % nodes
 	row, _ := f.nodes[node].Table().Row(identity.RowID(fmt.Sprintf("row-%04d", number*31%costRows)))
@@ -91,7 +91,7 @@
 	inForce := time.Duration(0)
 	for time.Since(began) < time.Second {
 		f.settle(5 * time.Millisecond)
-		if inForce == 0 && f.everywhere(result.Revision) {
+		if inForce == 0 && f.allNodesHold(result.Revision) {
 			inForce = time.Since(began)
 		}
 	}
@@ -101,7 +101,7 @@
 	return inForce
 }
 
-func (f *fleet) everywhere(revision uint64) bool {
+func (f *fleet) allNodesHold(revision uint64) bool {
 	for _, node := range f.nodes {
 		if node.Table().Revision() < revision {
 			return false
@@ -134,9 +134,9 @@
 		}
 		idle, busy := measureTable(t, nodes, 0), measureTable(t, nodes, costEdits)
 		t.Logf("%3d nodes: idle %3.0f B/s, at %.2f edits/s %4.0f B/s and %4.1f messages/s a node (busiest %4.0f B/s), %.2f%% of a core, %.1f store reads/s, in force in %.0f ms at worst",
-			nodes, idle.bytes, costEdits, busy.bytes, busy.messages, busy.busiest, 100*busy.core, busy.reads, 1000*busy.longest)
-		if busy.bytes > 3000 || busy.longest >= 1 {
-			t.Errorf("%d nodes: %.0f B/s a node, in force in %.0f ms", nodes, busy.bytes, 1000*busy.longest)
+			nodes, idle.bytes, costEdits, busy.bytes, busy.messages, busy.busiest, 100*busy.coreFraction, busy.reads, 1000*busy.maxInForce)
+		if busy.bytes > 3000 || busy.maxInForce >= 1 {
+			t.Errorf("%d nodes: %.0f B/s per node, want at most 3000; in force in %.0f ms, want less than 1000", nodes, busy.bytes, 1000*busy.maxInForce)
 		}
 	}
 }
--- a/internal/rows/distribute.go
+++ b/internal/rows/distribute.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// reorderGrace is how long a gap may come from floods that overtook each
-	// other before the missing change is asked for.
+	// reorderGrace is the wait before missing changes are fetched, since a gap
+	// may only come from floods that arrived out of order.
 	reorderGrace = 50 * time.Millisecond
-	// loadRetry is the mean pause between two tries to load the first table.
-	loadRetry = 500 * time.Millisecond
-	// peersAsked is how many other nodes are tried before the store.
-	peersAsked = 3
-	// tellings is how often a poller tells its zone of a revision.
-	tellings = 3
-	// pollDoublings bounds the growth of the poll interval while the store is down.
-	pollDoublings = 3
+	// loadRetryPause is the mean pause between two attempts to load the first table.
+	loadRetryPause = 500 * time.Millisecond
+	// maxPeersTried is the number of other nodes that are tried before the store.
+	maxPeersTried = 3
+	// maxAnnouncements is how often a poller announces a revision to its zone.
+	maxAnnouncements = 3
+	// maxPollDoublings bounds the growth of the poll interval while the store is down.
+	maxPollDoublings = 3
 )
 
 var (
-	errUnready = errors.New("the other node has no table, or is catching up itself")
-	errNoPeer  = errors.New("no other node answered")
-	errReply   = errors.New("unexpected reply")
+	errPeerNotReady    = errors.New("the other node has no table, or is catching up itself")
+	errNoPeer          = errors.New("no other node answered")
+	errUnexpectedReply = errors.New("unexpected reply")
 )
 
-// load gets the first table: from another node, which is quick and spares the
-// store, else from the store; and is ready only when one of them gave it. A
-// revision that both lack comes with the next exchange.
+// load fetches the first table from another node, which is fast and spares the
+// store, or else from the store. It retries until one of them succeeds and
+// returns false if the context ends first. A revision that the source lacks
+// arrives with a later comparison of tables.
 func (s *Service) load(ctx context.Context) bool {
 	for {
 		err := s.snapshotFromPeers(ctx)
@@ -49,11 +50,11 @@
 			s.loaded.Store(true)
 			table := s.Table()
 			events.RowsLoaded.Log(s.logger, zap.Uint64("revision", table.Revision()), zap.Int("rows", table.Len()))
-			s.ask(want{confirm: true})
+			s.requestRepair(repairRequest{confirm: true})
 			return true
 		}
 		events.RowsNotLoaded.Log(s.logger, zap.Error(err))
-		if !wait.For(ctx, jitter(loadRetry)) {
+		if !wait.For(ctx, jitter(loadRetryPause)) {
 			return false
 		}
 	}
@@ -68,56 +69,58 @@
 	return nil
 }
 
-// repairLoop fetches what this node lacks, one fetch at a time.
+// repairLoop fetches the changes that this node lacks, one fetch at a time.
 func (s *Service) repairLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.repair:
+		case <-s.repairSignal:
 		}
 		s.mu.Lock()
-		wanted := s.wanted
-		s.wanted = want{}
+		request := s.pendingRepair
+		s.pendingRepair = repairRequest{}
 		s.mu.Unlock()
-		if wanted.reload {
+		if request.reload {
 			s.reload(ctx)
 		}
-		if wanted.confirm {
+		if request.confirm {
 			s.catchUp(ctx)
 		}
-		s.fill(ctx, wanted)
+		s.fetchMissing(ctx, request)
 	}
 }
 
-// fill fetches until the wanted revision is reached or nobody can give more.
-func (s *Service) fill(ctx context.Context, wanted want) {
-	if s.Table().Revision() >= wanted.revision || !wait.For(ctx, reorderGrace) {
+// fetchMissing fetches changes until the requested revision is reached or neither
+// other nodes nor the store have more.
+func (s *Service) fetchMissing(ctx context.Context, request repairRequest) {
+	if s.Table().Revision() >= request.revision || !wait.For(ctx, reorderGrace) {
 		return
 	}
-	for s.Table().Revision() < wanted.revision {
-		if s.progress(func() error { return s.fetchFromPeer(ctx, wanted.from) }) {
+	for s.Table().Revision() < request.revision {
+		if s.madeProgress(func() error { return s.fetchFromPeer(ctx, request.from) }) {
 			continue
 		}
-		if !s.progress(func() error { return s.fetchAnywhere(ctx) }) && !s.progress(func() error { return s.fetchFromStore(ctx) }) {
-			return // the next exchange, poll or change asks again
+		if !s.madeProgress(func() error { return s.fetchAnywhere(ctx) }) && !s.madeProgress(func() error { return s.fetchFromStore(ctx) }) {
+			return // the next comparison, poll or change requests them again
 		}
 	}
 }
 
-// progress says whether a fetch brought a higher revision.
-func (s *Service) progress(fetch func() error) bool {
+// madeProgress runs a fetch and reports whether it raised the table's revision.
+func (s *Service) madeProgress(fetch func() error) bool {
 	before := s.Table().Revision()
 	return fetch() == nil && s.Table().Revision() > before
 }
 
-// catchUp asks someone for what a pause may have hidden, then is ready again;
-// when nobody answers within the limit the node goes on with what it has.
+// catchUp fetches the changes that the node may have missed during a pause, after
+// which it is ready again. If neither a node nor the store answers within
+// CatchUpLimit, the node continues with the table it has.
 func (s *Service) catchUp(ctx context.Context) {
 	deadline := time.Now().Add(s.config.CatchUpLimit)
 	var pauses uint64
 	for {
-		pauses = s.pauses.Load() // an answer across a later one may be as old as that was long
+		pauses = s.pausesDetected.Load() // an answer received after a further pause may be as old as that pause was long
 		err := s.fetchAnywhere(ctx)
 		if err == nil {
 			break
@@ -130,14 +133,14 @@
 			return
 		}
 	}
-	s.caughtUp.Store(pauses)
+	s.pausesResolved.Store(pauses)
 }
 
-// reload replaces a table that has diverged by the store's, if that is not older.
+// reload replaces a diverged table with the store's, unless the store's is older.
 func (s *Service) reload(ctx context.Context) {
 	revision, rows, err := s.readTable(ctx)
 	if err != nil {
-		return // the divergence is seen again at the next exchange
+		return // the next comparison detects the divergence again
 	}
 	fresh := policy.NewTable(revision, rows)
 	s.mu.Lock()
@@ -147,22 +150,23 @@
 	}
 }
 
-// fetchAnywhere asks a few other nodes, then the store. No error means that
-// one of them was reached and that its changes are applied.
+// fetchAnywhere fetches changes from one of a few random other nodes, or else
+// from the store. A nil error means that one of them answered and its changes
+// are applied.
 func (s *Service) fetchAnywhere(ctx context.Context) error {
-	others := s.others()
-	for range min(peersAsked, len(others)) {
-		at := rand.IntN(len(others)) //nolint:gosec // load spreading, not a secret
-		if s.fetchFromPeer(ctx, others[at].ID) == nil {
+	others := s.otherMembers()
+	for range min(maxPeersTried, len(others)) {
+		index := rand.IntN(len(others)) //nolint:gosec // load spreading, not a secret
+		if s.fetchFromPeer(ctx, others[index].ID) == nil {
 			return nil
 		}
-		others = append(others[:at:at], others[at+1:]...)
+		others = append(others[:index:index], others[index+1:]...)
 	}
 	return s.fetchFromStore(ctx)
 }
 
-// fetchFromPeer gets the changes after this node's revision from another node,
-// or its whole table when they are too old.
+// fetchFromPeer fetches the changes after this node's revision from another node,
+// or the whole table if that node no longer has all these changes.
 func (s *Service) fetchFromPeer(ctx context.Context, id identity.NodeID) error {
 	if id == "" {
 		return errNoPeer
@@ -175,9 +179,9 @@
 		reply, ok := answer.(changesReply)
 		switch {
 		case !ok:
-			return errReply
+			return errUnexpectedReply
 		case reply.Unready:
-			return errUnready
+			return errPeerNotReady
 		case reply.TooOld:
 			return s.snapshotFromPeer(ctx, id)
 		}
@@ -190,10 +194,10 @@
 }
 
 func (s *Service) snapshotFromPeers(ctx context.Context) error {
-	others := s.others()
+	others := s.otherMembers()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] }) //nolint:gosec // load spreading
 	err := errNoPeer
-	for _, member := range others[:min(peersAsked, len(others))] {
+	for _, member := range others[:min(maxPeersTried, len(others))] {
 		if err = s.snapshotFromPeer(ctx, member.ID); err == nil {
 			return nil
 		}
@@ -201,8 +205,8 @@
 	return err
 }
 
-// snapshotFromPeer gets another node's whole table page by page. The first
-// page's revision counts: later pages may be newer.
+// snapshotFromPeer fetches another node's whole table page by page. The table's
+// revision is that of the first page, since later pages may be newer.
 func (s *Service) snapshotFromPeer(ctx context.Context, id identity.NodeID) error {
 	var rows []policy.Row
 	var revision uint64
@@ -214,10 +218,10 @@
 		}
 		reply, ok := answer.(snapshotReply)
 		if !ok {
-			return errReply
+			return errUnexpectedReply
 		}
 		if reply.Unready {
-			return errUnready
+			return errPeerNotReady
 		}
 		if page == 0 {
 			revision = reply.Revision
@@ -231,12 +235,12 @@
 	}
 }
 
-// fetchFromStore reads the log after this node's revision; when the log no
-// longer goes back that far, it reads the whole table.
+// fetchFromStore reads the log after this node's revision, or the whole table if
+// the log no longer goes back that far.
 func (s *Service) fetchFromStore(ctx context.Context) error {
 	for {
 		before := s.Table().Revision()
-		entries, err := s.readLog(ctx, before, logPage)
+		entries, err := s.readLog(ctx, before, logPageSize)
 		if err != nil {
 			return err
 		}
@@ -248,7 +252,7 @@
 			changes[i] = entry.change()
 		}
 		s.apply(sourceStore, changes...)
-		if len(entries) < logPage {
+		if len(entries) < logPageSize {
 			return nil
 		}
 	}
@@ -260,9 +264,9 @@
 	return s.bus.Call(ctx, id, message)
 }
 
-// exchange compares tables with one random other node.
-func (s *Service) exchange() {
-	others := s.others()
+// sendHeadToRandomPeer starts a comparison of tables with one random other node.
+func (s *Service) sendHeadToRandomPeer() {
+	others := s.otherMembers()
 	if len(others) == 0 || !s.loaded.Load() {
 		return
 	}
@@ -270,8 +274,8 @@
 	_ = s.bus.Send(other.ID, headOf(s.Table()))
 }
 
-// others gives the live members without this node.
-func (s *Service) others() []membership.Member {
+// otherMembers returns the live members other than this node.
+func (s *Service) otherMembers() []membership.Member {
 	live := s.bus.View().Live()
 	others := make([]membership.Member, 0, len(live))
 	for _, member := range live {
@@ -282,8 +286,8 @@
 	return others
 }
 
-// everyone gives the live members, this node included.
-func (s *Service) everyone() []identity.NodeID {
+// liveNodes returns the live nodes, including this one.
+func (s *Service) liveNodes() []identity.NodeID {
 	var nodes []identity.NodeID
 	for _, member := range s.bus.View().Live() {
 		nodes = append(nodes, member.ID)
@@ -291,8 +295,8 @@
 	return nodes
 }
 
-// zone gives the live members of this node's zone, itself included.
-func (s *Service) zone() []identity.NodeID {
+// zoneNodes returns the live nodes of this node's zone, including this one.
+func (s *Service) zoneNodes() []identity.NodeID {
 	view := s.bus.View()
 	self, _ := view.Member(view.Self)
 	var nodes []identity.NodeID
@@ -304,12 +308,12 @@
 	return nodes
 }
 
-// pollLoop reads the head from the store when this node is its zone's poller,
-// and tells the zone of every revision that is new to it.
+// pollLoop reads the head from the store while this node is its zone's poller,
+// and announces new revisions to the zone.
 func (s *Service) pollLoop(ctx context.Context) {
 	failures := 0
 	for wait.For(ctx, s.pollWait(failures)) {
-		nodes := s.zone()
+		nodes := s.zoneNodes()
 		owner, ok := rendezvous.Owner("rows/poller", nodes)
 		if !ok || owner != s.bus.Self() || !s.loaded.Load() {
 			failures = 0
@@ -320,15 +324,16 @@
 		} else {
 			failures = 0
 		}
-		s.tellZone(nodes)
+		s.announceToZone(nodes)
 	}
 }
 
-// pollWait spreads the pollers' reads; it is the interval at most, and grows
-// while the store is down.
+// pollWait returns the wait before the next poll. It is the poll interval less a
+// jitter that spreads the reads of the pollers, and doubles with each failure up
+// to maxPollDoublings times.
 func (s *Service) pollWait(failures int) time.Duration {
 	wait := s.config.PollInterval - rand.N(s.config.PollInterval/4) //nolint:gosec // jitter, not a secret
-	return wait << min(failures, pollDoublings)
+	return wait << min(failures, maxPollDoublings)
 }
 
 func (s *Service) poll(ctx context.Context) error {
@@ -337,29 +342,30 @@
 		events.RowsPollFailed.Log(s.logger, zap.Error(err))
 		return err
 	}
-	s.noteHead(current)
+	s.cacheHead(current)
 	if current.revision > s.Table().Revision() {
 		return s.fetchFromStore(ctx)
 	}
 	return nil
 }
 
-// tellZone sends the revision to the zone, a few times after it has risen.
-func (s *Service) tellZone(nodes []identity.NodeID) {
+// announceToZone sends the table's head to the zone, up to maxAnnouncements times
+// for each revision.
+func (s *Service) announceToZone(nodes []identity.NodeID) {
 	message := headOf(s.Table())
 	s.mu.Lock()
-	if message.Revision > s.told.revision {
-		s.told = told{revision: message.Revision}
+	if message.Revision > s.announced.revision {
+		s.announced = announcement{revision: message.Revision}
 	}
-	s.told.times++
-	enough := s.told.times > tellings
+	s.announced.count++
+	limitReached := s.announced.count > maxAnnouncements
 	s.mu.Unlock()
-	if enough {
+	if limitReached {
 		return
 	}
 	for _, node := range nodes {
 		if node != s.bus.Self() {
-			_ = s.bus.Send(node, message) // best effort; the anti-entropy repeats it
+			_ = s.bus.Send(node, message) // best effort; the anti-entropy makes up for a lost message
 		}
 	}
 }
--- a/internal/rows/edit.go
+++ b/internal/rows/edit.go
@@ -20,19 +20,21 @@
 )
 
 const (
-	// headRaces is how often one edit is tried again because another edit was
-	// committed first; their rows differ, so that neither has lost.
-	headRaces = 20
-	// headRacePause is the mean pause between two tries.
-	headRacePause = 20 * time.Millisecond
-	// maxEditID bounds the id of an edit, in bytes.
-	maxEditID = 256
-	// retryEdit is when an operator may send an edit again.
-	retryEdit = 2 * time.Second
+	// maxCommitAttempts is the maximum number of attempts to commit one edit. An
+	// attempt fails if another edit was committed first; if that changed another
+	// row, the edit is still valid.
+	maxCommitAttempts = 20
+	// commitRetryPause is the mean pause between two attempts.
+	commitRetryPause = 20 * time.Millisecond
+	// maxEditIDBytes bounds the length of an edit's ID.
+	maxEditIDBytes = 256
+	// editRetryAfter is how long an operator should wait before retrying an edit.
+	editRetryAfter = 2 * time.Second
 )
 
-// Edit implements Editor. The edits of one node are committed one at a time;
-// those of different nodes race on the head record's version.
+// Edit implements Editor. A node commits its edits one at a time. Concurrent
+// edits of different nodes are serialized by the compare of the head record's
+// version.
 func (s *Service) Edit(ctx context.Context, edit Edit) (EditResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.EditTimeout)
 	defer cancel()
@@ -44,59 +46,60 @@
 }
 
 func (s *Service) edit(ctx context.Context, edit Edit) (EditResult, error) {
-	if edit.ID == "" || len(edit.ID) > maxEditID || strings.ContainsAny(edit.ID, "/\x00") {
-		return EditResult{Status: Invalid}, apierror.Invalid("edit id: want 1 to %d bytes without /", maxEditID)
+	if edit.ID == "" || len(edit.ID) > maxEditIDBytes || strings.ContainsAny(edit.ID, "/\x00") {
+		return EditResult{Status: Invalid}, apierror.Invalid("edit id: want 1 to %d bytes without /", maxEditIDBytes)
 	}
 	select {
-	case s.editing <- struct{}{}:
-		defer func() { <-s.editing }()
+	case s.editSlot <- struct{}{}:
+		defer func() { <-s.editSlot }()
 	case <-ctx.Done():
-		return refused(ctx.Err())
+		return refusedResult(ctx.Err())
 	}
-	if err := s.freshHead(ctx, false); err != nil {
-		return refused(err)
+	if err := s.refreshHead(ctx, false); err != nil {
+		return refusedResult(err)
 	}
-	for range headRaces {
-		result, again, err := s.tryEdit(ctx, edit)
-		if !again {
+	for range maxCommitAttempts {
+		result, retry, err := s.tryEdit(ctx, edit)
+		if !retry {
 			return result, err
 		}
-		if !wait.For(ctx, jitter(headRacePause)) {
+		if !wait.For(ctx, jitter(commitRetryPause)) {
 			break
 		}
 	}
-	return refused(fmt.Errorf("other edits were committed first %d times", headRaces))
+	return refusedResult(fmt.Errorf("other edits were committed first %d times", maxCommitAttempts))
 }
 
-// tryEdit makes one commit; again means that another edit came first, and
-// that the head it left behind is known.
-func (s *Service) tryEdit(ctx context.Context, edit Edit) (result EditResult, again bool, err error) {
+// tryEdit makes one attempt to commit an edit. retry is true if another edit was
+// committed first or the table does not match the cached head; the next attempt
+// reads the head from the store if it is not cached.
+func (s *Service) tryEdit(ctx context.Context, edit Edit) (result EditResult, retry bool, err error) {
 	current, err := s.syncToHead(ctx)
 	if err != nil {
-		result, err = refused(err)
+		result, err = refusedResult(err)
 		return result, false, err
 	}
 	table := s.Table()
 	if table.Revision() != current.revision {
-		s.forgetHead()
+		s.dropCachedHead()
 		return EditResult{}, true, nil
 	}
 	check := table.CheckEdit(edit.Row, edit.Delete)
 	if check.Stale || check.Invalid != nil {
-		return s.rejected(ctx, edit, current, check)
+		return s.rejectEdit(ctx, edit, current, check)
 	}
 	entry := auditEntry(edit, check.Current, current.revision+1)
 	outcome := s.store.Commit(ctx, editTransaction(edit, entry, current))
 	switch outcome.Status {
 	case store.Applied:
-		return s.accepted(entry, outcome), false, nil
+		return s.applyAccepted(entry, outcome), false, nil
 	case store.Conflict:
-		return s.lostRace(edit, outcome)
+		return s.resolveConflict(edit, outcome)
 	case store.NotApplied:
-		result, err = refused(outcome.Cause)
+		result, err = refusedResult(outcome.Cause)
 	default:
-		s.forgetHead()
-		result, err = uncertain(outcome.Cause)
+		s.dropCachedHead()
+		result, err = uncertainResult(outcome.Cause)
 	}
 	return result, false, err
 }
@@ -115,7 +118,8 @@
 }
 
 // editTransaction writes the head, the row, the audit record and the edit's
-// marker. The head's version stands for every row's: no row changes without it.
+// marker. Comparing the head's version is enough, since no row changes without
+// the head.
 func editTransaction(edit Edit, entry AuditEntry, current head) backend.Transaction {
 	marker := markerRecord{Revision: entry.Revision, Digest: editDigest(edit)}
 	row := backend.Write{Key: rowKey(edit.Row.ID), Delete: true}
@@ -138,12 +142,12 @@
 	}
 }
 
-// accepted applies a committed edit here and floods it.
-func (s *Service) accepted(entry AuditEntry, committed store.Result) EditResult {
+// applyAccepted applies a committed edit to this node's table and floods it.
+func (s *Service) applyAccepted(entry AuditEntry, committed store.Result) EditResult {
 	if len(committed.Versions) > 0 {
-		s.noteHead(head{known: true, revision: entry.Revision, version: committed.Versions[0]})
+		s.cacheHead(head{known: true, revision: entry.Revision, version: committed.Versions[0]})
 	} else {
-		s.forgetHead()
+		s.dropCachedHead()
 	}
 	change := entry.change()
 	s.apply(sourceOwn, change)
@@ -155,41 +159,44 @@
 	return result
 }
 
-// lostRace reads the records that stood in the way of a commit: the edit's own
-// marker means that it was accepted before, the head that another came first.
-func (s *Service) lostRace(edit Edit, committed store.Result) (EditResult, bool, error) {
-	s.forgetHead()
+// resolveConflict evaluates the records that failed a commit's compares. If the
+// edit's own marker is among them, the edit was accepted before and is answered
+// from the marker. Otherwise another edit was committed first, and the result is
+// true for a further attempt.
+func (s *Service) resolveConflict(edit Edit, committed store.Result) (EditResult, bool, error) {
+	s.dropCachedHead()
 	for _, record := range committed.Conflicts {
 		if record.Key == markerKey(edit.ID) && record.Version != 0 {
-			result, err := s.settled(edit, record)
+			result, err := s.resultFromMarker(edit, record)
 			return result, false, err
 		}
 	}
 	for _, record := range committed.Conflicts {
 		if current, err := decodeHead(record); record.Key == headKey && err == nil {
-			s.noteHead(current)
+			s.cacheHead(current)
 		}
 	}
 	return EditResult{}, true, nil
 }
 
-// rejected answers an edit that the table at the known head does not allow,
-// unless its marker shows that it was accepted: then this is the same edit sent
-// again. When the head has moved since, the edit is tried on the new one.
-func (s *Service) rejected(ctx context.Context, edit Edit, current head, check policy.EditCheck) (EditResult, bool, error) {
+// rejectEdit answers an edit that the table at the current head does not allow.
+// If the edit's marker exists, the edit is a retry and is answered from the
+// marker. If the head has changed in the meantime, retry is true and the edit is
+// attempted on the new head.
+func (s *Service) rejectEdit(ctx context.Context, edit Edit, current head, check policy.EditCheck) (EditResult, bool, error) {
 	record, err := s.store.Get(ctx, markerKey(edit.ID))
 	if err == nil && record.Version != 0 {
-		result, err := s.settled(edit, record)
+		result, err := s.resultFromMarker(edit, record)
 		return result, false, err
 	}
 	if err == nil {
-		err = s.freshHead(ctx, true)
+		err = s.refreshHead(ctx, true)
 	}
 	if err != nil {
-		result, err := uncertain(err)
+		result, err := uncertainResult(err)
 		return result, false, err
 	}
-	if s.knownHead().version != current.version {
+	if s.cachedHead().version != current.version {
 		return EditResult{}, true, nil
 	}
 	if check.Stale {
@@ -198,23 +205,25 @@
 	return EditResult{Status: Invalid, Row: check.Current}, false, apierror.Invalid("row %s: %s", edit.Row.ID, check.Invalid)
 }
 
-// settled answers from an edit's marker.
-func (s *Service) settled(edit Edit, record backend.Record) (EditResult, error) {
+// resultFromMarker returns an edit's result from its marker. A marker of another
+// edit with the same ID is an error.
+func (s *Service) resultFromMarker(edit Edit, record backend.Record) (EditResult, error) {
 	var marker markerRecord
 	if err := json.Unmarshal(record.Value, &marker); err != nil {
-		return refused(fmt.Errorf("record %s: %w", record.Key, err))
+		return refusedResult(fmt.Errorf("record %s: %w", record.Key, err))
 	}
 	if marker.Digest != editDigest(edit) {
 		return EditResult{Status: Invalid}, apierror.New(http.StatusUnprocessableEntity, apierror.CodeKeyReuse,
 			"edit id %q was used for another edit, at revision %d", edit.ID, marker.Revision)
 	}
-	s.ask(want{revision: marker.Revision})
+	s.requestRepair(repairRequest{revision: marker.Revision})
 	return EditResult{Status: Accepted, Row: marker.Row, Revision: marker.Revision}, nil
 }
 
-// freshHead makes the head known: read when it is not, or when force is set.
-func (s *Service) freshHead(ctx context.Context, force bool) error {
-	if known := s.knownHead(); known.known && known.revision >= s.Table().Revision() && !force {
+// refreshHead reads the head from the store if none is cached, the cached one is
+// older than the table, or force is set. A head older than the table is an error.
+func (s *Service) refreshHead(ctx context.Context, force bool) error {
+	if known := s.cachedHead(); known.known && known.revision >= s.Table().Revision() && !force {
 		return nil
 	}
 	record, err := s.store.Get(ctx, headKey)
@@ -229,18 +238,19 @@
 		events.RowsStoreBehind.Log(s.logger, zap.Uint64("store", current.revision), zap.Uint64("node", s.Table().Revision()))
 		return fmt.Errorf("the store's table is at revision %d, this node's at %d", current.revision, s.Table().Revision())
 	}
-	s.noteHead(current)
+	s.cacheHead(current)
 	return nil
 }
 
-// syncToHead brings the table up to the head that the commit will compare.
+// syncToHead brings the table up to the head that the commit will compare, and
+// returns that head.
 func (s *Service) syncToHead(ctx context.Context) (head, error) {
-	if !s.knownHead().known {
-		if err := s.freshHead(ctx, true); err != nil {
+	if !s.cachedHead().known {
+		if err := s.refreshHead(ctx, true); err != nil {
 			return head{}, err
 		}
 	}
-	current := s.knownHead()
+	current := s.cachedHead()
 	for s.Table().Revision() < current.revision {
 		before := s.Table().Revision()
 		if err := s.fetchFromStore(ctx); err != nil {
@@ -253,29 +263,29 @@
 	return current, nil
 }
 
-func (s *Service) knownHead() head {
+func (s *Service) cachedHead() head {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.head
 }
 
-func (s *Service) forgetHead() {
+func (s *Service) dropCachedHead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.head = head{}
 }
 
-func refused(cause error) (EditResult, error) {
+func refusedResult(cause error) (EditResult, error) {
 	err := &apierror.Error{
-		Status: http.StatusServiceUnavailable, Code: apierror.CodeStoreDown, RetryAfter: retryEdit, Run: outcome.Refused,
+		Status: http.StatusServiceUnavailable, Code: apierror.CodeStoreDown, RetryAfter: editRetryAfter, Run: outcome.Refused,
 		Message: fmt.Sprintf("this call changed nothing: %v", cause),
 	}
 	return EditResult{Status: Refused}, err
 }
 
-func uncertain(cause error) (EditResult, error) {
+func uncertainResult(cause error) (EditResult, error) {
 	err := &apierror.Error{
-		Status: http.StatusServiceUnavailable, Code: apierror.CodeStoreDown, RetryAfter: retryEdit, Run: outcome.Unknown,
+		Status: http.StatusServiceUnavailable, Code: apierror.CodeStoreDown, RetryAfter: editRetryAfter, Run: outcome.Unknown,
 		Message: fmt.Sprintf("the edit may have been made, send it again with the same id: %v", cause),
 	}
 	return EditResult{Status: Uncertain}, err
--- a/internal/rows/fake_test.go
+++ b/internal/rows/fake_test.go
@@ -11,15 +11,15 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// fakeTable is the table service in memory, with its failures on demand.
+// fakeTable is an in-memory table service with failures on demand.
 type fakeTable struct {
 	mu       sync.Mutex
 	records  map[string]backend.Record
 	version  uint64
 	delay    time.Duration
 	down     bool
-	loseNext int // answers of commits that are lost after their effect
-	// downAfterLoss takes the service down with the next lost answer.
+	loseNext int // number of next commits whose answers are lost after they took effect
+	// downAfterLoss makes the service unavailable after the next lost answer.
 	downAfterLoss bool
 	commits       int
 	reads         int
@@ -41,7 +41,8 @@
 	return f.reads
 }
 
-// enter waits out the delay, then takes the lock; false when down.
+// enter waits for the delay, then takes the lock. It returns an error, without the
+// lock, if the service is down or the context ends.
 func (f *fakeTable) enter(ctx context.Context) error {
 	if !wait.For(ctx, f.delay) {
 		return &backend.Error{Code: backend.CodeUnavailable, Effect: backend.EffectNone, Cause: ctx.Err()}
@@ -116,7 +117,7 @@
 	return result, nil
 }
 
-// record gives a record as an edit would have written it.
+// record returns a record as an edit would have written it.
 func record(key string, version uint64, value any) backend.Record {
 	return backend.Record{Key: key, Version: version, TransactionID: "preload", Value: encode(value)}
 }
--- a/internal/rows/messages.go
+++ b/internal/rows/messages.go
@@ -11,37 +11,40 @@
 	"ringstream.example/ringstream/internal/peer"
 )
 
-// changeMessage floods one accepted edit.
+// changeMessage distributes one accepted edit to all nodes.
 type changeMessage struct {
 	Change      policy.Change
 	CommittedAt time.Time
 }
 
-// headMessage compares two nodes' tables.
+// headMessage describes the sender's table, for comparison with the receiver's.
 type headMessage struct {
 	Revision uint64
-	// Digest is of the rows at Revision; zero when the sender holds later changes.
+	// Digest is the digest of the rows at Revision. It is zero if the sender
+	// also holds later changes.
 	Digest uint64
-	// Answer marks a reply, which is not answered again.
+	// Answer marks a reply to another headMessage. A reply is not answered.
 	Answer bool
 }
 
-// changesRequest asks for the changes after a revision.
+// changesRequest requests the changes after a revision.
 type changesRequest struct{ After uint64 }
 
-// changesReply gives them in order, or says that they are too old to have.
+// changesReply holds the changes in order. TooOld is set if the sender no longer
+// has all of them.
 type changesReply struct {
 	Changes  []policy.Change
-	Revision uint64 // the sender's
+	Revision uint64 // revision of the sender's table
 	TooOld   bool
-	// Unready: the sender has no table yet, or is itself catching up.
+	// Unready is set if the sender has no table yet, or is itself catching up
+	// after a pause.
 	Unready bool
 }
 
-// snapshotRequest asks for the rows after an id, in order.
+// snapshotRequest requests the rows after an ID, in order.
 type snapshotRequest struct{ After identity.RowID }
 
-// snapshotReply is one page; Done marks the last.
+// snapshotReply is one page of rows. Done marks the last page.
 type snapshotReply struct {
 	Revision uint64
 	Rows     []policy.Row
@@ -49,10 +52,10 @@
 	Unready  bool
 }
 
-// statusRequest asks what a node holds.
+// statusRequest requests the state of a node's table.
 type statusRequest struct{ Asked bool }
 
-// statusReply says it.
+// statusReply is the answer to a statusRequest.
 type statusReply struct {
 	Revision uint64
 	Rows     int
@@ -60,13 +63,13 @@
 }
 
 const (
-	// changesPage bounds the changes of one reply.
-	changesPage = 128
-	// snapshotPage bounds the rows of one reply.
-	snapshotPage = 256
+	// maxChangesPerReply bounds the changes in a changesReply.
+	maxChangesPerReply = 128
+	// maxRowsPerReply bounds the rows in a snapshotReply.
+	maxRowsPerReply = 256
 )
 
-// changeSource is where a change came from, a label of the metrics.
+// changeSource tells where a change came from. It is a metric label.
 type changeSource string
 
 const (
@@ -76,14 +79,14 @@
 	sourceStore changeSource = "store"
 )
 
-func (s *Service) handleMessages() {
+func (s *Service) registerHandlers() {
 	peer.Register(changesReply{}, snapshotReply{}, statusReply{})
 	s.bus.Handle(changeMessage{}, func(from identity.NodeID, message any) any {
-		s.takeChange(from, message.(changeMessage))
+		s.handleChange(from, message.(changeMessage))
 		return nil
 	})
 	s.bus.Handle(headMessage{}, func(from identity.NodeID, message any) any {
-		s.takeHead(from, message.(headMessage))
+		s.handleHead(from, message.(headMessage))
 		return nil
 	})
 	s.bus.Handle(changesRequest{}, func(_ identity.NodeID, message any) any {
@@ -95,15 +98,15 @@
 	s.bus.Handle(statusRequest{}, func(identity.NodeID, any) any { return s.status() })
 }
 
-func (s *Service) takeChange(from identity.NodeID, message changeMessage) {
-	s.metrics.inForce.Observe(max(0, time.Since(message.CommittedAt).Seconds()))
+func (s *Service) handleChange(from identity.NodeID, message changeMessage) {
+	s.metrics.propagationDelay.Observe(max(0, time.Since(message.CommittedAt).Seconds()))
 	s.apply(sourceFlood, message.Change)
 	if table := s.Table(); table.Revision() < message.Change.Revision() {
-		s.ask(want{revision: message.Change.Revision(), from: from})
+		s.requestRepair(repairRequest{revision: message.Change.Revision(), from: from})
 	}
 }
 
-// headOf describes a table to another node.
+// headOf returns the description of a table for another node.
 func headOf(table *policy.Table) headMessage {
 	message := headMessage{Revision: table.Revision()}
 	if table.Highest() == table.Revision() {
@@ -112,26 +115,27 @@
 	return message
 }
 
-// takeHead compares another node's table with this one's: who has less asks
-// for the rest.
-func (s *Service) takeHead(from identity.NodeID, message headMessage) {
+// handleHead compares another node's table with this node's. The node with the
+// lower revision fetches the missing changes. Tables that differ at the same
+// revision have diverged, and this node reloads its table from the store.
+func (s *Service) handleHead(from identity.NodeID, message headMessage) {
 	if !s.loaded.Load() {
 		return
 	}
-	mine := headOf(s.Table())
+	local := headOf(s.Table())
 	switch {
-	case mine.Revision < message.Revision:
-		s.ask(want{revision: message.Revision, from: from})
-	case mine.Revision > message.Revision && !message.Answer:
-		mine.Answer = true
-		_ = s.bus.Send(from, mine) // best effort; the next exchange repeats it
-	case mine.Revision == message.Revision && mine.Digest != 0 && message.Digest != 0 && mine.Digest != message.Digest:
-		events.RowsDiverged.Log(s.logger, zap.String("node", string(from)), zap.Uint64("revision", mine.Revision))
-		s.ask(want{reload: true})
+	case local.Revision < message.Revision:
+		s.requestRepair(repairRequest{revision: message.Revision, from: from})
+	case local.Revision > message.Revision && !message.Answer:
+		local.Answer = true
+		_ = s.bus.Send(from, local) // best effort; the next comparison repeats it
+	case local.Revision == message.Revision && local.Digest != 0 && message.Digest != 0 && local.Digest != message.Digest:
+		events.RowsDiverged.Log(s.logger, zap.String("node", string(from)), zap.Uint64("revision", local.Revision))
+		s.requestRepair(repairRequest{reload: true})
 	}
 }
 
-// changesAfter answers from the recent changes.
+// changesAfter answers a changesRequest from the recent changes.
 func (s *Service) changesAfter(after uint64) changesReply {
 	if !s.loaded.Load() || s.behind() {
 		return changesReply{Unready: true}
@@ -139,9 +143,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := changesReply{Revision: s.table.Load().Revision()}
-	last := min(reply.Revision, after+changesPage)
+	last := min(reply.Revision, after+maxChangesPerReply)
 	for revision := after + 1; revision <= last; revision++ {
-		change := s.recent[int(revision%uint64(len(s.recent)))]
+		change := s.recentChanges[int(revision%uint64(len(s.recentChanges)))]
 		if change.Revision() != revision {
 			return changesReply{Revision: reply.Revision, TooOld: true}
 		}
@@ -150,14 +154,14 @@
 	return reply
 }
 
-// snapshotAfter answers with one page of rows.
+// snapshotAfter answers a snapshotRequest with one page of rows.
 func (s *Service) snapshotAfter(after identity.RowID) snapshotReply {
 	if !s.loaded.Load() || s.behind() {
 		return snapshotReply{Unready: true}
 	}
 	table := s.Table()
 	reply := snapshotReply{Revision: table.Revision()}
-	reply.Rows, reply.Done = table.Page(after, snapshotPage)
+	reply.Rows, reply.Done = table.Page(after, maxRowsPerReply)
 	return reply
 }
 
--- a/internal/rows/metrics.go
+++ b/internal/rows/metrics.go
@@ -2,12 +2,12 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the service's counters.
+// metrics holds the service's counters and histograms.
 type metrics struct {
-	edits    *prometheus.CounterVec
-	changes  *prometheus.CounterVec
-	catchUps prometheus.Counter
-	inForce  prometheus.Histogram
+	edits            *prometheus.CounterVec
+	changes          *prometheus.CounterVec
+	catchUps         prometheus.Counter
+	propagationDelay prometheus.Histogram
 }
 
 func newMetrics(registerer prometheus.Registerer, s *Service) *metrics {
@@ -21,7 +21,7 @@
 		catchUps: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "ringstream_rows_catch_ups_total", Help: "Pauses of this node after which it caught up with the table.",
 		}),
-		inForce: prometheus.NewHistogram(prometheus.HistogramOpts{
+		propagationDelay: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "ringstream_rows_in_force_seconds", Help: "Time from an edit's commit to its arrival here, by the two nodes' clocks.",
 			Buckets: []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10},
 		}),
@@ -29,7 +29,7 @@
 	if registerer == nil {
 		return m
 	}
-	registerer.MustRegister(m.edits, m.changes, m.catchUps, m.inForce,
+	registerer.MustRegister(m.edits, m.changes, m.catchUps, m.propagationDelay,
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "ringstream_rows_revision", Help: "Revision up to which this node holds every change of the table.",
 		}, func() float64 { return float64(s.Table().Revision()) }),
--- a/internal/rows/records.go
+++ b/internal/rows/records.go
@@ -20,32 +20,33 @@
 	markerPrefix = "rows/edit/"
 )
 
-// logPage is how many audit records one read of the store gives.
-const logPage = 200
+// logPageSize is the maximum number of audit records per read of the store.
+const logPageSize = 200
 
 func rowKey(id identity.RowID) string { return rowPrefix + string(id) }
 func markerKey(editID string) string  { return markerPrefix + editID }
 
-// logKey sorts as its revision does.
+// logKey returns the key of an audit record. Keys sort in the order of revisions.
 func logKey(revision uint64) string { return fmt.Sprintf("%s%020d", logPrefix, revision) }
 
-// headRecord is the value of rows/head.
+// headRecord is the value stored at rows/head.
 type headRecord struct {
 	Revision uint64 `json:"revision"`
 }
 
-// head is the head record as last read, with the version to compare.
+// head is the last known head record, with its version for the compare of a
+// commit.
 type head struct {
 	known    bool
 	revision uint64
 	version  uint64
 }
 
-// markerRecord is the value of rows/edit/<id>: what the edit did.
+// markerRecord is the value stored at rows/edit/<id>, the result of the edit.
 type markerRecord struct {
 	Revision uint64     `json:"revision"`
 	Row      policy.Row `json:"row"`
-	// Digest tells another edit under the same id from the same edit.
+	// Digest distinguishes a retry of the edit from another edit with the same ID.
 	Digest uint64 `json:"digest"`
 }
 
@@ -60,7 +61,7 @@
 	return head{known: true, revision: value.Revision, version: record.Version}, nil
 }
 
-// editDigest is a hash of what an edit asks for.
+// editDigest returns a hash of an edit's content.
 func editDigest(edit Edit) uint64 {
 	return xxhash.Sum64(encode(struct {
 		Row    policy.Row
@@ -68,7 +69,8 @@
 	}{edit.Row, edit.Delete}))
 }
 
-// encode gives a value's JSON; the types here always have one.
+// encode returns a value's JSON. It panics on a value that has none, which the
+// types of this package always have.
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return encoded
 }
 
-// readHead reads the head once, without retries.
+// readHead reads the head record once, without retries.
 func (s *Service) readHead(ctx context.Context) (head, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -88,7 +90,7 @@
 	return decodeHead(record)
 }
 
-// readLog reads up to a page of audit records after a revision.
+// readLog reads up to limit audit records after a revision.
 func (s *Service) readLog(ctx context.Context, after uint64, limit int) ([]AuditEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -105,8 +107,8 @@
 	return entries, nil
 }
 
-// readTable reads the whole table: the head first, then the rows, which may
-// be newer than it; policy.Table.Merge allows for that.
+// readTable reads the whole table: the head first, then the rows. The rows may
+// be newer than the head, which policy.Table.Merge allows for.
 func (s *Service) readTable(ctx context.Context) (uint64, []policy.Row, error) {
 	current, err := s.readHead(ctx)
 	if err != nil {
@@ -122,6 +124,6 @@
 			return 0, nil, fmt.Errorf("record %s: %w", record.Key, err)
 		}
 	}
-	s.noteHead(current)
+	s.cacheHead(current)
 	return current.revision, rows, nil
 }
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -1,10 +1,13 @@
-// Package rows keeps the class table: durable records in the platform's table
-// service, a copy on every node, and the distribution of changes between them.
+// Package rows maintains the class table: durable records in the platform's
+// table service, a copy on every node, and the distribution of changes between
+// them.
 //
-// What is durable: docs/decisions/0020-class-table-records.md. How a change
-// reaches every node: docs/decisions/0021-class-table-distribution.md.
+// The durable records are described in
+// docs/decisions/0020-class-table-records.md, the distribution of changes in
+// docs/decisions/0021-class-table-distribution.md.
 //
-// Locks: Service.mu alone; no call to a peer or the store is made under it.
+// Service.mu is the only lock. No call to a peer or the store is made while it
+// is held.
 package rows
 
 import (
@@ -17,39 +20,41 @@
 
 // Edit is an operator's change of one row.
 type Edit struct {
-	// ID makes the edit safe to ask again, on any node; the caller or the
-	// admin API makes it.
+	// ID makes it safe to retry the edit on any node. The caller or the admin
+	// API generates it.
 	ID string
-	// By names the operator, for the audit record.
-	By  string
-	Row policy.Row // for Delete only ID and Revision count
-	// Row.Revision must equal the stored row's (0: the row must not exist).
+	// By names the operator for the audit record.
+	By string
+	// Row is the new row. Its Revision must equal that of the stored row, or be 0
+	// if the row must not exist yet. With Delete, only ID and Revision are used.
+	Row policy.Row
+	// Delete removes the row.
 	Delete bool
 }
 
 // EditResult is the outcome of an Edit.
 type EditResult struct {
 	Status EditStatus
-	// Row is the stored row: the new one when Accepted, the current one on
-	// Conflict (zero: there is none).
+	// Row is the stored row: the new one if Accepted, the current one on
+	// Conflict. It is zero if there is none.
 	Row policy.Row
 	// Revision is the table's revision at which an accepted edit took effect.
 	Revision uint64
 }
 
-// EditStatus is how an edit ended.
+// EditStatus is the outcome of an edit.
 type EditStatus uint8
 
-// The ends of an edit.
+// The outcomes of an edit.
 const (
 	Accepted  EditStatus = iota + 1
-	Conflict             // lost a race, or the revision was old: nothing changed
-	Invalid              // the row does not validate: nothing changed
-	Refused              // the store cannot be reached: nothing changed
-	Uncertain            // the store's answer was lost and could not be settled: ask again with the same ID
+	Conflict             // another edit was committed first, or the row's revision is stale; nothing changed
+	Invalid              // the edit or its row is invalid; nothing changed
+	Refused              // the edit could not be committed, usually because the store is unreachable; nothing changed
+	Uncertain            // the store's answer was lost and the outcome is unknown; retry with the same ID
 )
 
-// String gives the stable label used in answers and metrics.
+// String returns the stable label used in answers and metrics.
 func (s EditStatus) String() string {
 	switch s {
 	case Accepted:
@@ -65,42 +70,43 @@
 	}
 }
 
-// Source gives a node's current copy of the table.
+// Source provides a node's current copy of the table.
 type Source interface {
-	// Table is the current copy; it never blocks and never goes back.
+	// Table returns the current copy. It never blocks, and the revision never
+	// decreases.
 	Table() *policy.Table
 }
 
 // Editor accepts edits.
 type Editor interface {
-	// Edit commits one edit. The error is nil when Accepted or Conflict, and
-	// an *apierror.Error when Invalid, Refused or Uncertain.
+	// Edit commits one edit. The error is nil if the status is Accepted or
+	// Conflict, and an *apierror.Error if it is Invalid, Refused or Uncertain.
 	Edit(ctx context.Context, edit Edit) (EditResult, error)
 }
 
-// NodeRevision is what one node holds of the table.
+// NodeRevision describes one node's copy of the table.
 type NodeRevision struct {
 	Node identity.NodeID `json:"node"`
 	Zone string          `json:"zone"`
-	// Known is false when the node did not answer in time.
+	// Known is false if the node did not answer in time.
 	Known    bool   `json:"known"`
 	Revision uint64 `json:"revision"`
 	Rows     int    `json:"rows"`
 	Ready    bool   `json:"ready"`
 }
 
-// AuditEntry records one accepted edit: who changed what, and when.
+// AuditEntry records who made an accepted edit, when, and what it changed.
 type AuditEntry struct {
 	Revision uint64    `json:"revision"`
 	EditID   string    `json:"edit_id"`
 	By       string    `json:"by"`
 	At       time.Time `json:"at"`
-	// Before is nil for a new row, After for a deleted one.
+	// Before is nil for a new row, After is nil for a deleted one.
 	Before *policy.Row `json:"before,omitempty"`
 	After  *policy.Row `json:"after,omitempty"`
 }
 
-// change gives what the entry did to the table.
+// change returns the entry's change of the table.
 func (e AuditEntry) change() policy.Change {
 	if e.After != nil {
 		return policy.Change{Row: *e.After}
--- a/internal/rows/service.go
+++ b/internal/rows/service.go
@@ -17,11 +17,12 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// tickInterval is the pace at which a node looks at its own clock.
+// tickInterval is the interval at which a node checks its clock for pauses.
 const tickInterval = 250 * time.Millisecond
 
-// Service is one node's copy of the table and its part in the distribution.
-// Two pollers of a zone, or two compactors, cost reads and nothing else.
+// Service maintains one node's copy of the table and takes part in its
+// distribution. If two nodes act as the poller of a zone or as the compactor at
+// the same time, the only cost is additional reads.
 type Service struct {
 	config  Config
 	store   *store.Client
@@ -31,34 +32,35 @@
 
 	table atomic.Pointer[policy.Table]
 	// lastTick is the time of the last tick, in nanoseconds of the wall clock.
-	lastTick atomic.Int64
-	loaded   atomic.Bool
-	pauses   atomic.Uint64 // that were noticed
-	caughtUp atomic.Uint64 // of them, those that the node has caught up after
-	// editing is held by the edit that this node is committing.
-	editing chan struct{}
-	// repair holds one token when the repair loop has something to do.
-	repair chan struct{}
-
-	mu     sync.Mutex
-	recent []policy.Change // a ring by revision
-	wanted want
-	head   head
-	told   told
-}
-
-// told is the highest revision that this node has told its zone, and how often.
-type told struct {
+	lastTick       atomic.Int64
+	loaded         atomic.Bool
+	pausesDetected atomic.Uint64 // number of pauses detected
+	pausesResolved atomic.Uint64 // number of those after which the node has caught up
+	// editSlot is occupied while this node commits an edit.
+	editSlot chan struct{}
+	// repairSignal holds one token while the repair loop has pending work.
+	repairSignal chan struct{}
+
+	mu            sync.Mutex
+	recentChanges []policy.Change // ring buffer indexed by revision
+	pendingRepair repairRequest
+	head          head
+	announced     announcement
+}
+
+// announcement is the highest revision that this node has announced to its zone,
+// and how often.
+type announcement struct {
 	revision uint64
-	times    int
+	count    int
 }
 
-// want is what the repair loop is asked for.
-type want struct {
-	revision uint64          // a revision that someone has
-	from     identity.NodeID // who has it; empty: the store
-	confirm  bool            // ask someone, even with no revision missing
-	reload   bool            // replace the table by the store's
+// repairRequest is work for the repair loop.
+type repairRequest struct {
+	revision uint64          // a revision that exists elsewhere
+	from     identity.NodeID // the node that has it; empty for the store
+	confirm  bool            // ask another node or the store even if no revision is known to be missing
+	reload   bool            // replace the table with the store's
 }
 
 var (
@@ -66,38 +68,38 @@
 	_ Editor = (*Service)(nil)
 )
 
-// New makes a service. It registers its messages with the bus; Run starts it.
+// New returns a service whose messages are registered with the bus. Run starts it.
 func New(config Config, client *store.Client, bus peer.Bus, logger *zap.Logger, registerer prometheus.Registerer) *Service {
 	if logger == nil {
 		logger = zap.NewNop()
 	}
 	s := &Service{
-		config:  config,
-		store:   client,
-		bus:     bus,
-		logger:  logger,
-		editing: make(chan struct{}, 1),
-		repair:  make(chan struct{}, 1),
-		recent:  make([]policy.Change, config.RecentChanges),
+		config:        config,
+		store:         client,
+		bus:           bus,
+		logger:        logger,
+		editSlot:      make(chan struct{}, 1),
+		repairSignal:  make(chan struct{}, 1),
+		recentChanges: make([]policy.Change, config.RecentChanges),
 	}
 	s.table.Store(policy.NewTable(0, nil))
 	s.metrics = newMetrics(registerer, s)
-	s.handleMessages()
+	s.registerHandlers()
 	return s
 }
 
 // Table implements Source.
 func (s *Service) Table() *policy.Table { return s.table.Load() }
 
-// Ready says whether the table may be served by: it was loaded, and the node
-// has caught up since its last pause. It is false from the first instant after
-// a pause, before any goroutine of the service has run.
+// Ready reports whether requests may be served by the table: it has been loaded,
+// and the node has caught up since its last pause. Ready returns false
+// immediately after a pause, even before any goroutine of the service has run.
 func (s *Service) Ready() bool {
 	return s.loaded.Load() && !s.behind() && s.sinceTick(time.Now()) < s.config.PauseThreshold
 }
 
-// behind says that the node has paused, and not yet caught up.
-func (s *Service) behind() bool { return s.caughtUp.Load() < s.pauses.Load() }
+// behind reports whether the node has paused and not yet caught up.
+func (s *Service) behind() bool { return s.pausesResolved.Load() < s.pausesDetected.Load() }
 
 // Run loads the table, then keeps it up to date until the context ends.
 func (s *Service) Run(ctx context.Context) error {
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// tickLoop watches the clock for pauses and paces the anti-entropy.
+// tickLoop detects pauses by the clock and schedules the anti-entropy.
 func (s *Service) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -126,27 +128,27 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-			// Someone may have come back after a cut: compare soon.
+			// A node may have rejoined after a partition: compare tables soon.
 			nextExchange = earlier(nextExchange, time.Now().Add(jitter(tickInterval)))
 		case <-ticker.C:
-			s.noticePause(time.Now())
+			s.detectPause(time.Now())
 		}
 		if now := time.Now(); !now.Before(nextExchange) {
 			nextExchange = now.Add(jitter(s.config.AntiEntropyInterval))
-			s.exchange()
+			s.sendHeadToRandomPeer()
 		}
 	}
 }
 
-// noticePause compares the clock with the last tick. After a gap the node is
-// not ready until it has asked someone what it missed.
-func (s *Service) noticePause(now time.Time) {
+// detectPause compares the clock with the last tick. After a gap of at least
+// PauseThreshold, the node is not ready until it has caught up.
+func (s *Service) detectPause(now time.Time) {
 	gap := s.sinceTick(now)
 	if gap >= s.config.PauseThreshold && s.loaded.Load() {
-		s.pauses.Add(1)
+		s.pausesDetected.Add(1)
 		s.metrics.catchUps.Inc()
 		events.RowsPauseNoticed.Log(s.logger, zap.Duration("gap", gap), zap.Uint64("revision", s.Table().Revision()))
-		s.ask(want{confirm: true})
+		s.requestRepair(repairRequest{confirm: true})
 	}
 	s.lastTick.Store(wallClock(now))
 }
@@ -155,11 +157,11 @@
 	return time.Duration(wallClock(now) - s.lastTick.Load())
 }
 
-// wallClock gives the time without its monotonic reading, which on some
-// machines stands still while the machine is suspended.
+// wallClock returns the wall clock time in nanoseconds. The monotonic clock
+// stands still on some machines while they are suspended.
 func wallClock(now time.Time) int64 { return now.UnixNano() }
 
-// apply takes changes into the table; it gives the revision reached.
+// apply applies changes to the table and returns the revision reached.
 func (s *Service) apply(source changeSource, changes ...policy.Change) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,47 +169,48 @@
 	for _, change := range changes {
 		next := table.Apply(change)
 		if next != table {
-			s.recent[int(change.Revision()%uint64(len(s.recent)))] = change
+			s.recentChanges[int(change.Revision()%uint64(len(s.recentChanges)))] = change
 			s.metrics.changes.WithLabelValues(string(source)).Inc()
 		}
 		table = next
 	}
 	s.table.Store(table)
 	if table.Highest() > table.Revision() {
-		s.askLocked(want{revision: table.Highest()})
+		s.requestRepairLocked(repairRequest{revision: table.Highest()})
 	}
 	return table.Revision()
 }
 
-// merge takes a whole table of a revision.
+// merge merges a whole table of a revision into this node's table.
 func (s *Service) merge(revision uint64, rows []policy.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Store(s.table.Load().Merge(revision, rows))
 }
 
-// ask adds to what the repair loop does.
-func (s *Service) ask(wanted want) {
+// requestRepair adds a request to the pending work of the repair loop.
+func (s *Service) requestRepair(request repairRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.askLocked(wanted)
+	s.requestRepairLocked(request)
 }
 
-func (s *Service) askLocked(wanted want) {
-	if wanted.revision > s.wanted.revision || (wanted.revision == s.wanted.revision && s.wanted.from == "") {
-		s.wanted.revision = wanted.revision
-		s.wanted.from = wanted.from
+// requestRepairLocked is requestRepair for callers that hold mu.
+func (s *Service) requestRepairLocked(request repairRequest) {
+	if request.revision > s.pendingRepair.revision || (request.revision == s.pendingRepair.revision && s.pendingRepair.from == "") {
+		s.pendingRepair.revision = request.revision
+		s.pendingRepair.from = request.from
 	}
-	s.wanted.confirm = s.wanted.confirm || wanted.confirm
-	s.wanted.reload = s.wanted.reload || wanted.reload
+	s.pendingRepair.confirm = s.pendingRepair.confirm || request.confirm
+	s.pendingRepair.reload = s.pendingRepair.reload || request.reload
 	select {
-	case s.repair <- struct{}{}:
+	case s.repairSignal <- struct{}{}:
 	default:
 	}
 }
 
-// noteHead remembers the newest head read from the store.
-func (s *Service) noteHead(current head) {
+// cacheHead keeps the head unless a newer one is known.
+func (s *Service) cacheHead(current head) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.head.known || current.revision >= s.head.revision {
@@ -215,7 +218,7 @@
 	}
 }
 
-// jitter gives a random time from a half to one and a half of the interval.
+// jitter returns a random duration from 0.5 to 1.5 times the interval.
 func jitter(interval time.Duration) time.Duration {
 	return interval/2 + rand.N(interval+1) //nolint:gosec // jitter, not a secret
 }
--- a/internal/rows/service_test.go
+++ b/internal/rows/service_test.go
@@ -19,7 +19,7 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// fleet is a number of nodes over one in-memory network and one fake store.
+// fleet is a number of nodes that share an in-memory network and a fake store.
 type fleet struct {
 	t       *testing.T
 	config  Config
@@ -62,13 +62,13 @@
 	return service
 }
 
-// member describes the next node.
+// member returns the member entry of the next node.
 func (f *fleet) member() membership.Member {
 	id := identity.NodeID(fmt.Sprintf("n%02d", len(f.nodes)))
 	return membership.Member{ID: id, Zone: fmt.Sprintf("z%d", len(f.nodes)%f.zones)}
 }
 
-// kill stops a node as a machine's loss would: nothing more leaves it.
+// kill stops a node like the loss of its machine: it sends nothing more.
 func (f *fleet) kill(index int) {
 	f.network.Kill(f.nodes[index].bus.Self())
 	f.stops[index]()
@@ -79,17 +79,18 @@
 	synctest.Wait()
 }
 
-// edit commits an edit on a node that must accept it.
+// edit commits an edit on a node and fails the test unless it is accepted.
 func (f *fleet) edit(node int, edit Edit) EditResult {
 	f.t.Helper()
 	result, err := f.nodes[node].Edit(f.t.Context(), edit)
 	if err != nil || result.Status != Accepted {
-		f.t.Fatalf("edit %s: %v %v", edit.ID, result.Status, err)
+		f.t.Fatalf("edit %s: status %v, error %v", edit.ID, result.Status, err)
 	}
 	return result
 }
 
-// expect holds every node but those left out to a revision and a row.
+// expect checks that every node, except those left out, has the given revision and
+// row.
 func (f *fleet) expect(revision uint64, row policy.Row, leftOut ...int) {
 	f.t.Helper()
 	skip := map[int]bool{}
@@ -126,11 +127,11 @@
 		f.expect(3, policy.Row{})
 		entries, err := f.nodes[2].Audit(f.t.Context(), 0, 10)
 		if err != nil || len(entries) != 3 || entries[1].By != "ben" || entries[1].Before.Weight != 1 || entries[1].After.Weight != 7 || entries[2].After != nil {
-			t.Errorf("audit %+v %v", entries, err)
+			t.Errorf("audit entries %+v, error %v", entries, err)
 		}
 		for _, held := range f.nodes[1].Revisions(f.t.Context()) {
 			if !held.Known || held.Revision != 3 || !held.Ready {
-				t.Errorf("revision of %+v", held)
+				t.Errorf("unexpected node revision %+v", held)
 			}
 		}
 	})
@@ -160,18 +161,18 @@
 		}
 		for i, result := range results {
 			if result.Status == Conflict && result.Row != winner {
-				t.Errorf("loser %d was given %+v, current is %+v", i, result.Row, winner)
+				t.Errorf("conflict result %d has row %+v, want the accepted row %+v", i, result.Row, winner)
 			}
 		}
 		if winners != 1 {
-			t.Errorf("%d winners", winners)
+			t.Errorf("%d of the concurrent edits were accepted, want 1", winners)
 		}
 		f.settle(time.Second)
 		f.expect(2, winner)
 	})
 }
 
-func TestRacingEditsOfUnlikeRowsAllWin(t *testing.T) {
+func TestRacingEditsOfDifferentRowsAreAllAccepted(t *testing.T) {
 	runFleet(t, 6, func(f *fleet) {
 		var group sync.WaitGroup
 		for i := range f.nodes {
@@ -181,7 +182,7 @@
 		f.settle(time.Second)
 		for i, node := range f.nodes {
 			if node.Table().Revision() != 6 || node.Table().Len() != 6 {
-				t.Errorf("node %d: revision %d, %d rows", i, node.Table().Revision(), node.Table().Len())
+				t.Errorf("node %d: revision %d with %d rows, want revision 6 with 6 rows", i, node.Table().Revision(), node.Table().Len())
 			}
 		}
 	})
@@ -193,14 +194,14 @@
 		first := f.edit(0, Edit{ID: "e1", Row: exampleRow("a")})
 		again := f.edit(2, Edit{ID: "e1", Row: exampleRow("a")})
 		if again != first {
-			t.Errorf("sent again: %+v, first %+v", again, first)
+			t.Errorf("result of the retry %+v, want that of the first attempt %+v", again, first)
 		}
 		other := exampleRow("a")
 		other.Weight = 9
 		result, err := f.nodes[1].Edit(f.t.Context(), Edit{ID: "e1", Row: other})
 		var failure *apierror.Error
 		if result.Status != Invalid || !errors.As(err, &failure) || failure.Code != apierror.CodeKeyReuse {
-			t.Errorf("another edit under the same id: %v %v", result.Status, err)
+			t.Errorf("another edit with the same ID: status %v, error %v", result.Status, err)
 		}
 		f.settle(time.Second)
 		f.expect(1, first.Row)
@@ -215,7 +216,7 @@
 		f.edit(1, Edit{ID: "e2", Row: first.Row, Delete: true})
 		f.settle(time.Second)
 		if again := f.edit(2, create); again != first {
-			t.Errorf("sent again: %+v, first %+v", again, first)
+			t.Errorf("result of the retry %+v, want that of the first attempt %+v", again, first)
 		}
 		f.settle(time.Second)
 		f.expect(2, policy.Row{})
@@ -226,8 +227,8 @@
 	runFleet(t, 3, func(f *fleet) {
 		f.table.set(func(table *fakeTable) { table.loseNext = 1000 })
 		result, _ := f.nodes[0].Edit(f.t.Context(), Edit{ID: "warm", Row: exampleRow("warm")})
-		if result.Status != Accepted { // the conflict on its own marker settles it
-			t.Fatalf("settled by the conflict: %v", result.Status)
+		if result.Status != Accepted { // the conflict with its own marker resolves it
+			t.Fatalf("status %v, want accepted, resolved by the conflict with the edit's own marker", result.Status)
 		}
 		f.table.set(func(table *fakeTable) { table.loseNext = 1 })
 		ctx, cancel := context.WithTimeout(f.t.Context(), 15*time.Millisecond)
@@ -251,13 +252,13 @@
 		f.expect(1, first.Row)
 		result, err := f.nodes[3].Edit(f.t.Context(), Edit{ID: "e2", Row: exampleRow("b")})
 		if result.Status != Refused || err == nil {
-			t.Fatalf("edit in an outage: %v %v", result.Status, err)
+			t.Fatalf("edit during an outage: status %v, error %v", result.Status, err)
 		}
 		started := f.start()
 		f.settle(time.Second)
 		f.expect(1, first.Row)
 		if !started.Ready() {
-			t.Error("a node started in an outage did not load from its peers")
+			t.Error("a node started during an outage is not ready, want it to load the table from its peers")
 		}
 	})
 }
@@ -280,7 +281,7 @@
 
 func TestAcceptingNodeDiesBeforeItTellsAnyone(t *testing.T) {
 	runFleet(t, 9, func(f *fleet) {
-		f.network.Partition(nil, []identity.NodeID{"n00"}) // it reaches the store, and nobody else
+		f.network.Partition(nil, []identity.NodeID{"n00"}) // it reaches the store, but no other node
 		result := f.edit(0, Edit{ID: "e1", Row: exampleRow("a")})
 		f.kill(0)
 		f.settle(3 * time.Second)
@@ -312,7 +313,8 @@
 			next.Revision, next.Weight = row.Revision, i+1
 			row = f.edit(i%12, Edit{ID: fmt.Sprint("e", i), Row: next}).Row
 		}
-		// The exchanges of a minute miss a node with a chance below 1e-15.
+		// The probability that all table comparisons of a minute miss a node is
+		// below 1e-15.
 		f.settle(time.Minute)
 		f.expect(20, row)
 	})
--- a/internal/rows/zoneloss_test.go
+++ b/internal/rows/zoneloss_test.go
@@ -10,8 +10,9 @@
 	"ringstream.example/ringstream/internal/core/membership"
 )
 
-// TestEditsAreInForceInTimeThroughTheLossOfAZone loses a zone amid edits, one
-// of which was accepted by a node of that zone which then told no one.
+// TestEditsAreInForceInTimeThroughTheLossOfAZone loses a zone during a series of
+// edits. One of them is accepted by a node of that zone after the zone has been
+// cut off from the other nodes.
 func TestEditsAreInForceInTimeThroughTheLossOfAZone(t *testing.T) {
 	const (
 		nodes        = 18
@@ -36,7 +37,7 @@
 			lostIDs = append(lostIDs, f.nodes[i].bus.Self())
 		}
 		accepted := map[uint64]time.Time{}
-		var took []time.Duration
+		var delays []time.Duration
 		for number := range edits {
 			node := number % nodes
 			switch {
@@ -60,37 +61,38 @@
 			}
 			for range editInterval / (10 * time.Millisecond) {
 				f.settle(10 * time.Millisecond)
-				took = append(took, f.nowInForce(accepted, lost, number >= lossAt)...)
+				delays = append(delays, f.takeInForce(accepted, lost, number >= lossAt)...)
 			}
 		}
 		f.settle(worstGoal)
-		took = append(took, f.nowInForce(accepted, lost, true)...)
-		if len(took) != edits {
-			t.Fatalf("%d of %d edits are in force everywhere", len(took), edits)
+		delays = append(delays, f.takeInForce(accepted, lost, true)...)
+		if len(delays) != edits {
+			t.Fatalf("%d of %d edits are in force everywhere", len(delays), edits)
 		}
-		slices.Sort(took)
-		p99, worst := took[len(took)*99/100], took[len(took)-1]
-		t.Logf("in force: median %s, p99 %s, worst %s", took[len(took)/2], p99, worst)
+		slices.Sort(delays)
+		p99, worst := delays[len(delays)*99/100], delays[len(delays)-1]
+		t.Logf("in force: median %s, p99 %s, worst %s", delays[len(delays)/2], p99, worst)
 		if p99 > p99Goal || worst > worstGoal {
-			t.Errorf("in force: p99 %s, worst %s", p99, worst)
+			t.Errorf("edits in force too late: p99 %s, worst %s", p99, worst)
 		}
 	})
 }
 
-// nowInForce takes out the edits that every node holds, and gives their times.
-func (f *fleet) nowInForce(accepted map[uint64]time.Time, lost []int, without bool) []time.Duration {
-	least := uint64(1 << 62)
+// takeInForce removes the edits that every node holds from accepted, and returns
+// the time that each took. With excludeLost, the lost nodes are not considered.
+func (f *fleet) takeInForce(accepted map[uint64]time.Time, lost []int, excludeLost bool) []time.Duration {
+	minRevision := uint64(1 << 62)
 	for i, node := range f.nodes {
-		if !without || !slices.Contains(lost, i) {
-			least = min(least, node.Table().Revision())
+		if !excludeLost || !slices.Contains(lost, i) {
+			minRevision = min(minRevision, node.Table().Revision())
 		}
 	}
-	var took []time.Duration
+	var delays []time.Duration
 	for revision, at := range accepted {
-		if revision <= least {
-			took = append(took, time.Since(at))
+		if revision <= minRevision {
+			delays = append(delays, time.Since(at))
 			delete(accepted, revision)
 		}
 	}
-	return took
+	return delays
 }
