--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -108,7 +108,7 @@
 func (c Config) runner() runner.Config {
 	return runner.Config{
 		CommitInterval: c.CommitInterval, CommitItems: c.CommitItems, HeldResultBytes: c.HeldResultBytes,
-		InputCacheBytes: c.InputCacheBytes, MaxRunning: c.MaxRunning, Poll: c.PollInterval,
+		InputCacheBytes: c.InputCacheBytes, MaxRunning: c.MaxRunning, PollInterval: c.PollInterval,
 		IntentTimeout: c.IntentTimeout, ResumeAttempts: c.ResumeAttempts, RepeatAttempts: c.RepeatAttempts,
 		StopGrace: c.StopGrace, Retention: c.Retention,
 	}
--- a/internal/jobs/runner/acquire.go
+++ b/internal/jobs/runner/acquire.go
@@ -12,13 +12,13 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// groupCheck is how often the rows are looked at for new pools, and for
-// deadlines at risk.
-const groupCheck = time.Second
+// groupCheckInterval is the interval at which the runner checks the rows for new
+// pools and the jobs for deadlines at risk.
+const groupCheckInterval = time.Second
 
-// groupLoop keeps one goroutine for each pool and model that has work.
+// groupLoop starts one goroutine for each pool and model that has work.
 func (r *Runner) groupLoop(ctx context.Context) {
-	ticker := time.NewTicker(groupCheck)
+	ticker := time.NewTicker(groupCheckInterval)
 	defer ticker.Stop()
 	for {
 		r.mu.Lock()
@@ -31,61 +31,62 @@
 		case <-changed:
 		case <-ticker.C:
 			r.mu.Lock()
-			r.observe(time.Now())
+			r.updateForecasts(time.Now())
 			r.mu.Unlock()
 		}
 	}
 }
 
-// startGroups begins to acquire capacity for groups that are new. r.mu is held.
+// startGroups starts acquiring capacity for new groups. r.mu is held.
 func (r *Runner) startGroups() {
 	for _, j := range r.jobs {
 		row, found := r.row(&j.header)
 		if !found {
-			if !j.noRow {
-				j.noRow = true
+			if !j.missingRowLogged {
+				j.missingRowLogged = true
 				events.JobNoRow.Log(r.logger, zap.String("job", string(j.header.ID)),
 					zap.String("tenant", string(j.header.Tenant)), zap.String("model", j.header.Model))
 			}
 			continue
 		}
-		key := group{pool: row.Pool, model: j.header.Model}
+		key := capacityGroup{pool: row.Pool, model: j.header.Model}
 		if r.groups[key] == nil {
-			r.groups[key] = &progress{}
+			r.groups[key] = &throughput{}
 			r.start(func(ctx context.Context) { r.acquireLoop(ctx, key) })
 		}
 	}
 }
 
-// acquireLoop takes idle capacity and only then chooses the item that uses it.
-func (r *Runner) acquireLoop(ctx context.Context, key group) {
-	const pause = 200 * time.Millisecond
+// acquireLoop acquires idle capacity and only then chooses the item to run on it.
+func (r *Runner) acquireLoop(ctx context.Context, key capacityGroup) {
+	const acquireRetryDelay = 200 * time.Millisecond
 	for ctx.Err() == nil {
 		if !r.awaitWork(ctx, key) {
 			continue
 		}
 		slot, err := r.deps.Batch.Acquire(ctx, key.pool, key.model)
 		if err != nil {
-			wait.For(ctx, pause)
+			wait.For(ctx, acquireRetryDelay)
 			continue
 		}
-		if !r.use(slot, key) {
+		if !r.startItem(slot, key) {
 			slot.Release()
 		}
 	}
 }
 
-// awaitWork waits until an item of the group can run; false: look again.
-func (r *Runner) awaitWork(ctx context.Context, key group) bool {
-	const recheck = 250 * time.Millisecond
+// awaitWork reports whether an item of the group can run now. If not, it first
+// waits for a change or for the next check.
+func (r *Runner) awaitWork(ctx context.Context, key capacityGroup) bool {
+	const recheckInterval = 250 * time.Millisecond
 	r.mu.Lock()
-	ready := r.running < r.config.MaxRunning && r.heldBytes < r.config.HeldResultBytes && len(r.candidates(key)) > 0
+	ready := r.runningItems < r.config.MaxRunning && r.heldResultBytes < r.config.HeldResultBytes && len(r.candidates(key)) > 0
 	changed := r.changed
 	r.mu.Unlock()
 	if ready {
 		return true
 	}
-	timer := time.NewTimer(recheck)
+	timer := time.NewTimer(recheckInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -95,8 +96,9 @@
 	return false
 }
 
-// use picks an item for the slot and starts it; false when none is ready any more.
-func (r *Runner) use(slot dispatch.Slot, key group) bool {
+// startItem picks an item for the slot and starts it. It returns false, and leaves
+// the slot to the caller, when no item is ready any more or the runner has stopped.
+func (r *Runner) startItem(slot dispatch.Slot, key capacityGroup) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ready := r.candidates(key)
@@ -109,25 +111,25 @@
 		return false
 	}
 	j := ready[chosen]
-	next, found := r.take(j)
+	next, found := r.takeNext(j)
 	if !found {
 		return false
 	}
 	if !r.start(func(context.Context) { r.execute(slot, next) }) {
 		j.state.Return(next.index)
-		j.kept[next.index] = next
+		j.requeued[next.index] = next
 		return false
 	}
-	r.running++
+	r.runningItems++
 	if next.repeatable() {
 		j.repeatableRunning++
 	}
 	return true
 }
 
-// candidates gives the group's jobs whose next item is loaded, and starts
-// loading where it is not. r.mu is held.
-func (r *Runner) candidates(key group) []*job {
+// candidates returns the group's jobs whose next item is loaded, and starts
+// loading the next item of the others. r.mu is held.
+func (r *Runner) candidates(key capacityGroup) []*job {
 	now := time.Now()
 	var ready []*job
 	for _, j := range r.jobs {
@@ -142,15 +144,15 @@
 		if !found {
 			continue
 		}
-		if _, ran := j.kept[index]; ran || r.prefetch(j) {
+		if _, ran := j.requeued[index]; ran || r.prefetch(j) {
 			ready = append(ready, j)
 		}
 	}
 	return ready
 }
 
-// prefetch loads the segment that the job's next fresh item is in, and the one
-// after it; it says whether the first is there. r.mu is held.
+// prefetch starts loading the segment of the job's next fresh item and the
+// segment after it. It reports whether the first is loaded. r.mu is held.
 func (r *Runner) prefetch(j *job) bool {
 	index, found := j.state.NextFresh()
 	if !found {
@@ -163,13 +165,13 @@
 	return loaded != nil && loaded.items != nil
 }
 
-func (r *Runner) candidate(j *job, group *progress) batch.Candidate {
+func (r *Runner) candidate(j *job, group *throughput) batch.Candidate {
 	weight := 1
 	if row, found := r.row(&j.header); found {
 		weight = max(1, row.Weight)
 	}
 	return batch.Candidate{
 		Job: j.header.ID, Deadline: j.header.Deadline,
-		Work: group.work(j.left()), Weight: weight,
+		Work: group.expectedDuration(j.remaining()), Weight: weight,
 	}
 }
--- a/internal/jobs/runner/commit.go
+++ b/internal/jobs/runner/commit.go
@@ -15,15 +15,15 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// The times of the commit loop.
+// The delays of the commit loop.
 const (
-	// linger lets outcomes that were written at about the same time share a commit.
-	linger = 10 * time.Millisecond
-	// firstPause and longestPause bound the pause after a commit that the store
-	// did not answer. The pause is spread over its whole length, so that nodes do
-	// not return together when the store does.
-	firstPause   = 250 * time.Millisecond
-	longestPause = 15 * time.Second
+	// commitBatchDelay lets outcomes written at about the same time share a commit.
+	commitBatchDelay = 10 * time.Millisecond
+	// initialCommitBackoff and maxCommitBackoff bound the backoff after a commit
+	// that the store did not answer. Jitter spreads each delay over its whole
+	// length, so that nodes do not retry together when the store recovers.
+	initialCommitBackoff = 250 * time.Millisecond
+	maxCommitBackoff     = 15 * time.Second
 )
 
 // commitLoop commits written outcomes and intents, one transaction at a time.
@@ -32,10 +32,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.kickCommit:
+		case <-r.wakeCommit:
 		}
-		wait.For(ctx, linger)
-		pause := firstPause
+		wait.For(ctx, commitBatchDelay)
+		pause := initialCommitBackoff
 		for ctx.Err() == nil {
 			r.mu.Lock()
 			next := r.plan()
@@ -45,19 +45,19 @@
 			}
 			r.renew(next)
 			if r.commit(ctx, next) {
-				pause = firstPause
+				pause = initialCommitBackoff
 				continue
 			}
 			wait.For(ctx, jitter(pause))
-			pause = min(2*pause, longestPause)
+			pause = min(2*pause, maxCommitBackoff)
 		}
 	}
 }
 
-// renew lets a transaction renew the leases on its way, when that is due.
+// renew adds the lease renewal to a transaction when one is due.
 func (r *Runner) renew(p *plan) {
 	if write, due := r.leases.Renewal(); due {
-		p.transaction.Writes, p.renews = append(p.transaction.Writes, write), true
+		p.transaction.Writes, p.renewsLeases = append(p.transaction.Writes, write), true
 	}
 }
 
@@ -65,11 +65,12 @@
 	return rand.N(longest + 1) //nolint:gosec // jitter, not a secret
 }
 
-// commit commits a plan and takes its end; false when the store did not answer.
-// A plan that may have taken effect is asked again, unchanged, until it is
-// settled: nothing else is committed before.
+// commit commits a plan and applies the result. It returns false when the plan
+// was not applied for lack of an answer, or the context has ended. A plan that
+// may have taken effect is retried unchanged until its result is known, and
+// nothing else is committed before that.
 func (r *Runner) commit(ctx context.Context, p *plan) bool {
-	pause := firstPause
+	pause := initialCommitBackoff
 	for {
 		result := r.deps.Store.Commit(ctx, p.transaction)
 		r.metrics.commits.WithLabelValues(statusLabel(result.Status)).Inc()
@@ -85,19 +86,19 @@
 			r.conflict(p, result.Conflicts)
 			return true
 		case store.NotApplied:
-			r.delayed(p, result)
+			r.logDelayed(p, result)
 			r.locked(func() { r.requeue(p) })
 			return false
 		}
-		r.delayed(p, result)
+		r.logDelayed(p, result)
 		if wait.For(ctx, jitter(pause)); ctx.Err() != nil {
 			return false
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxCommitBackoff)
 	}
 }
 
-func (r *Runner) delayed(p *plan, result store.Result) {
+func (r *Runner) logDelayed(p *plan, result store.Result) {
 	items, held := 0, int64(0)
 	for _, part := range p.parts {
 		for _, group := range part.uploads {
@@ -109,12 +110,12 @@
 		zap.Int64("bytes", held), zap.Error(result.Cause))
 }
 
-// applied makes a committed plan this node's state.
+// applied updates this node's state with a committed plan.
 func (r *Runner) applied(ctx context.Context, p *plan, versions []uint64) {
 	if len(versions) != len(p.transaction.Writes) {
 		versions = r.readVersions(ctx, p)
 	}
-	if p.renews {
+	if p.renewsLeases {
 		r.leases.Renewed()
 	}
 	r.mu.Lock()
@@ -132,25 +133,25 @@
 	}
 	j.state.Committed(part.updates)
 	for _, group := range part.uploads {
-		r.heldBytes -= group.bytes
+		r.heldResultBytes -= group.bytes
 		j.uncommitted -= len(group.items)
 		r.metrics.items.Add(float64(len(group.items)))
 	}
 	for _, wait := range part.intents {
 		wait.done <- nil
 	}
-	if part.done && !j.state.Closed() {
+	if part.completesJob && !j.state.Closed() {
 		counts := j.state.Counts()
-		r.remove(j, true)
+		r.removeJob(j, true)
 		r.metrics.jobs.Inc()
 		events.JobCompleted.Log(r.logger, zap.String("job", string(j.header.ID)), zap.String("tenant", string(j.header.Tenant)),
 			zap.Int("completed", counts.Completed), zap.Int("failed", counts.Failed), zap.Int("unknown", counts.Unknown))
 	}
 }
 
-// readVersions reads the versions of records that a commit wrote whose answer
-// was lost. Only this node writes them while it holds the shard; when it no
-// longer does, the next compare says so.
+// readVersions reads the versions of the records written by a commit whose answer
+// was lost. Only this node writes them while it holds the shard. If it no longer
+// holds the shard, its next compare fails.
 func (r *Runner) readVersions(ctx context.Context, p *plan) []uint64 {
 	versions := make([]uint64, len(p.transaction.Writes))
 	for i, write := range p.transaction.Writes {
@@ -160,14 +161,14 @@
 				versions[i] = found.Version
 				break
 			}
-			wait.For(ctx, jitter(longestPause))
+			wait.For(ctx, jitter(maxCommitBackoff))
 		}
 	}
 	return versions
 }
 
-// conflict reads from the records that did not compare what has changed hands
-// or ended, drops that, and gives the rest back for the next plan.
+// conflict handles a plan whose compares failed. It drops the shards that were
+// lost and the jobs that ended or changed, and requeues the rest for the next plan.
 func (r *Runner) conflict(p *plan, conflicts []backend.Record) {
 	var lost []int
 	var stale []*shardWork
@@ -178,14 +179,14 @@
 			switch {
 			case current.Key == j.shard.fence.Compare.Key:
 				if r.shards[j.shard.fence.Shard] == j.shard {
-					r.drop(j.shard)
+					r.dropShard(j.shard)
 					lost = append(lost, j.shard.fence.Shard)
 				}
 			case current.Key == j.fence.Key:
-				r.remove(j, ended(current))
+				r.removeJob(j, headerEnded(current))
 			case part.writes(current.Key):
-				// Not written by this holder: read the job again.
-				r.remove(j, false)
+				// The record was not written by this holder, so the job is read again.
+				r.removeJob(j, false)
 				stale = append(stale, j.shard)
 			}
 		}
@@ -196,12 +197,12 @@
 		r.leases.Lost(number)
 	}
 	for _, work := range stale {
-		r.poll(work)
+		r.requestPoll(work)
 	}
 }
 
-// ended says that a header's record is of a job that has ended or is gone.
-func ended(current backend.Record) bool {
+// headerEnded reports whether the job of a header record has ended or was removed.
+func headerEnded(current backend.Record) bool {
 	if current.Version == 0 {
 		return true
 	}
@@ -209,7 +210,8 @@
 	return err == nil && header.Ended()
 }
 
-// requeue gives the parts of a plan that changed nothing back. r.mu is held.
+// requeue returns the parts of a plan that was not applied to the queues. r.mu is
+// held.
 func (r *Runner) requeue(p *plan) {
 	var uploads []*upload
 	var intents []*intentWait
@@ -217,7 +219,7 @@
 		uploads = append(uploads, part.uploads...)
 		intents = append(intents, part.intents...)
 	}
-	r.ready = append(uploads, r.ready...)
+	r.written = append(uploads, r.written...)
 	r.intents = append(intents, r.intents...)
 }
 
@@ -234,24 +236,24 @@
 	}
 }
 
-// plan is one transaction and what it stands for.
+// plan is one transaction with the uploads and intents that it commits.
 type plan struct {
-	transaction backend.Transaction
-	parts       []*planPart
-	renews      bool // the leases, by its last write
+	transaction  backend.Transaction
+	parts        []*planPart
+	renewsLeases bool // the last write renews the leases
 }
 
-// planPart is what a plan does to one job.
+// planPart holds the changes of a plan to one job.
 type planPart struct {
-	job        *job
-	uploads    []*upload
-	intents    []*intentWait
-	updates    []batch.SegmentUpdate
-	done       bool
-	firstWrite int // the write of the first update; the others follow it
+	job          *job
+	uploads      []*upload
+	intents      []*intentWait
+	updates      []batch.SegmentUpdate
+	completesJob bool
+	firstWrite   int // index of the first update's write; the others follow it
 }
 
-// writes says whether the part writes the record.
+// writes reports whether the part writes the record.
 func (p *planPart) writes(key string) bool {
 	for _, update := range p.updates {
 		if record.SegmentKey(p.job.header.ID, update.Number) == key {
@@ -261,7 +263,7 @@
 	return false
 }
 
-// wrote says whether one of the records was written by this plan's transaction.
+// wrote reports whether one of the records was written by this plan's transaction.
 func (p *plan) wrote(records []backend.Record) bool {
 	for _, current := range records {
 		if current.TransactionID == p.transaction.ID {
--- a/internal/jobs/runner/execute.go
+++ b/internal/jobs/runner/execute.go
@@ -21,41 +21,41 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// The pauses of a job whose item could not run.
+// The delays before an item is retried.
 const (
-	refusedPause = 200 * time.Millisecond
-	unknownPause = 500 * time.Millisecond
-	resumePause  = time.Second
+	refusedRetryDelay    = 200 * time.Millisecond
+	unansweredRetryDelay = 500 * time.Millisecond
+	resumeRetryDelay     = time.Second
 )
 
-// codeInvalid marks a refusal that no repeat will change.
-const codeInvalid = string(apierror.CodeInvalidRequest)
+// invalidRequestCode marks a refusal that a retry cannot change.
+const invalidRequestCode = string(apierror.CodeInvalidRequest)
 
 // execute runs one item on reserved capacity.
-func (r *Runner) execute(slot dispatch.Slot, u unit) {
-	defer r.ended(u)
+func (r *Runner) execute(slot dispatch.Slot, u itemRun) {
+	defer r.runEnded(u)
 	row, found := r.row(&u.job.header)
 	if !found {
 		slot.Release()
-		r.locked(func() { r.giveBack(u, refusedPause) })
+		r.locked(func() { r.requeueItem(u, refusedRetryDelay) })
 		return
 	}
 	release, decision := r.admit(row, u)
 	if !decision.Allowed {
 		slot.Release()
-		r.locked(func() { r.giveBack(u, max(refusedPause, decision.RetryAfter)) })
+		r.locked(func() { r.requeueItem(u, max(refusedRetryDelay, decision.RetryAfter)) })
 		return
 	}
 	ctx := u.job.context
 	if !u.repeatable() {
-		ctx = u.job.once
+		ctx = u.job.nonRepeatable
 	}
-	output := &output{tokens: slices.Clone(u.kept)}
+	output := &output{tokens: slices.Clone(u.keptTokens)}
 	var sent dispatch.Intent
 	request := dispatch.Request{
 		ID: requestID(u.job.header.ID, u.index), Tenant: u.job.header.Tenant, Row: row, Kind: policy.KindBatch,
 		Model: u.job.header.Model, Prompt: u.item.Prompt, MaxTokens: u.item.MaxTokens,
-		Kept: slices.Clone(u.kept), Repeatable: u.repeatable(),
+		Kept: slices.Clone(u.keptTokens), Repeatable: u.repeatable(),
 	}
 	if !u.repeatable() {
 		request.BeforeSend = func(ctx context.Context, intent dispatch.Intent) error {
@@ -73,17 +73,17 @@
 		r.settleRepeatable(u, ended, output)
 		return
 	}
-	r.settleOnce(u, ended, output, sent)
+	r.settleNonRepeatable(u, ended, output, sent)
 }
 
-func (r *Runner) admit(row policy.Row, u unit) (func(used int), limits.Decision) {
+func (r *Runner) admit(row policy.Row, u itemRun) (func(used int), limits.Decision) {
 	if r.deps.Limits == nil {
 		return func(int) {}, limits.Decision{Allowed: true}
 	}
 	return r.deps.Limits.Admit(row, u.job.header.Tenant, u.item.MaxTokens+len(u.item.Prompt)/bytesPerToken)
 }
 
-// bytesPerToken is a rough size of a token in a prompt.
+// bytesPerToken approximates the size of a token in a prompt.
 const bytesPerToken = 4
 
 func (r *Runner) locked(do func()) {
@@ -92,69 +92,71 @@
 	do()
 }
 
-// ended gives an item's place on this node back.
-func (r *Runner) ended(u unit) {
+// runEnded updates the counts of running items after an item's run.
+func (r *Runner) runEnded(u itemRun) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.running--
+	r.runningItems--
 	if u.repeatable() {
 		u.job.repeatableRunning--
 	}
 	r.wakeLocked()
 }
 
-// settleRepeatable takes the end of an attempt that may be repeated.
-func (r *Runner) settleRepeatable(u unit, ended outcome.Outcome, output *output) {
+// settleRepeatable finishes or requeues a repeatable item after an attempt.
+func (r *Runner) settleRepeatable(u itemRun, ended outcome.Outcome, output *output) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch ended.Kind {
 	case outcome.Completed:
-		r.complete(u, batch.Completed, record.Result{Text: output.text()})
+		r.finishItem(u, batch.Completed, record.Result{Text: output.text()})
 	case outcome.Failed:
-		r.complete(u, batch.Failed, record.Result{Reason: reason(ended)})
+		r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)})
 	case outcome.Refused:
-		if ended.Code == codeInvalid {
-			r.complete(u, batch.Failed, record.Result{Reason: reason(ended)})
+		if ended.Code == invalidRequestCode {
+			r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)})
 			return
 		}
-		u.kept = output.tokens
-		r.giveBack(u, max(refusedPause, ended.RetryAfter))
+		u.keptTokens = output.tokens
+		r.requeueItem(u, max(refusedRetryDelay, ended.RetryAfter))
 	case outcome.Preempted:
-		u.kept = output.tokens
-		r.giveBack(u, 0)
+		u.keptTokens = output.tokens
+		r.requeueItem(u, 0)
 	case outcome.Cancelled:
-		u.kept = output.tokens
-		r.giveBack(u, refusedPause)
+		u.keptTokens = output.tokens
+		r.requeueItem(u, refusedRetryDelay)
 	default:
-		u.tries++
-		u.kept = output.tokens
-		if u.tries >= r.config.RepeatAttempts {
-			r.complete(u, batch.Failed, record.Result{Reason: "no attempt was answered: " + reason(ended)})
+		u.unansweredAttempts++
+		u.keptTokens = output.tokens
+		if u.unansweredAttempts >= r.config.RepeatAttempts {
+			r.finishItem(u, batch.Failed, record.Result{Reason: "no attempt was answered: " + reason(ended)})
 			return
 		}
-		r.giveBack(u, unknownPause)
+		r.requeueItem(u, unansweredRetryDelay)
 	}
 }
 
-// settleOnce takes the end of the only attempt of an item. One that was never
-// sent waits again; one that was sent ends here, whatever became of it.
-func (r *Runner) settleOnce(u unit, ended outcome.Outcome, output *output, sent dispatch.Intent) {
+// settleNonRepeatable finishes or requeues a non-repeatable item after its
+// attempt. An item that was never sent is requeued. An item that may have run is
+// finished here, or resumed to learn its outcome.
+func (r *Runner) settleNonRepeatable(u itemRun, ended outcome.Outcome, output *output, sent dispatch.Intent) {
 	switch {
 	case ended.Kind == outcome.Completed:
-		r.locked(func() { r.complete(u, batch.Completed, record.Result{Text: output.text()}) })
+		r.locked(func() { r.finishItem(u, batch.Completed, record.Result{Text: output.text()}) })
 	case ended.Kind == outcome.Failed:
-		r.locked(func() { r.complete(u, batch.Failed, record.Result{Reason: reason(ended)}) })
-	case ended.Kind == outcome.Refused && ended.Code == codeInvalid:
-		r.locked(func() { r.complete(u, batch.Failed, record.Result{Reason: reason(ended)}) })
+		r.locked(func() { r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)}) })
+	case ended.Kind == outcome.Refused && ended.Code == invalidRequestCode:
+		r.locked(func() { r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)}) })
 	case sent.Attempt == "" || ended.Kind == outcome.Refused:
-		r.locked(func() { r.giveBack(u, max(refusedPause, ended.RetryAfter)) })
+		r.locked(func() { r.requeueItem(u, max(refusedRetryDelay, ended.RetryAfter)) })
 	default:
 		r.resume(u, sent, reason(ended))
 	}
 }
 
-// rejoin settles an item whose intent an earlier holder of the shard recorded.
-func (r *Runner) rejoin(j *job, intended batch.ItemIntent) {
+// resumeIntent settles an item whose intent was recorded by an earlier holder of
+// the shard.
+func (r *Runner) resumeIntent(j *job, intended batch.ItemIntent) {
 	number, offset := j.state.Locate(intended.Index)
 	var items []record.Item
 	for {
@@ -162,59 +164,60 @@
 		if items, _, err = r.fetchInput(j, number); err == nil {
 			break
 		}
-		if wait.For(j.context, loadPause); j.context.Err() != nil {
+		if wait.For(j.context, inputRetryDelay); j.context.Err() != nil {
 			return
 		}
 	}
-	u := unit{job: j, index: intended.Index, item: items[offset]}
+	u := itemRun{job: j, index: intended.Index, item: items[offset]}
 	r.resume(u, intended.Intent, "the node that ran it was lost")
 }
 
-// resume joins an attempt that may have been sent, and never sends it. When its
-// engine vouches that it never ran, the item waits again, for an intent of its
-// own; when the engine cannot say, after the tries the item ends as unknown.
-func (r *Runner) resume(u unit, sent dispatch.Intent, why string) {
+// resume resumes an attempt that may have been sent, and never sends it. When the
+// engine confirms that the attempt never ran, the item is requeued for a new
+// intent. When the outcome is still not known after ResumeAttempts, the item
+// ends as unknown.
+func (r *Runner) resume(u itemRun, sent dispatch.Intent, unknownReason string) {
 	for attempt := range r.config.ResumeAttempts {
 		if attempt > 0 {
-			wait.For(u.job.context, resumePause<<min(attempt-1, maxResumeShift))
+			wait.For(u.job.context, resumeRetryDelay<<min(attempt-1, maxResumeShift))
 		}
 		if u.job.context.Err() != nil {
 			return
 		}
 		output := &output{}
-		ended := r.deps.Batch.Resume(u.job.once, sent, 0, output.take)
+		ended := r.deps.Batch.Resume(u.job.nonRepeatable, sent, 0, output.take)
 		switch ended.Kind {
 		case outcome.Completed:
-			r.locked(func() { r.complete(u, batch.Completed, record.Result{Text: output.text()}) })
+			r.locked(func() { r.finishItem(u, batch.Completed, record.Result{Text: output.text()}) })
 			return
 		case outcome.Failed:
-			r.locked(func() { r.complete(u, batch.Failed, record.Result{Reason: reason(ended)}) })
+			r.locked(func() { r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)}) })
 			return
 		case outcome.Refused:
-			r.locked(func() { r.giveBack(u, refusedPause) })
+			r.locked(func() { r.requeueItem(u, refusedRetryDelay) })
 			return
 		default:
-			why = why + "; " + reason(ended)
+			unknownReason = unknownReason + "; " + reason(ended)
 		}
 	}
 	if u.job.context.Err() != nil {
 		return
 	}
 	events.JobItemUnknown.Log(r.logger, zap.String("job", string(u.job.header.ID)), zap.Int("item", u.index),
-		zap.String("attempt", string(sent.Attempt)), zap.String("reason", why))
-	r.locked(func() { r.complete(u, batch.Unknown, record.Result{Reason: why}) })
+		zap.String("attempt", string(sent.Attempt)), zap.String("reason", unknownReason))
+	r.locked(func() { r.finishItem(u, batch.Unknown, record.Result{Reason: unknownReason}) })
 }
 
-// maxResumeShift bounds the growth of the pause between tries to join.
+// maxResumeShift bounds the exponential backoff between resume attempts.
 const maxResumeShift = 3
 
-// complete gives an item its outcome. r.mu is held.
-func (r *Runner) complete(u unit, code batch.Code, result record.Result) {
+// finishItem sets an item's final outcome. r.mu is held.
+func (r *Runner) finishItem(u itemRun, code batch.Code, result record.Result) {
 	result.Outcome = code.Outcome().String()
-	r.finish(u, code, result)
+	r.queueOutcome(u, code, result)
 	if row, found := r.row(&u.job.header); found {
-		if rate := r.groups[group{pool: row.Pool, model: u.job.header.Model}]; rate != nil {
-			rate.ended++
+		if rate := r.groups[capacityGroup{pool: row.Pool, model: u.job.header.Model}]; rate != nil {
+			rate.endedItems++
 		}
 	}
 }
--- a/internal/jobs/runner/forecast.go
+++ b/internal/jobs/runner/forecast.go
@@ -10,46 +10,45 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// progress measures how fast a group's items end on this node: the items and
-// the seconds of the past, the older the less they count.
-type progress struct {
-	ended   int // since the last observation
-	since   time.Time
-	items   float64
-	seconds float64
-	rate    float64 // items a second; 0: not known yet
+// throughput measures how fast a group's items end on this node. Older
+// observations have exponentially decreasing weight.
+type throughput struct {
+	endedItems     int // since the last observation
+	since          time.Time
+	items          float64
+	seconds        float64
+	itemsPerSecond float64 // 0 while unknown
 }
 
-// remembered is what is left of the past's weight at each observation.
-const remembered = 0.95
+// observationDecay is the factor applied to past observations at each new one.
+const observationDecay = 0.95
 
-// observe takes the time since the last observation into account, when the
-// group had work in it.
-func (p *progress) observe(now time.Time, busy bool) {
-	elapsed := now.Sub(p.since).Seconds()
-	if !p.since.IsZero() && busy && elapsed > 0 {
-		p.items = remembered*p.items + float64(p.ended)
-		p.seconds = remembered*p.seconds + elapsed
-		p.rate = p.items / p.seconds
+// observe adds the time since the last observation if the group had work.
+func (t *throughput) observe(now time.Time, busy bool) {
+	elapsed := now.Sub(t.since).Seconds()
+	if !t.since.IsZero() && busy && elapsed > 0 {
+		t.items = observationDecay*t.items + float64(t.endedItems)
+		t.seconds = observationDecay*t.seconds + elapsed
+		t.itemsPerSecond = t.items / t.seconds
 	}
-	p.since, p.ended = now, 0
+	t.since, t.endedItems = now, 0
 }
 
-// work is how long so many items take; 0 while the rate is not known.
-func (p *progress) work(items int) time.Duration {
-	if p == nil || p.rate <= 0 {
+// expectedDuration estimates how long the items take; 0 while the rate is unknown.
+func (t *throughput) expectedDuration(items int) time.Duration {
+	if t == nil || t.itemsPerSecond <= 0 {
 		return 0
 	}
-	const longest = 365 * 24 * time.Hour
-	return time.Duration(min(float64(items)/p.rate*float64(time.Second), float64(longest)))
+	const maxExpected = 365 * 24 * time.Hour
+	return time.Duration(min(float64(items)/t.itemsPerSecond*float64(time.Second), float64(maxExpected)))
 }
 
-// observe updates rates and warns of deadlines at risk. r.mu is held.
-func (r *Runner) observe(now time.Time) {
-	busy := make(map[group]bool)
+// updateForecasts updates rates and logs deadlines at risk. r.mu is held.
+func (r *Runner) updateForecasts(now time.Time) {
+	busy := make(map[capacityGroup]bool)
 	for _, j := range r.jobs {
 		if row, found := r.row(&j.header); found {
-			busy[group{pool: row.Pool, model: j.header.Model}] = true
+			busy[capacityGroup{pool: row.Pool, model: j.header.Model}] = true
 		}
 	}
 	for key, rate := range r.groups {
@@ -57,27 +56,27 @@
 	}
 	for id, finish := range r.forecasts(now) {
 		j := r.jobs[id]
-		if j.warned || j.header.Deadline.IsZero() || !finish.After(j.header.Deadline) {
+		if j.deadlineWarned || j.header.Deadline.IsZero() || !finish.After(j.header.Deadline) {
 			continue
 		}
-		j.warned = true
+		j.deadlineWarned = true
 		r.metrics.atRisk.Inc()
 		events.JobAtRisk.Log(r.logger, zap.String("job", string(id)), zap.String("tenant", string(j.header.Tenant)),
 			zap.Time("deadline", j.header.Deadline), zap.Time("expected_finish", finish))
 	}
 }
 
-// forecasts gives each job's expected finish where its group's rate is known.
+// forecasts returns the expected finish of each job whose group's rate is known.
 // r.mu is held.
 func (r *Runner) forecasts(now time.Time) map[identity.JobID]time.Time {
-	byGroup := make(map[group][]batch.Candidate)
+	byGroup := make(map[capacityGroup][]batch.Candidate)
 	for _, j := range r.jobs {
 		row, found := r.row(&j.header)
 		if !found {
 			continue
 		}
-		key := group{pool: row.Pool, model: j.header.Model}
-		if rate := r.groups[key]; rate != nil && rate.rate > 0 {
+		key := capacityGroup{pool: row.Pool, model: j.header.Model}
+		if rate := r.groups[key]; rate != nil && rate.itemsPerSecond > 0 {
 			byGroup[key] = append(byGroup[key], r.candidate(j, rate))
 		}
 	}
@@ -90,7 +89,8 @@
 	return finish
 }
 
-// ExpectedFinish gives a job's forecast, when it runs here and there is one.
+// ExpectedFinish returns a job's expected finish; false when the job does not run
+// on this node or has no forecast yet.
 func (r *Runner) ExpectedFinish(id identity.JobID) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/jobs/runner/intent.go
+++ b/internal/jobs/runner/intent.go
@@ -14,7 +14,7 @@
 	job       *job
 	intent    batch.ItemIntent
 	done      chan error // of capacity 1
-	abandoned bool       // nobody waits any more: nothing was sent
+	abandoned bool       // the sender stopped waiting and sent nothing
 }
 
 // The reasons why an item is not sent.
@@ -23,10 +23,10 @@
 	errJobEnded      = errors.New("the job has ended, or its shard was lost")
 )
 
-// recordIntent returns nil once the intent is durable. On an error nothing may
-// be sent; the intent may still become durable, which costs only that after a
-// crash the item counts as perhaps sent.
-func (r *Runner) recordIntent(ctx context.Context, u unit, intent dispatch.Intent) error {
+// recordIntent returns nil once the intent is durable. On an error nothing may be
+// sent. The intent may still become durable, in which case the item only counts
+// as possibly sent after a crash.
+func (r *Runner) recordIntent(ctx context.Context, u itemRun, intent dispatch.Intent) error {
 	wait := &intentWait{
 		job:    u.job,
 		intent: batch.ItemIntent{Index: u.index, Intent: intent},
@@ -39,7 +39,7 @@
 	}
 	r.intents = append(r.intents, wait)
 	r.mu.Unlock()
-	signal(r.kickCommit)
+	signal(r.wakeCommit)
 	timer := time.NewTimer(r.config.IntentTimeout)
 	defer timer.Stop()
 	var err error
--- a/internal/jobs/runner/job.go
+++ b/internal/jobs/runner/job.go
@@ -19,40 +19,42 @@
 	versions []uint64        // of the segments' records
 	state    *batch.Job
 	shard    *shardWork
-	// context ends when the job is removed here: cancelled, ended or lost.
+	// context ends when the runner removes the job: it was cancelled, has ended,
+	// or its shard was lost.
 	context context.Context
 	cancel  context.CancelFunc
-	// once is the context of items that must not be repeated. It ends only
-	// when the job was cancelled, or Run ends: elsewhere such an item may be
-	// joined by its intent, and stopping it would lose its outcome.
-	once       context.Context
-	cancelOnce context.CancelFunc
-
-	inputs    map[int]*input // loaded segments, by number
-	kept      map[int]unit   // items that ran and wait again
-	notBefore time.Time      // no item is started before
-	warned    bool           // of its deadline
-	noRow     bool           // has been reported
+	// nonRepeatable is the context of items that must not be repeated. It ends
+	// only when the job has ended or was cancelled, or when Run ends. After a
+	// shard is lost, another node may resume such an item from its intent, and
+	// stopping it would lose its outcome.
+	nonRepeatable       context.Context
+	cancelNonRepeatable context.CancelFunc
+
+	inputs           map[int]*input  // loaded or loading segments, by number
+	requeued         map[int]itemRun // items to run again, by index
+	notBefore        time.Time       // earliest start of the next item
+	deadlineWarned   bool            // deadline risk has been logged
+	missingRowLogged bool            // no row governs the job, which has been logged
 
 	repeatableRunning int
-	finished          []finishedItem // waiting to be written
+	finished          []finishedItem // waiting for their upload
 	uploading         bool
-	uncommitted       int // outcomes in objects that are being written or committed
+	uncommitted       int // outcomes whose object is being written or committed
 }
 
-// input is one segment's items; items is nil while it is being loaded.
+// input holds one segment's items; items is nil while the segment is loaded.
 type input struct {
 	items []record.Item
 	bytes int64
 }
 
-// unit is one item on its way.
-type unit struct {
-	job   *job
-	index int
-	item  record.Item
-	kept  []string // tokens of earlier attempts
-	tries int      // attempts that ended without word
+// itemRun is one item that is running or waits to run again.
+type itemRun struct {
+	job                *job
+	index              int
+	item               record.Item
+	keptTokens         []string // tokens of earlier attempts
+	unansweredAttempts int      // attempts whose engine did not answer
 }
 
 // finishedItem is an outcome that is not durable yet.
@@ -62,23 +64,22 @@
 }
 
 func (f finishedItem) bytes() int64 {
-	return int64(len(f.result.ID) + len(f.result.Text) + len(f.result.Reason) + perResult)
+	return int64(len(f.result.ID) + len(f.result.Text) + len(f.result.Reason) + resultOverheadBytes)
 }
 
-// perResult is about what a result takes besides its texts.
-const perResult = 96
+// resultOverheadBytes approximates the memory of a result besides its texts.
+const resultOverheadBytes = 96
 
-func (u *unit) repeatable() bool {
+func (u *itemRun) repeatable() bool {
 	if u.item.Repeatable != nil {
 		return *u.item.Repeatable
 	}
 	return u.job.header.Repeatable
 }
 
-// remove takes a job out: its running items are cancelled, and outcomes that
-// come later are dropped. Items that must not be repeated run on unless the
-// job has ended. r.mu is held.
-func (r *Runner) remove(j *job, ended bool) {
+// removeJob removes a job. Its running items are cancelled and later outcomes are
+// dropped. Non-repeatable items continue unless the job has ended. r.mu is held.
+func (r *Runner) removeJob(j *job, ended bool) {
 	if r.jobs[j.header.ID] != j {
 		return
 	}
@@ -87,49 +88,50 @@
 	j.state.Close()
 	j.cancel()
 	if ended {
-		j.cancelOnce()
+		j.cancelNonRepeatable()
 	}
 	for _, item := range j.finished {
-		r.heldBytes -= item.bytes()
+		r.heldResultBytes -= item.bytes()
 	}
 	if len(j.finished) > 0 {
 		events.ResultsDropped.Log(r.logger, zap.String("job", string(j.header.ID)), zap.Int("items", len(j.finished)))
 	}
 	j.finished = nil
 	for number := range j.inputs {
-		r.unload(j, number)
+		r.unloadInput(j, number)
 	}
 }
 
-// unload drops a segment's items. r.mu is held.
-func (r *Runner) unload(j *job, number int) {
-	r.cached -= j.inputs[number].bytes
+// unloadInput drops a segment's items. r.mu is held.
+func (r *Runner) unloadInput(j *job, number int) {
+	r.cachedInputBytes -= j.inputs[number].bytes
 	delete(j.inputs, number)
 }
 
-// take takes the job's next item; false when it is not loaded. r.mu is held.
-func (r *Runner) take(j *job) (unit, bool) {
+// takeNext removes the job's next item from its queue. It returns false when there
+// is none or the item is not loaded. r.mu is held.
+func (r *Runner) takeNext(j *job) (itemRun, bool) {
 	index, found := j.state.Next()
 	if !found {
-		return unit{}, false
+		return itemRun{}, false
 	}
-	next, ran := j.kept[index]
+	next, ran := j.requeued[index]
 	if !ran {
 		number, offset := j.state.Locate(index)
 		loaded := j.inputs[number]
 		if loaded == nil || loaded.items == nil {
-			return unit{}, false
+			return itemRun{}, false
 		}
-		next = unit{job: j, index: index, item: loaded.items[offset]}
+		next = itemRun{job: j, index: index, item: loaded.items[offset]}
 	}
 	j.state.Take()
-	delete(j.kept, index)
-	r.trim(j)
+	delete(j.requeued, index)
+	r.unloadConsumed(j)
 	return next, true
 }
 
-// trim drops the segments that no item waits in. r.mu is held.
-func (r *Runner) trim(j *job) {
+// unloadConsumed drops the segments without waiting fresh items. r.mu is held.
+func (r *Runner) unloadConsumed(j *job) {
 	index, found := j.state.NextFresh()
 	current := j.state.Segments()
 	if found {
@@ -137,26 +139,27 @@
 	}
 	for number := range j.inputs {
 		if number < current {
-			r.unload(j, number)
+			r.unloadInput(j, number)
 		}
 	}
 }
 
-// giveBack returns an item to wait. r.mu is held.
-func (r *Runner) giveBack(u unit, pause time.Duration) {
+// requeueItem makes an item wait to run again and delays the job's next item
+// start by pause. r.mu is held.
+func (r *Runner) requeueItem(u itemRun, pause time.Duration) {
 	j := u.job
 	if !j.state.Return(u.index) {
 		return
 	}
-	j.kept[u.index] = u
+	j.requeued[u.index] = u
 	if until := time.Now().Add(pause); until.After(j.notBefore) {
 		j.notBefore = until
 	}
 	r.wakeLocked()
 }
 
-// finish takes an item's outcome. r.mu is held.
-func (r *Runner) finish(u unit, code batch.Code, result record.Result) {
+// queueOutcome queues an item's outcome for upload. r.mu is held.
+func (r *Runner) queueOutcome(u itemRun, code batch.Code, result record.Result) {
 	j := u.job
 	if !j.state.Finish(u.index) {
 		return
@@ -164,14 +167,14 @@
 	result.Index, result.ID = u.index, u.item.ID
 	item := finishedItem{outcome: batch.ItemOutcome{Index: u.index, Code: code}, result: result}
 	j.finished = append(j.finished, item)
-	r.heldBytes += item.bytes()
+	r.heldResultBytes += item.bytes()
 	if len(j.finished) >= r.config.CommitItems {
-		signal(r.kickUpload)
+		signal(r.wakeUpload)
 	}
 }
 
-// left is the number of items that have no outcome yet.
-func (j *job) left() int {
+// remaining returns the number of items that have no outcome yet.
+func (j *job) remaining() int {
 	counts := j.state.Counts()
 	return counts.Total - counts.Final() - len(j.finished) - j.uncommitted
 }
--- a/internal/jobs/runner/load.go
+++ b/internal/jobs/runner/load.go
@@ -19,63 +19,64 @@
 	"ringstream.example/ringstream/internal/jobs/record"
 )
 
-// listFrom is the number of shards from which on one list of all open jobs is
-// cheaper than one for each shard.
-const listFrom = 16
+// combinedListMinShards is the number of shards at which one list of all open
+// jobs becomes cheaper than one list for each shard.
+const combinedListMinShards = 16
 
-// loads bounds the reads at once.
-const loads = 8
+// maxParallelReads bounds concurrent reads of shards' open jobs.
+const maxParallelReads = 8
 
-// poll has a shard's list of open jobs read soon.
-func (r *Runner) poll(work *shardWork) {
-	r.locked(func() { work.unread = true })
-	signal(r.kickPoll)
+// requestPoll marks a shard's list of open jobs as stale and wakes pollLoop.
+func (r *Runner) requestPoll(work *shardWork) {
+	r.locked(func() { work.listStale = true })
+	signal(r.wakePoll)
 }
 
-// pollLoop reads lists of open jobs: when asked, and now and then all of them,
-// in case the word of a submission or of a cancellation was lost. Lists that
-// could not be read are asked for again, ever more seldom.
+// pollLoop reads lists of open jobs on request. It also reads all of them about
+// once every PollInterval, because a message about a submission or cancellation
+// may be lost. Failed reads are retried with exponential backoff.
 func (r *Runner) pollLoop(ctx context.Context) {
-	const soon = time.Second
-	again := r.config.Poll
-	all := time.Now().Add(r.config.Poll)
+	const initialRetryDelay = time.Second
+	retryDelay := r.config.PollInterval
+	nextFullPoll := time.Now().Add(r.config.PollInterval)
 	for {
-		timer := time.NewTimer(again*3/4 + jitter(again/2))
+		timer := time.NewTimer(retryDelay*3/4 + jitter(retryDelay/2))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-r.kickPoll:
+		case <-r.wakePoll:
 			timer.Stop()
 		case <-timer.C:
 		}
-		if time.Now().After(all) {
-			all = time.Now().Add(r.config.Poll*3/4 + jitter(r.config.Poll/2))
+		if time.Now().After(nextFullPoll) {
+			nextFullPoll = time.Now().Add(r.config.PollInterval*3/4 + jitter(r.config.PollInterval/2))
 			r.locked(func() {
 				for _, work := range r.shards {
-					work.unread = true
+					work.listStale = true
 				}
 			})
 		}
 		switch {
 		case r.readOpen(ctx):
-			again = r.config.Poll
-		case again >= r.config.Poll:
-			again = min(soon, r.config.Poll)
+			retryDelay = r.config.PollInterval
+		case retryDelay >= r.config.PollInterval:
+			retryDelay = min(initialRetryDelay, r.config.PollInterval)
 		default:
-			again = min(2*again, r.config.Poll)
+			retryDelay = min(2*retryDelay, r.config.PollInterval)
 		}
 	}
 }
 
-// unread takes the shards whose lists are to be read, with their jobs known now.
-func (r *Runner) unread() map[*shardWork]map[identity.JobID]*job {
+// takeStale returns the shards whose lists must be read, with their jobs known
+// now, and marks their lists as read.
+func (r *Runner) takeStale() map[*shardWork]map[identity.JobID]*job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := make(map[*shardWork]map[identity.JobID]*job)
 	for _, work := range r.shards {
-		if work.unread && work.context.Err() == nil {
-			work.unread = false
+		if work.listStale && work.context.Err() == nil {
+			work.listStale = false
 			known[work] = make(map[identity.JobID]*job)
 		}
 	}
@@ -87,19 +88,19 @@
 	return known
 }
 
-// readOpen reads the lists that are to be read; false when one could not be.
+// readOpen reads the stale lists. It returns false when a list could not be read.
 func (r *Runner) readOpen(ctx context.Context) bool {
-	unread := r.unread()
-	if len(unread) >= listFrom {
-		return r.readAllOpen(ctx, unread)
+	stale := r.takeStale()
+	if len(stale) >= combinedListMinShards {
+		return r.readAllOpen(ctx, stale)
 	}
 	var reads errgroup.Group
-	reads.SetLimit(loads)
-	for work, known := range unread {
+	reads.SetLimit(maxParallelReads)
+	for work, known := range stale {
 		reads.Go(func() error {
 			open, err := r.deps.Store.Patient().List(ctx, record.OpenPrefix(work.fence.Shard), "")
 			if err != nil {
-				r.locked(func() { work.unread = true })
+				r.locked(func() { work.listStale = true })
 				return err
 			}
 			r.reconcile(work, known, open)
@@ -109,12 +110,12 @@
 	return reads.Wait() == nil
 }
 
-func (r *Runner) readAllOpen(ctx context.Context, unread map[*shardWork]map[identity.JobID]*job) bool {
+func (r *Runner) readAllOpen(ctx context.Context, stale map[*shardWork]map[identity.JobID]*job) bool {
 	all, err := r.deps.Store.Patient().List(ctx, record.AllOpenPrefix, "")
 	if err != nil {
 		r.locked(func() {
-			for work := range unread {
-				work.unread = true
+			for work := range stale {
+				work.listStale = true
 			}
 		})
 		return false
@@ -125,8 +126,8 @@
 		byPrefix[prefix] = append(byPrefix[prefix], entry)
 	}
 	var reads errgroup.Group
-	reads.SetLimit(loads)
-	for work, known := range unread {
+	reads.SetLimit(maxParallelReads)
+	for work, known := range stale {
 		reads.Go(func() error {
 			r.reconcile(work, known, byPrefix[record.OpenPrefix(work.fence.Shard)])
 			return nil
@@ -135,8 +136,9 @@
 	return reads.Wait() == nil
 }
 
-// reconcile loads the shard's open jobs that are not known yet, and drops those
-// that were known before the list was read and are not on it: they have ended.
+// reconcile loads the shard's open jobs that are not known yet. It removes those
+// that were known before the list was read and are not on it, because they have
+// ended.
 func (r *Runner) reconcile(work *shardWork, known map[identity.JobID]*job, open []backend.Record) {
 	for _, entry := range open {
 		id := record.JobOfOpenKey(entry.Key)
@@ -151,11 +153,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, j := range known {
-		r.remove(j, true)
+		r.removeJob(j, true)
 	}
 }
 
-// load reads a job's durable state and starts it.
+// load reads a job's durable state, adds the job and resumes its recorded intents.
 func (r *Runner) load(work *shardWork, id identity.JobID) error {
 	ctx := work.context
 	r.locked(func() { r.loading[id] = false })
@@ -175,22 +177,22 @@
 	j := &job{
 		header: header, fence: backend.Compare{Key: found.Key, Version: found.Version},
 		versions: versions, state: batch.NewJob(segments), shard: work,
-		inputs: make(map[int]*input), kept: make(map[int]unit),
+		inputs: make(map[int]*input), requeued: make(map[int]itemRun),
 	}
 	j.context, j.cancel = context.WithCancel(work.context)
-	j.once, j.cancelOnce = context.WithCancel(r.once)
+	j.nonRepeatable, j.cancelNonRepeatable = context.WithCancel(r.nonRepeatable)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.shards[work.fence.Shard] != work || r.jobs[id] != nil || ctx.Err() != nil {
 		return nil
 	}
 	if r.loading[id] {
-		return nil // cancelled while it was read: what was read may be older
+		return nil // cancelled during the read, which may have returned older state
 	}
 	r.jobs[id] = j
 	r.scheduler.Joined(id)
 	for _, intended := range j.state.Intents() {
-		r.start(func(context.Context) { r.rejoin(j, intended) })
+		r.start(func(context.Context) { r.resumeIntent(j, intended) })
 	}
 	r.wakeLocked()
 	return nil
@@ -220,13 +222,13 @@
 	return segments, versions, nil
 }
 
-// loadInput starts reading a segment's items, when there is room or when the
-// job could not go on without. r.mu is held.
+// loadInput starts reading a segment's items when the input cache has capacity
+// or the job needs the segment to continue. r.mu is held.
 func (r *Runner) loadInput(j *job, number int, needed bool) {
 	if number >= j.state.Segments() || j.inputs[number] != nil {
 		return
 	}
-	if r.cached >= r.config.InputCacheBytes && !needed {
+	if r.cachedInputBytes >= r.config.InputCacheBytes && !needed {
 		return
 	}
 	loading := &input{}
@@ -243,20 +245,20 @@
 		return
 	}
 	if err != nil {
-		delete(j.inputs, number) // asked for again at the next pick
-		j.notBefore = time.Now().Add(loadPause)
+		delete(j.inputs, number) // read again when the job is next a candidate
+		j.notBefore = time.Now().Add(inputRetryDelay)
 		if j.context.Err() == nil {
 			events.JobLoadFailed.Log(r.logger, zap.String("job", string(j.header.ID)), zap.Error(err))
 		}
 		return
 	}
 	loading.items, loading.bytes = items, size
-	r.cached += size
+	r.cachedInputBytes += size
 	r.wakeLocked()
 }
 
-// loadPause is how long a job waits after its items could not be read.
-const loadPause = 2 * time.Second
+// inputRetryDelay is how long a job waits after its items could not be read.
+const inputRetryDelay = 2 * time.Second
 
 func (r *Runner) fetchInput(j *job, number int) ([]record.Item, int64, error) {
 	name := record.InputObject(j.header.ID, number)
--- a/internal/jobs/runner/metrics.go
+++ b/internal/jobs/runner/metrics.go
@@ -14,7 +14,7 @@
 	atRisk   prometheus.Counter
 }
 
-// newMetrics registers the metrics; a nil registerer registers nothing.
+// newMetrics returns the metrics; with a nil registerer it does not register them.
 func newMetrics(registerer prometheus.Registerer, r *Runner) *metrics {
 	factory := promauto.With(registerer)
 	gauge := func(name, help string, value func() float64) {
@@ -26,8 +26,8 @@
 	}
 	gauge("ringstream_jobs_shards_held", "Shards of batch jobs that this node holds.", func() float64 { return float64(len(r.shards)) })
 	gauge("ringstream_jobs_open", "Open jobs of held shards.", func() float64 { return float64(len(r.jobs)) })
-	gauge("ringstream_jobs_items_running", "Batch items that run on engines for this node.", func() float64 { return float64(r.running) })
-	gauge("ringstream_jobs_held_result_bytes", "Results in memory that are not committed.", func() float64 { return float64(r.heldBytes) })
+	gauge("ringstream_jobs_items_running", "Batch items that run on engines for this node.", func() float64 { return float64(r.runningItems) })
+	gauge("ringstream_jobs_held_result_bytes", "Results in memory that are not committed.", func() float64 { return float64(r.heldResultBytes) })
 	return &metrics{
 		attempts: factory.NewCounterVec(prometheus.CounterOpts{Name: "ringstream_jobs_attempts_total", Help: "Attempts of batch items by outcome."}, []string{"outcome"}),
 		commits:  factory.NewCounterVec(prometheus.CounterOpts{Name: "ringstream_jobs_commits_total", Help: "Transactions of outcomes and intents by status."}, []string{"status"}),
--- a/internal/jobs/runner/plan.go
+++ b/internal/jobs/runner/plan.go
@@ -12,18 +12,20 @@
 	"ringstream.example/ringstream/internal/jobs/record"
 )
 
-// writesPerCommit bounds one transaction; a job's part is never divided, and
-// takes at most a few writes more.
-const writesPerCommit = 96
+// maxWritesPerCommit is the number of writes from which no further job is added
+// to a transaction. A job's part is never split, so the last one may exceed the
+// limit by a few writes.
+const maxWritesPerCommit = 96
 
-// plan makes the next transaction of what is ready; nil when nothing is. What
-// belongs to closed jobs is dropped. r.mu is held.
+// plan builds the next transaction from the written outcomes and waiting intents,
+// or returns nil when there are none. Those of closed jobs are dropped. r.mu is
+// held.
 func (r *Runner) plan() *plan {
 	next := &plan{transaction: backend.Transaction{ID: "items-" + ulid.Make().String()}}
 	fenced := make(map[*shardWork]bool)
 	for _, part := range r.collect() {
-		if len(next.transaction.Writes) >= writesPerCommit {
-			r.ready = append(r.ready, part.uploads...)
+		if len(next.transaction.Writes) >= maxWritesPerCommit {
+			r.written = append(r.written, part.uploads...)
 			r.intents = append(r.intents, part.intents...)
 			continue
 		}
@@ -35,7 +37,8 @@
 	return next
 }
 
-// collect groups what is ready by job, in order of arrival, and empties the lists.
+// collect groups the written outcomes and waiting intents by job, in order of
+// arrival, and empties both lists.
 func (r *Runner) collect() []*planPart {
 	parts := make(map[*job]*planPart)
 	var order []*planPart
@@ -55,24 +58,24 @@
 			part.intents = append(part.intents, wait)
 		}
 	}
-	for _, group := range r.ready {
+	for _, group := range r.written {
 		if group.job.state.Closed() {
-			r.heldBytes -= group.bytes
+			r.heldResultBytes -= group.bytes
 			events.ResultsDropped.Log(r.logger, zap.String("job", string(group.job.header.ID)), zap.Int("items", len(group.items)))
 			continue
 		}
 		part := partOf(group.job)
 		part.uploads = append(part.uploads, group)
 	}
-	r.intents, r.ready = nil, nil
+	r.intents, r.written = nil, nil
 	return order
 }
 
-// addPart adds a job's changes with their compares: the shard's lease, the
-// job's header, and each segment that is written.
+// addPart adds a job's changes to a plan, with compares on the shard's lease, the
+// job's header and each segment that is written.
 func (r *Runner) addPart(next *plan, part *planPart, fenced map[*shardWork]bool) {
 	j := part.job
-	part.updates, part.done = j.state.Prepare(part.changes()...)
+	part.updates, part.completesJob = j.state.Prepare(part.changes()...)
 	if len(part.updates) == 0 {
 		return
 	}
@@ -88,7 +91,7 @@
 		transaction.Compares = append(transaction.Compares, backend.Compare{Key: key, Version: j.versions[update.Number]})
 		transaction.Writes = append(transaction.Writes, backend.Write{Key: key, Value: update.Segment.Encode()})
 	}
-	if part.done {
+	if part.completesJob {
 		header := j.header
 		header.State, header.EndedAt = record.StateCompleted, time.Now().UTC()
 		transaction.Writes = append(transaction.Writes, EndWrites(&header, r.config.Retention)...)
@@ -112,8 +115,9 @@
 	return append(changes, intents)
 }
 
-// EndWrites are the writes that end a job, whose header says how and when: it
-// leaves its shard's list of open jobs, and waits for its collection.
+// EndWrites returns the writes that end a job, whose header must have its final
+// state and time. They remove the job from its shard's list of open jobs and add
+// it to the list of jobs that expire.
 func EndWrites(header *record.Job, retention time.Duration) []backend.Write {
 	return []backend.Write{
 		{Key: record.JobKey(header.ID), Value: record.Encode(header)},
--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -1,11 +1,11 @@
 // Package runner runs the items of the jobs whose shards this node holds, and
-// commits their outcomes. Results are written as objects first; the commit that
-// follows makes them readable and final, and compares the shard's lease and the
-// job's header, so that an outcome is dropped when the shard has changed hands
+// commits their outcomes. Results are first written as objects. The following
+// commit makes them readable and final. It compares the shard's lease and the
+// job's header, so an outcome is dropped when another node has claimed the shard
 // or the job has ended.
 //
-// Runner.mu guards all state. It is taken before no other lock, and is not held
-// during calls to the stores or to dispatch.
+// Runner.mu guards all state. No other lock is acquired while it is held, and it
+// is not held during calls to the stores or to dispatch.
 package runner
 
 import (
@@ -32,30 +32,30 @@
 
 // Config bounds a node's batch work.
 type Config struct {
-	CommitInterval  time.Duration // the longest that an outcome waits for others
-	CommitItems     int           // outcomes that are committed without waiting
-	HeldResultBytes int64         // results in memory from which on no item is started
-	InputCacheBytes int64         // items in memory that wait to be run
-	MaxRunning      int           // items at once
-	Poll            time.Duration // between looks at a shard's list of open jobs
-	IntentTimeout   time.Duration // that a send waits for its intent's commit
-	ResumeAttempts  int           // to learn the outcome of an item that must not run again
-	RepeatAttempts  int           // of a repeatable item whose engine does not answer
-	StopGrace       time.Duration // for items that must not run again, at a planned stop
-	Retention       time.Duration // of an ended job
+	CommitInterval  time.Duration // longest time an outcome waits to share a commit
+	CommitItems     int           // outcomes of one job that trigger a commit at once
+	HeldResultBytes int64         // uncommitted results in memory at which no further item is started
+	InputCacheBytes int64         // loaded input items; a job's next segment is loaded even above it
+	MaxRunning      int           // items run concurrently
+	PollInterval    time.Duration // average time between reads of all shards' open jobs
+	IntentTimeout   time.Duration // longest wait of a send for the commit of its intent
+	ResumeAttempts  int           // attempts to learn the outcome of a non-repeatable item
+	RepeatAttempts  int           // unanswered attempts after which a repeatable item fails
+	StopGrace       time.Duration // time for non-repeatable items to end at a planned stop
+	Retention       time.Duration // time from a job's end to its removal
 }
 
-// Leases is what the runner needs of the keeper of leases.
+// Leases is the part of the lease keeper that the runner uses.
 type Leases interface {
-	// Lost tells that a compare on a shard's lease failed.
+	// Lost reports that a compare on a shard's lease failed.
 	Lost(shard int)
-	// Renewal gives the write by which a transaction renews the leases, if it
-	// is due, and Renewed tells that one took effect.
+	// Renewal returns the write with which a transaction renews the leases, and
+	// whether a renewal is due. Renewed reports that such a write was committed.
 	Renewal() (write backend.Write, due bool)
 	Renewed()
 }
 
-// Dependencies are what the runner works with.
+// Dependencies holds the components that the runner uses.
 type Dependencies struct {
 	Store  *store.Client
 	Blobs  blob.Store
@@ -64,8 +64,8 @@
 	Limits limits.Limiter
 }
 
-// group is the work that one reservation of capacity can serve.
-type group struct{ pool, model string }
+// capacityGroup identifies the items that a slot of the pool and model can run.
+type capacityGroup struct{ pool, model string }
 
 // Runner runs jobs. Create it with New and call Run once.
 type Runner struct {
@@ -76,67 +76,69 @@
 
 	leases Leases // nil before Bind
 
-	kickUpload chan struct{} // of capacity 1
-	kickCommit chan struct{} // of capacity 1
-	kickPoll   chan struct{} // of capacity 1
+	wakeUpload chan struct{} // of capacity 1
+	wakeCommit chan struct{} // of capacity 1
+	wakePoll   chan struct{} // of capacity 1
 	tasks      sync.WaitGroup
 
-	// once is the parent of all jobs' contexts of that name.
-	once       context.Context
-	cancelOnce context.CancelFunc
+	// nonRepeatable is the parent of all jobs' contexts of that name.
+	nonRepeatable       context.Context
+	cancelNonRepeatable context.CancelFunc
 
-	mu      sync.Mutex
-	context context.Context // of Run; nil before
-	shards  map[int]*shardWork
-	jobs    map[identity.JobID]*job
-	// loading holds the jobs that are being read; true: cancelled meanwhile.
-	loading   map[identity.JobID]bool
-	scheduler batch.Scheduler
-	groups    map[group]*progress // with a goroutine that acquires capacity
-	changed   chan struct{}       // closed and replaced when more may be runnable
-	heldBytes int64               // of results not committed
-	cached    int64               // bytes of loaded inputs
-	running   int
-	ready     []*upload // written objects, to be committed
-	intents   []*intentWait
+	mu         sync.Mutex
+	runContext context.Context // of Run; nil before Run is called Run is called
+	shards     map[int]*shardWork
+	jobs       map[identity.JobID]*job
+	// loading holds the jobs that are being read; the value is true for a job
+	// that was cancelled meanwhile.
+	loading          map[identity.JobID]bool
+	scheduler        batch.Scheduler
+	groups           map[capacityGroup]*throughput // one goroutine each acquires capacity
+	changed          chan struct{}                 // closed and replaced when more items may be runnable
+	heldResultBytes  int64                         // size of uncommitted results
+	cachedInputBytes int64                         // size of loaded inputs
+	runningItems     int
+	written          []*upload // objects to be committed
+	intents          []*intentWait
 }
 
-// shardWork is the work of one held shard.
+// shardWork is the state of one held shard.
 type shardWork struct {
 	fence    shard.Fence
-	sequence uint64 // of result objects
+	sequence uint64 // of the last result object
 	// context ends when the shard is flushed or lost.
 	context context.Context
 	cancel  context.CancelFunc
-	// unread: its list of open jobs is to be read.
-	unread bool
+	// listStale is true when the shard's list of open jobs must be read.
+	listStale bool
 }
 
-// New makes a runner; Bind is called before Run.
+// New returns a runner. Bind must be called before Run.
 func New(config Config, deps Dependencies, logger *zap.Logger, registerer prometheus.Registerer) *Runner {
 	runner := &Runner{
 		config: config, deps: deps, logger: logger,
-		kickUpload: make(chan struct{}, 1),
-		kickCommit: make(chan struct{}, 1),
-		kickPoll:   make(chan struct{}, 1),
+		wakeUpload: make(chan struct{}, 1),
+		wakeCommit: make(chan struct{}, 1),
+		wakePoll:   make(chan struct{}, 1),
 		shards:     make(map[int]*shardWork),
 		jobs:       make(map[identity.JobID]*job),
 		loading:    make(map[identity.JobID]bool),
-		groups:     make(map[group]*progress),
+		groups:     make(map[capacityGroup]*throughput),
 		changed:    make(chan struct{}),
 	}
-	runner.once, runner.cancelOnce = context.WithCancel(context.Background())
+	runner.nonRepeatable, runner.cancelNonRepeatable = context.WithCancel(context.Background())
 	runner.metrics = newMetrics(registerer, runner)
 	return runner
 }
 
-// Bind sets the keeper of leases, which itself is made with the runner.
+// Bind sets the lease keeper, which New cannot take because the keeper is
+// created with the runner.
 func (r *Runner) Bind(leases Leases) { r.leases = leases }
 
-// Run works until the context ends. The keeper's Run must have ended before,
-// so that the shards are flushed.
+// Run runs jobs until the context ends. The lease keeper's Run must have
+// returned before that, so that the shards are flushed.
 func (r *Runner) Run(ctx context.Context) error {
-	r.locked(func() { r.context = ctx })
+	r.locked(func() { r.runContext = ctx })
 	r.tasks.Go(func() { r.uploadLoop(ctx) })
 	r.tasks.Go(func() { r.commitLoop(ctx) })
 	r.tasks.Go(func() { r.pollLoop(ctx) })
@@ -144,20 +146,20 @@
 	<-ctx.Done()
 	r.mu.Lock()
 	for _, work := range r.shards {
-		r.drop(work)
+		r.dropShard(work)
 	}
 	r.mu.Unlock()
-	grace := time.AfterFunc(r.config.StopGrace, r.cancelOnce)
+	grace := time.AfterFunc(r.config.StopGrace, r.cancelNonRepeatable)
 	defer grace.Stop()
 	r.tasks.Wait()
-	r.cancelOnce()
+	r.cancelNonRepeatable()
 	return nil
 }
 
-// start runs a task that Run waits for; false when Run has not begun or has ended.
-// r.mu is held.
+// start runs a task that Run waits for. It returns false when Run has not started
+// or its context has ended. r.mu is held.
 func (r *Runner) start(task func(ctx context.Context)) bool {
-	ctx := r.context
+	ctx := r.runContext
 	if ctx == nil || ctx.Err() != nil {
 		return false
 	}
@@ -172,19 +174,19 @@
 	}
 	r.locked(func() {
 		for _, fence := range fences {
-			r.acquire(fence)
+			r.addShard(fence)
 		}
 	})
-	signal(r.kickPoll)
+	signal(r.wakePoll)
 }
 
-// acquire has a shard's list of open jobs read. r.mu is held.
-func (r *Runner) acquire(fence shard.Fence) {
+// addShard adds a shard and marks its list of open jobs to be read. r.mu is held.
+func (r *Runner) addShard(fence shard.Fence) {
 	if earlier := r.shards[fence.Shard]; earlier != nil {
-		r.drop(earlier)
+		r.dropShard(earlier)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r.shards[fence.Shard] = &shardWork{fence: fence, context: ctx, cancel: cancel, unread: true}
+	r.shards[fence.Shard] = &shardWork{fence: fence, context: ctx, cancel: cancel, listStale: true}
 }
 
 // Lost implements shard.Worker.
@@ -192,27 +194,27 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if work := r.shards[number]; work != nil {
-		r.drop(work)
+		r.dropShard(work)
 	}
 }
 
-// drop ends a shard's work without committing anything more. r.mu is held.
-func (r *Runner) drop(work *shardWork) {
+// dropShard ends a shard's work without committing anything more. r.mu is held.
+func (r *Runner) dropShard(work *shardWork) {
 	work.cancel()
 	if r.shards[work.fence.Shard] == work {
 		delete(r.shards, work.fence.Shard)
 	}
 	for _, j := range r.jobs {
 		if j.shard == work {
-			r.remove(j, false)
+			r.removeJob(j, false)
 		}
 	}
 }
 
-// Flush implements shard.Worker: it stops the repeatable items of the shard,
-// waits for their tasks, commits what is finished and drops the rest. Items that
-// must not be repeated run on, since stopping them would lose their outcome; the
-// next holder joins them by their intents.
+// Flush implements shard.Worker. It stops the repeatable items of the shard,
+// waits for their tasks, commits what is finished and drops the rest.
+// Non-repeatable items continue, because stopping them would lose their outcome;
+// the next holder resumes them from their recorded intents.
 func (r *Runner) Flush(ctx context.Context, number int) {
 	r.mu.Lock()
 	work := r.shards[number]
@@ -225,7 +227,7 @@
 	ticker := time.NewTicker(check)
 	defer ticker.Stop()
 	for !r.flushed(work) {
-		signal(r.kickUpload)
+		signal(r.wakeUpload)
 		select {
 		case <-ctx.Done():
 			r.Lost(number)
@@ -236,8 +238,8 @@
 	r.Lost(number)
 }
 
-// flushed says that nothing of a shard is running, waiting for its upload or
-// for its commit.
+// flushed reports whether no repeatable item of a shard is running and no outcome
+// waits for its upload or commit.
 func (r *Runner) flushed(work *shardWork) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,17 +251,17 @@
 	return true
 }
 
-// Submitted tells that a job was accepted for a shard.
+// Submitted reports that a job was accepted for a shard.
 func (r *Runner) Submitted(number int) {
 	r.mu.Lock()
 	work := r.shards[number]
 	r.mu.Unlock()
 	if work != nil {
-		r.poll(work)
+		r.requestPoll(work)
 	}
 }
 
-// Cancelled tells that a job's cancellation was committed: its items stop now.
+// Cancelled stops a job's items. Its cancellation has been committed.
 func (r *Runner) Cancelled(id identity.JobID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -267,17 +269,17 @@
 		r.loading[id] = true
 	}
 	if j := r.jobs[id]; j != nil {
-		r.remove(j, true)
+		r.removeJob(j, true)
 	}
 }
 
-// wakeLocked tells those who wait that more may be runnable. r.mu is held.
+// wakeLocked wakes the loops that wait for runnable items. r.mu is held.
 func (r *Runner) wakeLocked() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// row gives the row that governs a job now.
+// row returns the row that governs a job now.
 func (r *Runner) row(header *record.Job) (policy.Row, bool) {
 	return r.deps.Rows.Table().Lookup(string(header.Tenant), header.Model, policy.KindBatch)
 }
--- a/internal/jobs/runner/upload.go
+++ b/internal/jobs/runner/upload.go
@@ -22,8 +22,8 @@
 	bytes     int64
 }
 
-// uploadLoop writes outcomes in groups: those of one job that ended within one
-// commit interval share an object.
+// uploadLoop writes outcomes in groups. The outcomes of one job from one commit
+// interval share an object.
 func (r *Runner) uploadLoop(ctx context.Context) {
 	ticker := time.NewTicker(r.config.CommitInterval)
 	defer ticker.Stop()
@@ -32,7 +32,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-r.kickUpload:
+		case <-r.wakeUpload:
 		}
 		r.mu.Lock()
 		for _, j := range r.jobs {
@@ -42,8 +42,8 @@
 	}
 }
 
-// startUpload begins to write a job's outcomes; one object of a job at a time,
-// so that what ends meanwhile is grouped. r.mu is held.
+// startUpload starts writing a job's outcomes. Each job writes one object at a
+// time, so that outcomes that arrive meanwhile are grouped. r.mu is held.
 func (r *Runner) startUpload(j *job) {
 	if j.uploading || len(j.finished) == 0 {
 		return
@@ -68,35 +68,35 @@
 		r.metrics.objects.Inc()
 		r.mu.Lock()
 		group.job.uploading = false
-		r.ready = append(r.ready, group)
+		r.written = append(r.written, group)
 		r.mu.Unlock()
-		signal(r.kickCommit)
+		signal(r.wakeCommit)
 		return
 	}
 	events.CommitDelayed.Log(r.logger, zap.String("status", "object not written"), zap.Int("items", len(group.items)),
 		zap.Int64("bytes", group.bytes), zap.Error(err))
-	wait.For(ctx, jitter(uploadPause))
+	wait.For(ctx, jitter(uploadRetryDelay))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := group.job
 	j.uploading = false
 	if j.state.Closed() {
-		r.heldBytes -= group.bytes
+		r.heldResultBytes -= group.bytes
 		return
 	}
 	j.uncommitted -= len(group.items)
 	j.finished = append(group.items, j.finished...)
 }
 
-// uploadPause follows a write that failed with all its retries.
-const uploadPause = 2 * time.Second
+// uploadRetryDelay is the maximum delay after a write whose retries all failed.
+const uploadRetryDelay = 2 * time.Second
 
 func encodeResults(items []finishedItem) []byte {
 	var body bytes.Buffer
 	encoder := json.NewEncoder(&body)
 	encoder.SetEscapeHTML(false)
 	for _, item := range items {
-		_ = encoder.Encode(item.result) // a buffer takes every write, and a Result encodes
+		_ = encoder.Encode(item.result) // writes to a buffer do not fail, and a Result always encodes
 	}
 	return body.Bytes()
 }
