--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -116,7 +116,7 @@
 
 func (c Config) shard() shard.Config {
 	return shard.Config{
-		Shards: c.Shards, TimeToLive: c.LeaseTimeToLive, Renew: c.LeaseRenew,
-		Check: c.LeaseCheck, HandOver: c.HandOverDuration,
+		Shards: c.Shards, TimeToLive: c.LeaseTimeToLive, RenewInterval: c.LeaseRenew,
+		CheckInterval: c.LeaseCheck, FlushTimeout: c.HandOverDuration,
 	}
 }
--- a/internal/jobs/shard/claim.go
+++ b/internal/jobs/shard/claim.go
@@ -17,24 +17,25 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// claimsPerCommit bounds one claiming transaction.
-const claimsPerCommit = 64
+// maxShardsPerCommit bounds the shards in one claim or release transaction.
+const maxShardsPerCommit = 64
 
-// claim commits claims in groups.
+// claim claims shards in groups of at most maxShardsPerCommit.
 func (k *Keeper) claim(ctx context.Context, shards []int) {
-	if len(shards) == 0 || !k.begin(ctx) {
+	if len(shards) == 0 || !k.ensureSession(ctx) {
 		return
 	}
-	for group := range slices.Chunk(shards, claimsPerCommit) {
-		// A group in which some compares fail is tried once more without those;
-		// the next pass reads the shards that were not claimed again.
+	for group := range slices.Chunk(shards, maxShardsPerCommit) {
+		// A group in which some compares fail is retried once without those. The
+		// next reconcile reads the shards that were not claimed again.
 		if rest := k.commitClaim(ctx, group); len(rest) > 0 && ctx.Err() == nil {
 			k.commitClaim(ctx, rest)
 		}
 	}
 }
 
-// commitClaim claims shards, or gives those whose compares did not fail.
+// commitClaim claims shards. On a conflict it claims none and returns the shards
+// whose compares did not fail.
 func (k *Keeper) commitClaim(ctx context.Context, shards []int) (rest []int) {
 	transaction, shards, sessions := k.claimTransaction(shards)
 	if len(shards) == 0 {
@@ -43,26 +44,27 @@
 	result := k.store.Commit(ctx, transaction)
 	switch result.Status {
 	case store.Applied:
-		k.claimed(shards, result.Versions)
+		k.applyClaims(shards, result.Versions)
 	case store.Conflict:
 		for i, number := range shards {
-			if !conflicting(result.Conflicts, record.ShardKey(number), record.SessionKey(sessions[i])) {
+			if !hasConflict(result.Conflicts, record.ShardKey(number), record.SessionKey(sessions[i])) {
 				rest = append(rest, number)
 			}
 		}
 	}
-	return rest // a claim that did take effect shows at the next read
+	return rest // empty unless on a conflict; a claim whose answer was lost shows at the next read
 }
 
-// conflicting says whether one of the keys is among the records.
-func conflicting(conflicts []backend.Record, keys ...string) bool {
+// hasConflict reports whether one of the keys is among the records.
+func hasConflict(conflicts []backend.Record, keys ...string) bool {
 	return slices.ContainsFunc(conflicts, func(current backend.Record) bool { return slices.Contains(keys, current.Key) })
 }
 
-// claimTransaction compares each shard's record and its holder's session, so
-// that a holder which has renewed meanwhile keeps its shards, and ends the
-// lapsed sessions. It gives the shards that are still wanted, in the order of
-// the first writes, and the session that each is taken from.
+// claimTransaction builds a transaction that claims shards and ends the expired
+// sessions of their holders. It compares each shard's record and its holder's
+// session, so that a holder that has renewed its session meanwhile keeps its
+// shards. It also returns the shards that are still wanted, in the order of the
+// first writes, and the session that each one is claimed from.
 func (k *Keeper) claimTransaction(shards []int) (transaction backend.Transaction, claimed []int, sessions []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -92,11 +94,12 @@
 	return transaction, claimed, sessions
 }
 
-// claimed takes shards over whose claim took effect. The versions are empty
-// when that was learned by reading; the next pass then finds the claim.
-func (k *Keeper) claimed(shards []int, versions []uint64) {
+// applyClaims marks shards as held after their claim was committed, and starts
+// their work. When the versions of the commit are not known, it leaves that to
+// the next reconcile, which finds the claim by reading.
+func (k *Keeper) applyClaims(shards []int, versions []uint64) {
 	if len(versions) < len(shards) {
-		k.nudge()
+		k.wakeRun()
 		return
 	}
 	var fences []Fence
@@ -114,58 +117,61 @@
 	events.ShardClaimed.Log(k.logger, zap.Ints("shards", shards), zap.Int("count", len(shards)))
 }
 
-// begin writes the session's record if it is not there yet; false when it cannot.
-func (k *Keeper) begin(ctx context.Context) bool {
+// ensureSession writes the session's record if it has not been written yet. It
+// returns false when the write fails.
+func (k *Keeper) ensureSession(ctx context.Context) bool {
 	k.mu.Lock()
 	version := k.version
 	k.mu.Unlock()
 	return version != 0 || k.renew(ctx)
 }
 
-// reportEvery is how often a failing renewal is logged.
-const reportEvery = time.Minute
+// renewFailureLogInterval is the minimum time between log lines about failing
+// renewals.
+const renewFailureLogInterval = time.Minute
 
-// Renewal gives the write by which a transaction renews the session on its way;
-// not due: the session was renewed lately, or is not begun. The write needs no
-// compare: a session that was ended meanwhile and is revived by it still owns
-// only the shards whose records name it.
+// Renewal returns a write that renews the session as part of another transaction.
+// It is not due when the session was renewed recently or has not been written
+// yet. The write needs no compare: if it recreates a session that was ended
+// meanwhile, that session still owns only the shards whose records name it.
 func (k *Keeper) Renewal() (write backend.Write, due bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.version == 0 || time.Since(k.renewal) < k.config.Renew/2 {
+	if k.version == 0 || time.Since(k.renewedAt) < k.config.RenewInterval/2 {
 		return backend.Write{}, false
 	}
 	return k.renewalWrite(), true
 }
 
-// Renewed says that a transaction with the Renewal took effect.
+// Renewed records that a transaction with a Renewal write was committed.
 func (k *Keeper) Renewed() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.renewal = time.Now()
+	k.renewedAt = time.Now()
 }
 
-// renewalWrite is the session's record as of now. k.mu is held.
+// renewalWrite returns the write of the session's record as of now. k.mu is held.
 func (k *Keeper) renewalWrite() backend.Write {
 	value := record.Encode(lease.Session{Node: k.bus.Self(), RenewedAt: time.Now().UTC()})
 	return backend.Write{Key: record.SessionKey(k.session), Value: value}
 }
 
-// renewLoop renews the session while it is begun and no other transaction does.
+// renewLoop renews the session once it has been written, unless other
+// transactions have renewed it in time.
 func (k *Keeper) renewLoop(ctx context.Context) {
-	const looks = 5 // in one renewal's time
-	for wait.For(ctx, k.config.Renew/looks) {
+	const checksPerRenewal = 5 // checks in one RenewInterval
+	for wait.For(ctx, k.config.RenewInterval/checksPerRenewal) {
 		k.mu.Lock()
-		due := k.version != 0 && time.Since(k.renewal) >= k.config.Renew
+		due := k.version != 0 && time.Since(k.renewedAt) >= k.config.RenewInterval
 		k.mu.Unlock()
 		if due && !k.renew(ctx) {
-			wait.For(ctx, k.config.Renew/2+rand.N(k.config.Renew)) //nolint:gosec // jitter
+			wait.For(ctx, k.config.RenewInterval/2+rand.N(k.config.RenewInterval)) //nolint:gosec // jitter
 		}
 	}
 }
 
-// renew rewrites the session's record by compare on its own version: a session
-// that another node ended is not revived.
+// renew rewrites the session's record with a compare on its version, so that a
+// session that another node has ended is not recreated.
 func (k *Keeper) renew(ctx context.Context) bool {
 	k.mu.Lock()
 	session, version, write := k.session, k.version, k.renewalWrite()
@@ -177,20 +183,20 @@
 	})
 	switch result.Status {
 	case store.Applied:
-		return k.renewed(ctx, session, result.Versions)
+		return k.sessionRenewed(ctx, session, result.Versions)
 	case store.Conflict:
 		if len(result.Conflicts) > 0 && result.Conflicts[0].Version != 0 {
-			// Only this node writes the record: by another transaction, or by a
-			// renewal whose answer was lost for good.
-			return k.renewed(ctx, session, []uint64{result.Conflicts[0].Version})
+			// Only this node writes the record, so the newer version comes from
+			// another transaction or from a renewal whose answer was lost.
+			return k.sessionRenewed(ctx, session, []uint64{result.Conflicts[0].Version})
 		}
-		k.lapse(session)
+		k.sessionLapsed(session)
 		return false
 	default:
 		k.mu.Lock()
-		report := ctx.Err() == nil && time.Since(k.reported) >= reportEvery
+		report := ctx.Err() == nil && time.Since(k.renewFailureLoggedAt) >= renewFailureLogInterval
 		if report {
-			k.reported = time.Now()
+			k.renewFailureLoggedAt = time.Now()
 		}
 		k.mu.Unlock()
 		if report {
@@ -200,7 +206,7 @@
 	}
 }
 
-func (k *Keeper) renewed(ctx context.Context, session string, versions []uint64) bool {
+func (k *Keeper) sessionRenewed(ctx context.Context, session string, versions []uint64) bool {
 	var version uint64
 	if len(versions) > 0 {
 		version = versions[0]
@@ -214,13 +220,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.session == session {
-		k.version, k.renewal = version, time.Now()
+		k.version, k.renewedAt = version, time.Now()
 	}
 	return true
 }
 
-// lapse drops all shards: another node has ended the session.
-func (k *Keeper) lapse(session string) {
+// sessionLapsed drops all shards and starts a new session, because another node
+// has ended the session.
+func (k *Keeper) sessionLapsed(session string) {
 	k.mu.Lock()
 	if k.session != session {
 		k.mu.Unlock()
@@ -239,5 +246,5 @@
 	for _, number := range lost {
 		k.worker.Lost(number)
 	}
-	k.nudge()
+	k.wakeRun()
 }
--- a/internal/jobs/shard/handover.go
+++ b/internal/jobs/shard/handover.go
@@ -18,8 +18,8 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// onHandOverRequest gives shards to the node that asks, when this node agrees
-// that it is the one to hold them.
+// onHandOverRequest hands the requested shards over to the sender if this node's
+// member list also selects the sender as their holder.
 func (k *Keeper) onHandOverRequest(from identity.NodeID, message any) any {
 	request, ok := message.(HandOverRequest)
 	if !ok {
@@ -33,17 +33,18 @@
 	}
 	if len(agreed) > 0 {
 		k.handOver(agreed, from)
-		k.releaseStray(agreed, from)
+		k.releaseUnheldAsync(agreed, from)
 	}
 	return nil
 }
 
-// releaseStray gives up shards whose records name this node's session although
-// it does not hold them: the answer to a claim or to a release was lost.
-func (k *Keeper) releaseStray(shards []int, to identity.NodeID) {
+// releaseUnheldAsync releases shards whose records name this node's session
+// although it does not hold them. This happens when the answer to a claim or a
+// release was lost.
+func (k *Keeper) releaseUnheldAsync(shards []int, to identity.NodeID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.stopped || k.straying {
+	if k.stopped || k.releasingUnheld {
 		return
 	}
 	session := k.session
@@ -56,30 +57,31 @@
 	if len(unheld) == 0 {
 		return
 	}
-	k.straying = true
+	k.releasingUnheld = true
 	k.tasks.Go(func() {
 		if freed := k.releaseUnheld(unheld, session); len(freed) > 0 {
-			k.tell(freed, to, false)
+			k.notifyReleased(freed, to, false)
 		}
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.straying = false
+		k.releasingUnheld = false
 	})
 }
 
-// releaseUnheld gives the shards whose records named the session and are free now.
+// releaseUnheld releases the shards whose records name the session, and returns
+// those that were released.
 func (k *Keeper) releaseUnheld(shards []int, session string) (freed []int) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*k.config.HandOver)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*k.config.FlushTimeout)
 	defer cancel()
 	read, err := k.readShards(ctx, shards)
 	if err != nil {
 		return nil
 	}
-	for group := range slices.Chunk(shards, claimsPerCommit) {
+	for group := range slices.Chunk(shards, maxShardsPerCommit) {
 		transaction := backend.Transaction{ID: "stray-" + ulid.Make().String()}
 		var named []int
 		for _, number := range group {
-			seen, err := versioned(read[number])
+			seen, err := decodeLease(read[number])
 			if err != nil || seen.Record.Session != session {
 				continue
 			}
@@ -95,19 +97,20 @@
 	return freed
 }
 
-// onReleased wakes the claim of shards that were given up.
+// onReleased starts a reconcile that claims released shards. It also records a
+// sender that is stopping.
 func (k *Keeper) onReleased(from identity.NodeID, message any) any {
 	if released, ok := message.(Released); ok && released.Leaving {
 		k.mu.Lock()
-		k.leavers[from] = time.Now()
+		k.leavingNodes[from] = time.Now()
 		k.mu.Unlock()
 	}
-	k.nudge()
+	k.wakeRun()
 	return nil
 }
 
-// handOver gives shards up in the background; to is told, or else whoever is
-// to hold each shard next.
+// handOver releases shards in the background and then notifies the node to, or,
+// when to is empty, the next holder of each shard.
 func (k *Keeper) handOver(shards []int, to identity.NodeID) {
 	leaving := k.startLeaving(shards)
 	if len(leaving) == 0 {
@@ -115,16 +118,16 @@
 	}
 	go func() {
 		defer k.tasks.Done()
-		ctx, cancel := context.WithTimeout(context.Background(), 2*k.config.HandOver)
+		ctx, cancel := context.WithTimeout(context.Background(), 2*k.config.FlushTimeout)
 		defer cancel()
 		k.flush(ctx, leaving)
 		k.release(ctx, leaving)
-		k.tell(leaving, to, false)
+		k.notifyReleased(leaving, to, false)
 	}()
 }
 
-// startLeaving moves held shards to Leaving, and counts the task that is to
-// give them up when there are any.
+// startLeaving moves held shards to the Leaving state and returns them. If there
+// are any, it adds one to k.tasks for the task that releases them.
 func (k *Keeper) startLeaving(shards []int) (leaving []int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -142,9 +145,9 @@
 	return leaving
 }
 
-// flush stops the shards' work, all at once.
+// flush stops the work of all the shards concurrently.
 func (k *Keeper) flush(ctx context.Context, shards []int) {
-	ctx, cancel := context.WithTimeout(ctx, k.config.HandOver)
+	ctx, cancel := context.WithTimeout(ctx, k.config.FlushTimeout)
 	defer cancel()
 	var flushes sync.WaitGroup
 	for _, number := range shards {
@@ -153,10 +156,10 @@
 	flushes.Wait()
 }
 
-// release commits that the shards are free, in groups. A release that fails
-// leaves the shard to lapse with the session, or to be asked for again.
+// release commits in groups that the shards are free. A shard whose release fails
+// becomes free when the session expires, or when its next holder requests it again.
 func (k *Keeper) release(ctx context.Context, shards []int) {
-	for group := range slices.Chunk(shards, claimsPerCommit) {
+	for group := range slices.Chunk(shards, maxShardsPerCommit) {
 		if rest := k.commitRelease(ctx, group); len(rest) > 0 {
 			k.commitRelease(ctx, rest)
 		}
@@ -171,7 +174,8 @@
 	events.ShardReleased.Log(k.logger, zap.Ints("shards", shards))
 }
 
-// commitRelease releases shards, or gives those whose compares did not fail.
+// commitRelease releases shards. On a conflict it releases none and returns the
+// shards whose compares did not fail.
 func (k *Keeper) commitRelease(ctx context.Context, shards []int) (rest []int) {
 	transaction := backend.Transaction{ID: "release-" + ulid.Make().String()}
 	k.mu.Lock()
@@ -193,11 +197,12 @@
 	if result.Status != store.Conflict {
 		return nil
 	}
-	return slices.DeleteFunc(rest, func(number int) bool { return conflicting(result.Conflicts, record.ShardKey(number)) })
+	return slices.DeleteFunc(rest, func(number int) bool { return hasConflict(result.Conflicts, record.ShardKey(number)) })
 }
 
-// tell wakes the nodes that are to hold the shards next.
-func (k *Keeper) tell(shards []int, to identity.NodeID, leaving bool) {
+// notifyReleased sends Released to the node to, or, when to is empty, to the next
+// holder of each shard. If leaving is true, this node is not a next holder.
+func (k *Keeper) notifyReleased(shards []int, to identity.NodeID, leaving bool) {
 	next := make(map[identity.NodeID][]int)
 	nodes := k.candidates()
 	for i, node := range nodes {
@@ -216,13 +221,13 @@
 		}
 	}
 	for node, numbers := range next {
-		_ = k.bus.Send(node, Released{Shards: numbers, Leaving: leaving}) // a lost word costs one check
+		_ = k.bus.Send(node, Released{Shards: numbers, Leaving: leaving}) // a lost message delays the claim by one check interval
 	}
 }
 
-// stop gives everything up: the last act of Run.
+// stop releases all shards and ends the session. Run calls it last.
 func (k *Keeper) stop(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, 2*k.config.HandOver)
+	ctx, cancel := context.WithTimeout(ctx, 2*k.config.FlushTimeout)
 	defer cancel()
 	held := k.startLeaving(k.Held())
 	k.mu.Lock()
@@ -232,14 +237,15 @@
 	if len(held) > 0 {
 		k.flush(ctx, held)
 		k.release(ctx, held)
-		k.tell(held, "", true)
+		k.notifyReleased(held, "", true)
 		k.tasks.Done()
 	}
 	k.tasks.Wait()
 	if version == 0 {
 		return
 	}
-	// Without a compare: a delete may be asked again, and nobody else writes it.
+	// No compare is needed: a delete may be repeated, and no other node writes
+	// this record.
 	k.store.Commit(ctx, backend.Transaction{
 		ID:     "end-" + ulid.Make().String(),
 		Writes: []backend.Write{{Key: record.SessionKey(session), Delete: true}},
--- a/internal/jobs/shard/keeper.go
+++ b/internal/jobs/shard/keeper.go
@@ -1,11 +1,11 @@
-// Package shard keeps this node's leases on shards of batch jobs: it claims the
-// shards that rendezvous hashing over the live members gives to this node,
-// renews the node's one session, and hands shards over. What a lease protects
-// is protected by compares on the shard's record (see core/lease), never by
-// this package's timing.
+// Package shard keeps this node's leases on shards of batch jobs. It claims the
+// shards that rendezvous hashing over the live members assigns to this node,
+// renews the node's single session, and hands shards over. Safety comes from
+// compares on the shard's record (see core/lease), never from the timing of this
+// package.
 //
-// Lock order: Keeper.mu is taken before no other lock, and is not held during
-// calls to the store, the bus or the Worker.
+// Lock order: no other lock is acquired while Keeper.mu is held, and it is not
+// held during calls to the store, the bus or the Worker.
 package shard
 
 import (
@@ -30,21 +30,23 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// Config sets the times of leases.
+// Config sets the number of shards and the timing of leases.
 type Config struct {
 	// Shards is the number of shards; the same on all nodes.
 	Shards int
-	// TimeToLive is how long a session lives without a renewal.
+	// TimeToLive is how long a session is valid without a renewal.
 	TimeToLive time.Duration
-	// Renew is the pause between renewals.
-	Renew time.Duration
-	// Check is the pause between looks at shards that are wanted and not held.
-	Check time.Duration
-	// HandOver bounds the flush of a shard's work at a planned hand-over.
-	HandOver time.Duration
+	// RenewInterval is the time between renewals.
+	RenewInterval time.Duration
+	// CheckInterval is the average time between checks for shards that this node
+	// should hold and does not.
+	CheckInterval time.Duration
+	// FlushTimeout bounds the flush of a shard's work at a planned hand-over. The
+	// whole hand-over is bounded by twice this time.
+	FlushTimeout time.Duration
 }
 
-// Fence is the compare that every write for a shard carries.
+// Fence identifies a held shard and the compare that every write for it carries.
 type Fence struct {
 	Shard int
 	Epoch uint64
@@ -54,13 +56,14 @@
 
 // Worker runs the jobs of held shards.
 type Worker interface {
-	// Acquired starts the work of shards that were taken together. They come in one call, so that
-	// one list can tell their open jobs: shard by shard, a start of three nodes took up to 65 lists.
+	// Acquired starts the work of shards that were claimed together. They are passed in one call, so
+	// that one list can return their open jobs. With one call per shard, a start of three nodes took
+	// up to 65 lists.
 	Acquired(fences []Fence)
-	// Flush stops a shard's work and commits what is finished; it returns when
-	// that is done or the context ends. What is not committed then is dropped.
+	// Flush stops a shard's work and commits what is finished. It returns when
+	// that is done or the context ends, and drops what is not committed by then.
 	Flush(ctx context.Context, shard int)
-	// Lost drops a shard's work: another node holds it.
+	// Lost drops a shard's work because another node holds the shard.
 	Lost(shard int)
 }
 
@@ -74,27 +77,27 @@
 
 	wake chan struct{} // of capacity 1
 
-	mu       sync.Mutex
-	session  string
-	version  uint64    // of the session's record as last seen; 0: not written yet
-	renewal  time.Time // when the session was last renewed
-	reported time.Time // when a failing renewal was last logged
-	machines map[int]*lease.Machine
-	leavers  map[identity.NodeID]time.Time // nodes that announced their stop, and when
-	straying bool                          // shards are being given up without being held
-	ranked   []identity.NodeID             // the candidates for which wanted was worked out
-	wanted   []bool                        // by shard
-	stopped  bool
-	tasks    sync.WaitGroup // hand-overs under way
+	mu                   sync.Mutex
+	session              string
+	version              uint64    // of the session's record as last seen; 0 before it is written
+	renewedAt            time.Time // when the session was last renewed
+	renewFailureLoggedAt time.Time // when a failing renewal was last logged
+	machines             map[int]*lease.Machine
+	leavingNodes         map[identity.NodeID]time.Time // nodes that announced their stop, with the time of the message
+	releasingUnheld      bool                          // a releaseUnheld task is running
+	wantedFor            []identity.NodeID             // the candidates for which wanted was computed
+	wanted               []bool                        // by shard; whether this node should hold it
+	stopped              bool
+	tasks                sync.WaitGroup // hand-overs in flight
 }
 
-// New makes a keeper and sets its message handlers.
+// New returns a keeper and registers its message handlers on the bus.
 func New(config Config, client *store.Client, bus peer.Bus, worker Worker, logger *zap.Logger) *Keeper {
 	keeper := &Keeper{
 		config: config, store: client, bus: bus, worker: worker, logger: logger,
-		wake:     make(chan struct{}, 1),
-		machines: make(map[int]*lease.Machine),
-		leavers:  make(map[identity.NodeID]time.Time),
+		wake:         make(chan struct{}, 1),
+		machines:     make(map[int]*lease.Machine),
+		leavingNodes: make(map[identity.NodeID]time.Time),
 	}
 	keeper.newSession()
 	bus.Handle(HandOverRequest{}, keeper.onHandOverRequest)
@@ -106,7 +109,7 @@
 	k.session, k.version = string(k.bus.Self())+"-"+ulid.Make().String(), 0
 }
 
-// Run keeps the leases until the context ends, and hands them over then.
+// Run keeps the leases until the context ends, and then hands them over.
 func (k *Keeper) Run(ctx context.Context) error {
 	renewals := make(chan struct{})
 	go func() {
@@ -116,9 +119,9 @@
 	k.awaitMembers(ctx)
 	for ctx.Err() == nil {
 		changed := k.bus.Changed()
-		k.pass(ctx)
-		// The pause is spread so that nodes which wake together do not stay together.
-		pause := time.NewTimer(k.config.Check*3/4 + rand.N(k.config.Check/2+1)) //nolint:gosec // jitter
+		k.reconcile(ctx)
+		// Jitter keeps nodes that wake at the same time from staying in step.
+		pause := time.NewTimer(k.config.CheckInterval*3/4 + rand.N(k.config.CheckInterval/2+1)) //nolint:gosec // jitter
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -132,19 +135,20 @@
 	return nil
 }
 
-// The wait for the member list at the start.
+// The limits of the wait for the member list at the start.
 const (
-	membersQuiet   = time.Second
-	membersLongest = 3 * time.Second
+	membersQuietPeriod = time.Second
+	maxMembersWait     = 3 * time.Second
 )
 
-// awaitMembers waits until the member list is quiet: a node that has just begun
-// knows itself alone, and would claim all shards only to hand them over.
+// awaitMembers waits until the member list has not changed for membersQuietPeriod,
+// for at most maxMembersWait. A node that has just started knows only itself, and
+// would claim all shards only to hand them over.
 func (k *Keeper) awaitMembers(ctx context.Context) {
-	longest := time.NewTimer(membersLongest)
+	longest := time.NewTimer(maxMembersWait)
 	defer longest.Stop()
 	for {
-		quiet := time.NewTimer(membersQuiet)
+		quiet := time.NewTimer(membersQuietPeriod)
 		select {
 		case <-k.bus.Changed():
 			quiet.Stop()
@@ -160,12 +164,13 @@
 	}
 }
 
-// Holder says which node is to hold a shard, as far as this node can see.
+// Holder returns the node that should hold a shard according to this node's member
+// list. It returns false when there is no candidate.
 func (k *Keeper) Holder(shard int) (identity.NodeID, bool) {
 	return rendezvous.Owner(record.ShardKey(shard), k.candidates())
 }
 
-// Held gives the shards held now, in order.
+// Held returns the shards held now, in ascending order.
 func (k *Keeper) Held() []int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -179,8 +184,8 @@
 	return held
 }
 
-// Lost takes the word of a failed compare: the shard's record is not the one
-// that this node holds. The shard's work has been dropped.
+// Lost reports a failed compare on a shard's record, which means that this node no
+// longer holds the shard. The caller has dropped the shard's work.
 func (k *Keeper) Lost(shard int) {
 	k.mu.Lock()
 	machine := k.machines[shard]
@@ -189,33 +194,35 @@
 		machine.Lost()
 	}
 	k.mu.Unlock()
-	k.nudge()
+	k.wakeRun()
 }
 
-func (k *Keeper) nudge() {
+func (k *Keeper) wakeRun() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// candidates gives the nodes that may hold shards.
+// candidates returns the nodes that may hold shards: live members that have not
+// announced their stop.
 func (k *Keeper) candidates() []identity.NodeID {
 	live := k.bus.View().Live()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	nodes := make([]identity.NodeID, 0, len(live))
 	for _, member := range live {
-		if _, leaving := k.leavers[member.ID]; !leaving {
+		if _, leaving := k.leavingNodes[member.ID]; !leaving {
 			nodes = append(nodes, member.ID)
 		}
 	}
 	return nodes
 }
 
-// pass compares what is wanted with what is held, and acts.
-func (k *Keeper) pass(ctx context.Context) {
-	seeking, surplus := k.sort()
+// reconcile compares the shards that this node should hold with those it holds,
+// and claims, requests or hands over the difference.
+func (k *Keeper) reconcile(ctx context.Context) {
+	seeking, surplus := k.updateMachines()
 	if len(surplus) > 0 {
 		k.handOver(surplus, "")
 	}
@@ -224,30 +231,31 @@
 	}
 	read, err := k.readShards(ctx, seeking)
 	if err != nil {
-		return // the next pass asks again
+		return // the next reconcile reads again
 	}
-	claims, asks := k.decide(ctx, read)
-	for holder, shards := range asks {
-		_ = k.bus.Send(holder, HandOverRequest{Shards: shards}) // asked again at the next pass
+	claims, requests := k.decide(ctx, read)
+	for holder, shards := range requests {
+		_ = k.bus.Send(holder, HandOverRequest{Shards: shards}) // sent again at the next reconcile
 	}
 	k.claim(ctx, claims)
 }
 
-// sort brings the machines up to the member list. Surplus shards are those to
-// give up at once, because this node is leaving.
-func (k *Keeper) sort() (seeking, surplus []int) {
+// updateMachines updates the shards' state machines to the member list. It returns
+// the shards that this node seeks, and the surplus ones that it must hand over at
+// once because it is leaving.
+func (k *Keeper) updateMachines() (seeking, surplus []int) {
 	self := k.bus.Self()
 	view := k.bus.View()
 	nodes := k.candidates()
 	leaving := !slices.Contains(nodes, self)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for node, since := range k.leavers {
-		if _, known := view.Member(node); !known || time.Since(since) > leaverMemory {
-			delete(k.leavers, node)
+	for node, since := range k.leavingNodes {
+		if _, known := view.Member(node); !known || time.Since(since) > leavingNodeTimeout {
+			delete(k.leavingNodes, node)
 		}
 	}
-	k.rank(nodes)
+	k.updateWanted(nodes)
 	for number, wanted := range k.wanted {
 		machine := k.machines[number]
 		if machine == nil {
@@ -272,30 +280,31 @@
 	return seeking, surplus
 }
 
-// rank finds the shards that this node is to hold; it costs a hash for each
-// shard and node, and is done only when the nodes have changed. k.mu is held.
-func (k *Keeper) rank(nodes []identity.NodeID) {
-	if k.wanted != nil && slices.Equal(nodes, k.ranked) {
+// updateWanted computes the shards that this node should hold. This costs a hash
+// for each shard and node, so it is done only when the nodes have changed. k.mu is
+// held.
+func (k *Keeper) updateWanted(nodes []identity.NodeID) {
+	if k.wanted != nil && slices.Equal(nodes, k.wantedFor) {
 		return
 	}
-	k.ranked, k.wanted = nodes, make([]bool, k.config.Shards)
+	k.wantedFor, k.wanted = nodes, make([]bool, k.config.Shards)
 	for number := range k.wanted {
 		owner, found := rendezvous.Owner(record.ShardKey(number), nodes)
 		k.wanted[number] = found && owner == k.bus.Self()
 	}
 }
 
-// leaverMemory is how long an announced stop is kept when the member list does
-// not confirm it.
-const leaverMemory = 30 * time.Second
+// leavingNodeTimeout is how long an announced stop is remembered when the member
+// list does not confirm it.
+const leavingNodeTimeout = 30 * time.Second
 
-// listFrom is the number of shards from which on one list is cheaper than
-// reading their records one by one.
-const listFrom = 8
+// listMinShards is the number of shards at which one list becomes cheaper than
+// reading their records one by one. It also limits concurrent reads of sessions.
+const listMinShards = 8
 
 func (k *Keeper) readShards(ctx context.Context, shards []int) (map[int]backend.Record, error) {
 	read := make(map[int]backend.Record, len(shards))
-	if len(shards) >= listFrom {
+	if len(shards) >= listMinShards {
 		all, err := k.store.List(ctx, record.ShardPrefix, "")
 		if err != nil {
 			return nil, err
@@ -317,10 +326,11 @@
 	return read, nil
 }
 
-// decide steps the machines of the wanted shards by what was read.
-func (k *Keeper) decide(ctx context.Context, read map[int]backend.Record) (claims []int, asks map[identity.NodeID][]int) {
+// decide advances the state machines of the sought shards with the records that
+// were read. It returns the shards to claim, and those to request by holder.
+func (k *Keeper) decide(ctx context.Context, read map[int]backend.Record) (claims []int, requests map[identity.NodeID][]int) {
 	view := k.bus.View()
-	asks = make(map[identity.NodeID][]int)
+	requests = make(map[identity.NodeID][]int)
 	sessions := make(map[string][]int)
 	var resumed []Fence
 	k.mu.Lock()
@@ -328,7 +338,7 @@
 		if machine.State() != lease.Seeking {
 			continue
 		}
-		seen, err := versioned(read[number])
+		seen, err := decodeLease(read[number])
 		if err != nil {
 			continue
 		}
@@ -337,7 +347,7 @@
 		case lease.Claim:
 			claims = append(claims, number)
 		case lease.AskHolder:
-			asks[seen.Record.Node] = append(asks[seen.Record.Node], number)
+			requests[seen.Record.Node] = append(requests[seen.Record.Node], number)
 			sessions[seen.Record.Session] = append(sessions[seen.Record.Session], number)
 		case lease.ReadSession:
 			sessions[seen.Record.Session] = append(sessions[seen.Record.Session], number)
@@ -348,16 +358,17 @@
 	}
 	k.mu.Unlock()
 	k.worker.Acquired(resumed)
-	claims = append(claims, k.lapsed(ctx, sessions)...)
+	claims = append(claims, k.claimableShards(ctx, sessions)...)
 	slices.Sort(claims)
-	return claims, asks
+	return claims, requests
 }
 
-// lapsed reads the holders' sessions and gives the shards that may be claimed.
-func (k *Keeper) lapsed(ctx context.Context, sessions map[string][]int) (claims []int) {
+// claimableShards reads the holders' sessions and returns the shards that may be
+// claimed.
+func (k *Keeper) claimableShards(ctx context.Context, sessions map[string][]int) (claims []int) {
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(listFrom)
+	group.SetLimit(listMinShards)
 	for name, shards := range sessions {
 		group.Go(func() error {
 			found, err := k.store.Get(ctx, record.SessionKey(name))
@@ -385,7 +396,7 @@
 	return claims
 }
 
-func versioned(found backend.Record) (lease.Versioned, error) {
+func decodeLease(found backend.Record) (lease.Versioned, error) {
 	if found.Version == 0 {
 		return lease.Versioned{}, nil
 	}
@@ -400,7 +411,7 @@
 	return record.Decode[lease.Session](found.Value)
 }
 
-// fence gives a held shard's fence; k.mu is held.
+// fence returns a held shard's fence. k.mu is held.
 func (k *Keeper) fence(number int) Fence {
 	held := k.machines[number].Lease()
 	return Fence{
--- a/internal/jobs/shard/messages.go
+++ b/internal/jobs/shard/messages.go
@@ -1,10 +1,10 @@
 package shard
 
-// HandOverRequest asks the holder of shards for them.
+// HandOverRequest asks the holder of shards to hand them over to the sender.
 type HandOverRequest struct{ Shards []int }
 
-// Released says that the sender has given shards up. Leaving says that it
-// takes no more shards.
+// Released reports that the sender has released shards. Leaving is true when the
+// sender is stopping and claims no more shards.
 type Released struct {
 	Shards  []int
 	Leaving bool
