--- a/internal/jobs/intake/intake.go
+++ b/internal/jobs/intake/intake.go
@@ -1,9 +1,9 @@
-// Package intake takes in a batch job: it reads the items as a stream, checks
-// each line, writes them to the object store in segments, and creates the job
-// by one transaction under its tenant and idempotency key. Until that
+// Package intake accepts batch jobs. It reads the items as a stream, validates
+// each line, writes the items to the object store in segments, and creates the
+// job in one transaction under its tenant and idempotency key. Until that
 // transaction has taken effect there is no job, and the objects written so far
-// belong to nobody; the collector of orphaned objects removes what this
-// package could not.
+// are orphans. The collector of orphaned objects removes those that this package
+// could not delete.
 package intake
 
 import (
@@ -33,7 +33,7 @@
 	Logger *zap.Logger
 }
 
-// Request is a job to be accepted; its items come from the Reader given beside it.
+// Request describes a job to be accepted. Its items come from a Scanner.
 type Request struct {
 	Tenant     identity.TenantID
 	Key        string
@@ -42,15 +42,16 @@
 	Repeatable bool
 }
 
-// Accept reads the items and creates the job; existed says that the key had
-// its job already. It returns after the job is durable, and not before.
+// Accept reads the items and creates the job. existed is true when a job with the
+// same tenant, key and content already exists, which is then returned. Accept
+// returns without an error only after the job is durable.
 func (in *Intake) Accept(ctx context.Context, request Request, items *Scanner) (header record.Job, existed bool, err error) {
 	keyRecord, err := in.Store.Get(ctx, record.IdempotencyKey(request.Tenant, request.Key))
 	if err != nil {
-		return record.Job{}, false, storeDown(err)
+		return record.Job{}, false, notAccepted(err)
 	}
 	if keyRecord.Version != 0 {
-		header, err = in.resent(ctx, keyRecord, items)
+		header, err = in.resubmitted(ctx, keyRecord, items)
 		return header, err == nil, err
 	}
 	id := identity.JobID(ulid.Make().String())
@@ -68,7 +69,8 @@
 	return in.create(ctx, header)
 }
 
-// create commits the job; the loser of a race for the key gets the winner's job.
+// create commits the job. When another job with the same key was committed first,
+// it returns that job.
 func (in *Intake) create(ctx context.Context, header record.Job) (record.Job, bool, error) {
 	key := record.IdempotencyKey(header.Tenant, header.Key)
 	result := in.Store.Commit(ctx, backend.Transaction{
@@ -95,15 +97,16 @@
 		return record.Job{}, false, apierror.New(http.StatusConflict, apierror.CodeConflict, "the job's id was voided while its items were uploaded; send it again")
 	case store.NotApplied:
 		in.discard(ctx, header.ID)
-		return record.Job{}, false, storeDown(result.Cause)
+		return record.Job{}, false, notAccepted(result.Cause)
 	default:
 		events.JobAcceptUncertain.Log(in.Logger, zap.String("job", string(header.ID)), zap.String("tenant", string(header.Tenant)), zap.Error(result.Cause))
 		return record.Job{}, false, apierror.Uncertain("the answer of the table service was lost; send the job again with the same idempotency key to learn whether it was accepted")
 	}
 }
 
-// resent checks a job sent again against the one that holds its key.
-func (in *Intake) resent(ctx context.Context, keyRecord backend.Record, items *Scanner) (record.Job, error) {
+// resubmitted compares a job that is submitted again with the one that holds its
+// key.
+func (in *Intake) resubmitted(ctx context.Context, keyRecord backend.Record, items *Scanner) (record.Job, error) {
 	content, err := items.ReadAll(func(int, []byte) error { return ctx.Err() })
 	if err != nil {
 		return record.Job{}, err
@@ -121,7 +124,7 @@
 	}
 	current, err := in.Store.Get(ctx, record.JobKey(holder.Job))
 	if err != nil {
-		return record.Job{}, storeDown(err)
+		return record.Job{}, notAccepted(err)
 	}
 	if current.Version == 0 {
 		return record.Job{}, apierror.New(http.StatusNotFound, apierror.CodeNotFound, "job %s has passed its retention", holder.Job)
@@ -129,34 +132,36 @@
 	return record.Decode[record.Job](current.Value)
 }
 
-// upload writes the items in segments, one at a time.
+// upload writes the items to the object store, one segment at a time.
 func (in *Intake) upload(ctx context.Context, id identity.JobID, items *Scanner) (Content, error) {
 	return items.ReadAll(func(segment int, lines []byte) error {
 		err := in.Blobs.Put(ctx, record.InputObject(id, segment), lines)
 		if err != nil {
-			return storeDown(err)
+			return notAccepted(err)
 		}
 		return nil
 	})
 }
 
-// discard removes the objects of a job that was not accepted, best effort.
+// discard removes the objects of a job that was not accepted, on a best-effort
+// basis.
 func (in *Intake) discard(ctx context.Context, id identity.JobID) {
-	const patience = 2 * time.Second
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience)
+	const discardTimeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), discardTimeout)
 	defer cancel()
 	if err := in.Blobs.DeletePrefix(ctx, record.InputObjects(id)); err != nil {
 		events.JobObjectsLeft.Log(in.Logger, zap.String("job", string(id)), zap.Error(err))
 	}
 }
 
-// retryAfter is when a caller refused for the store may come back.
-const retryAfter = 5 * time.Second
+// storeRetryAfter is the retry delay sent to a caller when the store failed.
+const storeRetryAfter = 5 * time.Second
 
-// storeDown is the refusal of a job that was not accepted, and will not be.
-func storeDown(cause error) error {
+// notAccepted returns the error for a job that was not accepted, and will not be,
+// because of a store error.
+func notAccepted(cause error) error {
 	if errors.Is(cause, context.Canceled) {
 		return cause
 	}
-	return apierror.Unavailable(retryAfter, "the job was not accepted: %v", cause)
+	return apierror.Unavailable(storeRetryAfter, "the job was not accepted: %v", cause)
 }
--- a/internal/jobs/intake/scanner.go
+++ b/internal/jobs/intake/scanner.go
@@ -18,22 +18,22 @@
 
 // Limits bound one submission.
 type Limits struct {
-	Items        int // in a job
-	LineBytes    int // in a line
-	MaxTokens    int // that an item may ask for
+	MaxItems     int // in a job
+	MaxLineBytes int // in a line
+	MaxTokens    int // that an item may request
 	SegmentItems int // in a segment
-	SegmentBytes int // in a segment, from which on the next one is begun
+	SegmentBytes int // in a segment at which the next one is started
 }
 
 // Content describes the items of a submission.
 type Content struct {
-	Segments []int // items in each
+	Segments []int // number of items in each segment
 	Digest   string
 	Tokens   int64 // sum of max_tokens
 }
 
-// Scanner reads a submission's items. The memory that it takes is bounded by
-// one segment, one line, and 8 bytes for each item's custom_id.
+// Scanner reads a submission's items. Its memory is bounded by one segment, one
+// line, and 8 bytes for the hash of each item's custom_id.
 type Scanner struct {
 	limits     Limits
 	repeatable bool
@@ -42,16 +42,18 @@
 	seen       map[uint64]struct{}
 }
 
-// NewScanner reads items as JSON lines; repeatable holds for items that do not say.
+// NewScanner returns a scanner that reads items as JSON lines. repeatable is the
+// default for items that do not set it.
 func NewScanner(reader io.Reader, repeatable bool, limits Limits) *Scanner {
 	lines := bufio.NewScanner(reader)
-	lines.Buffer(make([]byte, 0, min(64<<10, limits.LineBytes)), limits.LineBytes)
+	lines.Buffer(make([]byte, 0, min(64<<10, limits.MaxLineBytes)), limits.MaxLineBytes)
 	return &Scanner{limits: limits, repeatable: repeatable, lines: lines, seen: make(map[uint64]struct{})}
 }
 
-// ReadAll checks every line and passes full segments on, encoded as JSON lines.
-// The bytes are reused after the call returns. A wrong line gives an
-// apierror.Invalid with its number and the reason.
+// ReadAll validates every line and passes each segment, encoded as JSON lines, to
+// the segment function. The bytes are reused after that function returns. An
+// invalid line gives an *apierror.Error whose message has the line number and the
+// reason.
 func (s *Scanner) ReadAll(segment func(number int, lines []byte) error) (Content, error) {
 	var content Content
 	var buffer bytes.Buffer
@@ -79,8 +81,8 @@
 		if !found {
 			break
 		}
-		if total++; total > s.limits.Items {
-			return Content{}, apierror.New(http.StatusRequestEntityTooLarge, apierror.CodeTooLarge, "line %d: a job has at most %d items", s.line, s.limits.Items)
+		if total++; total > s.limits.MaxItems {
+			return Content{}, apierror.New(http.StatusRequestEntityTooLarge, apierror.CodeTooLarge, "line %d: a job has at most %d items", s.line, s.limits.MaxItems)
 		}
 		if err := encoder.Encode(item); err != nil {
 			return Content{}, err
@@ -100,7 +102,8 @@
 	return content, flush()
 }
 
-// next reads a line that is not empty.
+// next returns the item of the next line that is not empty; found is false at the
+// end.
 func (s *Scanner) next() (item record.Item, found bool, err error) {
 	for s.lines.Scan() {
 		s.line++
@@ -113,7 +116,7 @@
 	}
 	switch err = s.lines.Err(); {
 	case errors.Is(err, bufio.ErrTooLong):
-		return record.Item{}, false, apierror.New(http.StatusRequestEntityTooLarge, apierror.CodeTooLarge, "line %d: longer than %d bytes", s.line+1, s.limits.LineBytes)
+		return record.Item{}, false, apierror.New(http.StatusRequestEntityTooLarge, apierror.CodeTooLarge, "line %d: longer than %d bytes", s.line+1, s.limits.MaxLineBytes)
 	case err != nil:
 		return record.Item{}, false, apierror.Invalid("line %d: the upload broke off: %v", s.line+1, err)
 	}
--- a/internal/jobs/intake/scanner_test.go
+++ b/internal/jobs/intake/scanner_test.go
@@ -11,14 +11,15 @@
 	"ringstream.example/ringstream/internal/jobs/record"
 )
 
-var fuzzLimits = Limits{Items: 20, LineBytes: 200, MaxTokens: 100, SegmentItems: 3, SegmentBytes: 150}
+var fuzzLimits = Limits{MaxItems: 20, MaxLineBytes: 200, MaxTokens: 100, SegmentItems: 3, SegmentBytes: 150}
 
-// naiveScan reads the whole submission at once: the accepted items, or none.
-func naiveScan(text string) ([]record.Item, bool) {
+// referenceScan is the reference model of Scanner. It splits the whole submission
+// at once and returns its items, and whether they are to be accepted.
+func referenceScan(text string) ([]record.Item, bool) {
 	var items []record.Item
 	seen := map[string]bool{}
 	for line := range strings.SplitSeq(text, "\n") {
-		if len(strings.TrimSuffix(line, "\r")) >= fuzzLimits.LineBytes {
+		if len(strings.TrimSuffix(line, "\r")) >= fuzzLimits.MaxLineBytes {
 			return nil, false
 		}
 		if line = strings.TrimSpace(line); line == "" {
@@ -34,7 +35,7 @@
 		seen[item.ID] = true
 		items = append(items, item)
 	}
-	return items, len(items) > 0 && len(items) <= fuzzLimits.Items
+	return items, len(items) > 0 && len(items) <= fuzzLimits.MaxItems
 }
 
 func FuzzScanner(f *testing.F) {
@@ -55,14 +56,14 @@
 			}
 			return nil
 		})
-		want, accepted := naiveScan(text)
+		want, accepted := referenceScan(text)
 		if accepted != (err == nil) {
-			t.Fatalf("%q: %v, want accepted %v", text, err, accepted)
+			t.Fatalf("%q: error %v, want accepted %v", text, err, accepted)
 		}
 		var failure *apierror.Error
 		if err != nil {
 			if !errors.As(err, &failure) || failure.Message == "" {
-				t.Fatalf("an error without a message for callers: %v", err)
+				t.Fatalf("error is not an *apierror.Error with a message: %v", err)
 			}
 			return
 		}
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -100,7 +100,7 @@
 
 func (c Config) intake() intake.Limits {
 	return intake.Limits{
-		Items: c.MaxItems, LineBytes: c.MaxLineBytes, MaxTokens: c.MaxTokens,
+		MaxItems: c.MaxItems, MaxLineBytes: c.MaxLineBytes, MaxTokens: c.MaxTokens,
 		SegmentItems: c.SegmentItems, SegmentBytes: c.SegmentBytes,
 	}
 }
