--- a/internal/jobs/intake/intake.go
+++ b/internal/jobs/intake/intake.go
@@ -149,7 +149,7 @@
 	const discardTimeout = 2 * time.Second
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), discardTimeout)
 	defer cancel()
-	if err := in.Blobs.DeletePrefix(ctx, record.InputObjects(id)); err != nil {
+	if err := in.Blobs.DeletePrefix(ctx, record.InputObjectsPrefix(id)); err != nil {
 		events.JobObjectsLeft.Log(in.Logger, zap.String("job", string(id)), zap.Error(err))
 	}
 }
--- a/internal/jobs/record/record.go
+++ b/internal/jobs/record/record.go
@@ -1,5 +1,5 @@
-// Package record gives the stored form of batch state: the keys and values in
-// the table service and the names of objects. It does no I/O.
+// Package record defines the stored form of batch state: the keys and values in
+// the table service, and the names of objects. It does no I/O.
 package record
 
 import (
@@ -21,7 +21,7 @@
 type State string
 
 // The stored states. Void marks the id of a job that was never accepted and
-// never will be; only the collector of orphaned objects writes it.
+// cannot be accepted later. Only the collector of orphaned objects writes it.
 const (
 	StateOpen      State = "open"
 	StateCompleted State = "completed"
@@ -29,7 +29,7 @@
 	StateVoid      State = "void"
 )
 
-// Job is a job's header. It changes when the job ends, and at no other time.
+// Job is a job's header. It changes only when the job ends.
 type Job struct {
 	ID         identity.JobID    `json:"id"`
 	Tenant     identity.TenantID `json:"tenant"`
@@ -40,16 +40,17 @@
 	Deadline   time.Time         `json:"deadline,omitzero"`
 	Repeatable bool              `json:"repeatable"`
 	State      State             `json:"state"`
-	// Segments gives the number of items in each input segment.
+	// Segments holds the number of items in each input segment.
 	Segments []int `json:"segments"`
-	// Digest is the hash of the content, to tell a resent job from a reused key.
+	// Digest is the hash of the content. It distinguishes a job that is submitted
+	// again from a reused key.
 	Digest  string    `json:"digest"`
 	EndedAt time.Time `json:"ended_at,omitzero"`
 	// Tokens is the sum of max_tokens over the items, for forecasts.
 	Tokens int64 `json:"tokens"`
 }
 
-// Total is the number of items.
+// Total returns the number of items.
 func (j *Job) Total() int {
 	total := 0
 	for _, items := range j.Segments {
@@ -58,7 +59,7 @@
 	return total
 }
 
-// Ended says that no item will complete any more.
+// Ended reports whether the job has ended, so that no further item completes.
 func (j *Job) Ended() bool { return j.State != StateOpen }
 
 // Item is one line of a submission, and of an input object.
@@ -66,11 +67,11 @@
 	ID        string `json:"custom_id"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
-	// Repeatable overrides the job's when set.
+	// Repeatable overrides the job's value when set.
 	Repeatable *bool `json:"repeatable,omitempty"`
 }
 
-// Result is one item's final outcome, a JSON line of the results.
+// Result is one item's final outcome, and one JSON line of a result object.
 type Result struct {
 	Index   int    `json:"index"`
 	ID      string `json:"custom_id"`
@@ -85,7 +86,8 @@
 	Digest string         `json:"digest"`
 }
 
-// Encode gives a value's stored form. The types of this package always encode.
+// Encode returns a value's stored form. It panics if the value cannot be encoded,
+// which does not happen for the types of this package.
 func Encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return data
 }
 
-// Decode reads Encode's form.
+// Decode decodes a value that Encode encoded.
 func Decode[T any](data []byte) (T, error) {
 	var value T
 	if err := json.Unmarshal(data, &value); err != nil {
@@ -103,8 +105,8 @@
 	return value, nil
 }
 
-// DecodeSegment reads a segment's record; no bytes are a segment in which
-// nothing has happened.
+// DecodeSegment decodes a segment's record. Empty data stands for a segment
+// without changes, all of whose items are open.
 func DecodeSegment(data []byte, items int) (batch.Segment, error) {
 	if len(data) == 0 {
 		return batch.NewSegment(items), nil
@@ -112,7 +114,7 @@
 	return batch.DecodeSegment(data)
 }
 
-// ShardOf gives the shard of a new job among count.
+// ShardOf returns the shard of a new job among count shards.
 func ShardOf(job identity.JobID, count int) int {
 	return int(xxhash.Sum64String(string(job)) % uint64(count)) //nolint:gosec // below count
 }
@@ -122,7 +124,8 @@
 	jobPrefix     = "batch/job/"
 	segmentPrefix = "batch/segment/"
 	sessionPrefix = "batch/session/"
-	// OrphanCursorKey is where the collector of orphaned objects has got to.
+	// OrphanCursorKey is the key of the position up to which the collector of
+	// orphaned objects has scanned the input objects.
 	OrphanCursorKey = "batch/orphan-cursor"
 	// AllOpenPrefix is the prefix of the keys of all open jobs.
 	AllOpenPrefix = "batch/open/"
@@ -141,14 +144,16 @@
 	return fmt.Sprintf("%s%05d", SegmentsPrefix(job), segment)
 }
 
-// SegmentNumber reads the number off a SegmentKey or an InputObject.
+// SegmentNumber parses the number at the end of a SegmentKey, an InputObject or a
+// ShardKey.
 func SegmentNumber(key string) (int, error) {
 	var number int
 	_, err := fmt.Sscanf(key[strings.LastIndexByte(key, '/')+1:], "%05d", &number)
 	return number, err
 }
 
-// IdempotencyKey is the key of the record that gives a tenant's key its job.
+// IdempotencyKey is the key of the record that maps a tenant's idempotency key to
+// its job.
 func IdempotencyKey(tenant identity.TenantID, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return "batch/key/" + url.PathEscape(string(tenant)) + "/" + hex.EncodeToString(sum[:16])
@@ -157,33 +162,34 @@
 // OpenPrefix is the prefix of the keys of a shard's open jobs.
 func OpenPrefix(shard int) string { return fmt.Sprintf("%s%05d/", AllOpenPrefix, shard) }
 
-// OpenKey is present while a job is open.
+// OpenKey is the key of the record that exists while a job is open.
 func OpenKey(shard int, job identity.JobID) string { return OpenPrefix(shard) + string(job) }
 
-// TenantPrefix is the prefix of a tenant's jobs, newest first.
+// TenantPrefix is the prefix of a tenant's jobs, which are listed newest first.
 func TenantPrefix(tenant identity.TenantID) string {
 	return "batch/tenant/" + url.PathEscape(string(tenant)) + "/"
 }
 
 // TenantKey is the key of a job in its tenant's list.
 func TenantKey(tenant identity.TenantID, job identity.JobID) string {
-	return TenantPrefix(tenant) + invert(string(job))
+	return TenantPrefix(tenant) + reverseOrder(string(job))
 }
 
-// JobOfTenantKey gives the job back.
+// JobOfTenantKey returns the job of a TenantKey.
 func JobOfTenantKey(key string) identity.JobID {
-	return identity.JobID(invert(lastPart(key)))
+	return identity.JobID(reverseOrder(lastPart(key)))
 }
 
-// ExpiryPrefix is the prefix of a shard's ended jobs, soonest expiry first.
+// ExpiryPrefix is the prefix of a shard's ended jobs, which are listed in the
+// order of their expiry.
 func ExpiryPrefix(shard int) string { return fmt.Sprintf("batch/expiry/%05d/", shard) }
 
-// ExpiryKey is the key under which an ended job waits for its collection.
+// ExpiryKey is the key of an ended job in its shard's list of jobs to expire.
 func ExpiryKey(shard int, expires time.Time, job identity.JobID) string {
 	return fmt.Sprintf("%s%012d/%s", ExpiryPrefix(shard), expires.Unix(), job)
 }
 
-// ParseExpiryKey gives the time and the job back.
+// ParseExpiryKey returns the expiry time and the job of an ExpiryKey.
 func ParseExpiryKey(key string) (expires time.Time, job identity.JobID, err error) {
 	parts := strings.Split(key, "/")
 	var seconds int64
@@ -202,26 +208,28 @@
 // SessionKey is the key of a node's session.
 func SessionKey(session string) string { return sessionPrefix + session }
 
-// InputPrefix is the prefix of all input objects; job ids sort by their time.
+// InputPrefix is the prefix of all input objects. They sort by the creation time
+// of their jobs, because job ids do.
 const InputPrefix = "batch/input/"
 
-// InputObjects is the prefix of a job's input objects.
-func InputObjects(job identity.JobID) string { return InputPrefix + string(job) + "/" }
+// InputObjectsPrefix is the prefix of a job's input objects.
+func InputObjectsPrefix(job identity.JobID) string { return InputPrefix + string(job) + "/" }
 
 // InputObject is the name of one input segment.
 func InputObject(job identity.JobID, segment int) string {
-	return fmt.Sprintf("%s%05d", InputObjects(job), segment)
+	return fmt.Sprintf("%s%05d", InputObjectsPrefix(job), segment)
 }
 
-// ResultObjects is the prefix of a job's result objects.
-func ResultObjects(job identity.JobID) string { return "batch/result/" + string(job) + "/" }
+// ResultObjectsPrefix is the prefix of a job's result objects.
+func ResultObjectsPrefix(job identity.JobID) string { return "batch/result/" + string(job) + "/" }
 
 // ResultObject is the name of one result object.
 func ResultObject(job identity.JobID, reference batch.Reference) string {
-	return fmt.Sprintf("%s%08d-%08d", ResultObjects(job), reference.Epoch, reference.Sequence)
+	return fmt.Sprintf("%s%08d-%08d", ResultObjectsPrefix(job), reference.Epoch, reference.Sequence)
 }
 
-// JobOfObject gives the job of an input or result object.
+// JobOfObject returns the job of an input or result object, or an empty id when
+// the name has fewer than four parts.
 func JobOfObject(name string) identity.JobID {
 	parts := strings.Split(name, "/")
 	if len(parts) < 4 {
@@ -230,24 +238,25 @@
 	return identity.JobID(parts[2])
 }
 
-// JobOfOpenKey gives the job of an OpenKey.
+// JobOfOpenKey returns the job of an OpenKey.
 func JobOfOpenKey(key string) identity.JobID { return identity.JobID(lastPart(key)) }
 
 func lastPart(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// crockford is the alphabet of job ids, in byte order.
-const crockford = "0123456789ABCDEFGHJKMNPQRSTVWXYZ"
+// jobIDAlphabet is the alphabet of job ids (Crockford's Base32), in byte order.
+const jobIDAlphabet = "0123456789ABCDEFGHJKMNPQRSTVWXYZ"
 
-// invert reverses the order of job ids; it is its own inverse.
-func invert(id string) string {
+// reverseOrder maps job ids so that they sort in reverse order. It is its own
+// inverse.
+func reverseOrder(id string) string {
 	inverted := make([]byte, len(id))
 	for i := range len(id) {
-		position := strings.IndexByte(crockford, id[i])
+		position := strings.IndexByte(jobIDAlphabet, id[i])
 		if position < 0 {
 			inverted[i] = id[i]
 			continue
 		}
-		inverted[i] = crockford[len(crockford)-1-position]
+		inverted[i] = jobIDAlphabet[len(jobIDAlphabet)-1-position]
 	}
 	return string(inverted)
 }
--- a/internal/jobs/retention/retention.go
+++ b/internal/jobs/retention/retention.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	for _, prefix := range []string{record.InputObjects(id), record.ResultObjects(id)} {
+	for _, prefix := range []string{record.InputObjectsPrefix(id), record.ResultObjectsPrefix(id)} {
 		if err := c.Blobs.DeletePrefix(ctx, prefix); err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 		if err == nil && !c.collectOrphan(ctx, id, now) {
 			return after, false
 		}
-		after = record.InputObjects(id) + "~" // sorts after all objects of this job
+		after = record.InputObjectsPrefix(id) + "~" // sorts after all objects of this job
 	}
 	return after, len(names) == orphanPage
 }
@@ -202,7 +202,7 @@
 	if result.Status != store.Applied {
 		return result.Status == store.Conflict
 	}
-	if err := c.Blobs.DeletePrefix(ctx, record.InputObjects(id)); err != nil {
+	if err := c.Blobs.DeletePrefix(ctx, record.InputObjectsPrefix(id)); err != nil {
 		events.CollectFailed.Log(c.Logger, zap.String("job", string(id)), zap.Error(err))
 		return false
 	}
