--- a/internal/jobs/blob/blob.go
+++ b/internal/jobs/blob/blob.go
@@ -1,5 +1,5 @@
-// Package blob reads and writes objects with retries. Every object of a job
-// has a name of its own, so that a write asked again is harmless.
+// Package blob reads and writes objects with retries. Every object of a job has a
+// unique name, so that a repeated write is harmless.
 package blob
 
 import (
@@ -16,8 +16,8 @@
 // Store is the object store with retries. It is safe for concurrent use.
 type Store struct {
 	Objects backend.Objects
-	// Elapsed bounds one call with its retries.
-	Elapsed time.Duration
+	// RetryTimeout is the time after which a failed call is not retried any more.
+	RetryTimeout time.Duration
 }
 
 // Put writes an object.
@@ -34,7 +34,8 @@
 	return body, err
 }
 
-// Page gives up to limit names with the prefix, in order, after the name given.
+// Page returns up to limit names with the prefix that sort after the given name,
+// in order.
 func (s Store) Page(ctx context.Context, prefix, after string, limit int) (names []string, err error) {
 	err = s.retry(ctx, func() error {
 		names, err = s.Objects.List(ctx, prefix, after, limit)
@@ -45,9 +46,9 @@
 
 // DeletePrefix deletes all objects with a prefix.
 func (s Store) DeletePrefix(ctx context.Context, prefix string) error {
-	const page = 200
+	const pageSize = 200
 	for {
-		names, err := s.Page(ctx, prefix, "", page)
+		names, err := s.Page(ctx, prefix, "", pageSize)
 		if err != nil {
 			return err
 		}
@@ -56,13 +57,13 @@
 				return err
 			}
 		}
-		if len(names) < page {
+		if len(names) < pageSize {
 			return nil
 		}
 	}
 }
 
-// Delete deletes an object; an absent one is no error.
+// Delete deletes an object. It returns no error when the object does not exist.
 func (s Store) Delete(ctx context.Context, name string) error {
 	err := s.retry(ctx, func() error { return s.Objects.Delete(ctx, name) })
 	if NotFound(err) {
@@ -71,7 +72,7 @@
 	return err
 }
 
-// NotFound says that an error means an absent object.
+// NotFound reports whether an error means that the object does not exist.
 func NotFound(err error) bool {
 	var failure *backend.Error
 	return errors.As(err, &failure) && failure.Code == backend.CodeNotFound
@@ -81,7 +82,7 @@
 	policy := backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(50*time.Millisecond),
 		backoff.WithMaxInterval(time.Second),
-		backoff.WithMaxElapsedTime(s.Elapsed),
+		backoff.WithMaxElapsedTime(s.RetryTimeout),
 	)
 	return backoff.Retry(func() error {
 		err := call()
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -55,7 +55,7 @@
 
 // New makes a manager and sets its message handlers; the config is valid.
 func New(config Config, deps Dependencies, logger *zap.Logger, registerer prometheus.Registerer) *Manager {
-	blobs := blob.Store{Objects: deps.Objects, Elapsed: objectPatience}
+	blobs := blob.Store{Objects: deps.Objects, RetryTimeout: objectPatience}
 	m := &Manager{
 		config: config, store: deps.Store, blobs: blobs, bus: deps.Bus, batch: deps.Batch, rows: deps.Rows, logger: logger,
 		intake: &intake.Intake{Limits: config.intake(), Shards: config.Shards, Store: deps.Store, Blobs: blobs, Logger: logger},
