--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -66,7 +66,7 @@
 	m.keeper = shard.New(config.shard(), deps.Store, deps.Bus, m.runner, logger)
 	m.runner.Bind(m.keeper)
 	m.collector = &retention.Collector{
-		Store: deps.Store, Blobs: blobs, Held: m.keeper.Held, Logger: logger,
+		Store: deps.Store, Blobs: blobs, HeldShards: m.keeper.Held, Logger: logger,
 		Interval: config.CollectInterval, OrphanGrace: config.OrphanGrace,
 	}
 	m.handleMessages()
--- a/internal/jobs/retention/retention.go
+++ b/internal/jobs/retention/retention.go
@@ -1,7 +1,7 @@
-// Package retention removes what is no longer kept: ended jobs past their
-// retention, by the holder of their shard, and objects that were uploaded for
-// a job that was never accepted, by the holder of shard 0. It never touches an
-// open job.
+// Package retention removes ended jobs past their retention and orphaned objects,
+// which were uploaded for a job that was never accepted. The holder of a shard
+// removes its expired jobs, and the holder of shard 0 removes orphans. Open jobs
+// are never changed.
 package retention
 
 import (
@@ -21,20 +21,21 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// Collector removes expired jobs and orphaned objects. Two collectors at once,
-// during a hand-over, do the same work twice and no harm.
+// Collector removes expired jobs and orphaned objects. Two collectors that run
+// concurrently during a hand-over may do the same work twice, which is harmless.
 type Collector struct {
-	Store  *store.Client
-	Blobs  blob.Store
-	Held   func() []int // the shards that this node holds
-	Logger *zap.Logger
-	// Interval is the pause between rounds.
+	Store      *store.Client
+	Blobs      blob.Store
+	HeldShards func() []int // the shards that this node holds
+	Logger     *zap.Logger
+	// Interval is the average time between rounds.
 	Interval time.Duration
-	// OrphanGrace is above the longest time from an upload to its acceptance.
+	// OrphanGrace is the age from which objects without a job are removed. It must
+	// exceed the longest time from an upload to the acceptance of its job.
 	OrphanGrace time.Duration
 }
 
-// Run works until the context ends.
+// Run runs rounds of Collect until the context ends.
 func (c *Collector) Run(ctx context.Context) error {
 	for {
 		pause := time.NewTimer(c.Interval/2 + rand.N(c.Interval)) //nolint:gosec // jitter
@@ -48,9 +49,9 @@
 	}
 }
 
-// Collect makes one round.
+// Collect runs one round.
 func (c *Collector) Collect(ctx context.Context, now time.Time) {
-	for _, number := range c.Held() {
+	for _, number := range c.HeldShards() {
 		c.collectExpired(ctx, number, now)
 		if number == 0 {
 			c.collectOrphans(ctx, now)
@@ -58,13 +59,13 @@
 	}
 }
 
-// expiredPage is how many jobs of a shard are removed in one round.
-const expiredPage = 50
+// expiredPageSize bounds the jobs of a shard that are removed in one round.
+const expiredPageSize = 50
 
 func (c *Collector) collectExpired(ctx context.Context, number int, now time.Time) {
-	entries, err := c.Store.Page(ctx, record.ExpiryPrefix(number), "", expiredPage)
+	entries, err := c.Store.Page(ctx, record.ExpiryPrefix(number), "", expiredPageSize)
 	if err != nil {
-		return // the next round asks again
+		return // retried in the next round
 	}
 	for _, entry := range entries {
 		expires, id, err := record.ParseExpiryKey(entry.Key)
@@ -77,8 +78,9 @@
 	}
 }
 
-// removeJob removes the objects first and the records after, the entry in the
-// list of expired jobs last of all, so that a round cut short is done again.
+// removeJob removes a job's objects first and its records afterwards. The entry in
+// the list of ended jobs is removed in the last transaction, so that an
+// interrupted removal is repeated in a later round.
 func (c *Collector) removeJob(ctx context.Context, entry backend.Record, id identity.JobID) error {
 	found, err := c.Store.Get(ctx, record.JobKey(id))
 	if err != nil {
@@ -109,15 +111,15 @@
 	return c.Store.Commit(ctx, transaction).Cause
 }
 
-// removeSegments deletes a job's segment records, some at a time; deletes may
-// be asked again and need no compare.
+// removeSegments deletes a job's segment records in groups. The deletes may be
+// repeated, so they need no compare.
 func (c *Collector) removeSegments(ctx context.Context, header *record.Job) error {
-	const deletes = 96 // in one transaction
+	const maxDeletesPerCommit = 96 // in one transaction
 	keys := make([]backend.Write, len(header.Segments))
 	for number := range keys {
 		keys[number] = backend.Write{Key: record.SegmentKey(header.ID, number), Delete: true}
 	}
-	for group := range slices.Chunk(keys, deletes) {
+	for group := range slices.Chunk(keys, maxDeletesPerCommit) {
 		result := c.Store.Commit(ctx, backend.Transaction{ID: "expire-" + ulid.Make().String(), Writes: group})
 		if result.Status != store.Applied {
 			return result.Cause
@@ -126,11 +128,12 @@
 	return nil
 }
 
-// orphanPage is how many names one listing gives.
-const orphanPage = 200
+// orphanPageSize is the number of object names in one listing.
+const orphanPageSize = 200
 
-// collectOrphans looks at input objects older than the grace, each once: job ids
-// rise with time, and a record keeps the place up to which all was looked at.
+// collectOrphans scans the input objects that are older than OrphanGrace, each
+// once. Job ids increase with time, and a record stores the position up to which
+// all objects have been scanned.
 func (c *Collector) collectOrphans(ctx context.Context, now time.Time) {
 	cursor, err := c.Store.Get(ctx, record.OrphanCursorKey)
 	if err != nil {
@@ -138,11 +141,11 @@
 	}
 	after := string(cursor.Value)
 	for ctx.Err() == nil {
-		names, err := c.Blobs.Page(ctx, record.InputPrefix, after, orphanPage)
+		names, err := c.Blobs.Page(ctx, record.InputPrefix, after, orphanPageSize)
 		if err != nil {
 			break
 		}
-		next, more := c.scan(ctx, names, after, now)
+		next, more := c.scanOrphans(ctx, names, after, now)
 		after = next
 		if !more {
 			break
@@ -158,12 +161,13 @@
 	})
 }
 
-// scan looks at the jobs of one page of names, and gives the place to go on from.
-func (c *Collector) scan(ctx context.Context, names []string, after string, now time.Time) (next string, more bool) {
+// scanOrphans checks the jobs of one page of names. It returns the position to
+// continue from, and whether there may be more names to scan in this round.
+func (c *Collector) scanOrphans(ctx context.Context, names []string, after string, now time.Time) (next string, more bool) {
 	oldest := now.Add(-c.OrphanGrace)
 	for _, name := range names {
 		if name <= after {
-			continue // another object of a job that was looked at
+			continue // another object of a job that was checked
 		}
 		id := record.JobOfObject(name)
 		created, err := ulid.ParseStrict(string(id))
@@ -175,15 +179,16 @@
 		}
 		after = record.InputObjectsPrefix(id) + "~" // sorts after all objects of this job
 	}
-	return after, len(names) == orphanPage
+	return after, len(names) == orphanPageSize
 }
 
 // voidRetention is how long the id of a job that was never accepted stays void.
 const voidRetention = 24 * time.Hour
 
-// collectOrphan removes the objects of a job without a header. It first makes
-// sure that the job can never be accepted any more: a void header fails the
-// compare of an acceptance that might still be on its way.
+// collectOrphan removes the objects of a job without a header. It first writes a
+// void header, so that the job cannot be accepted later: the compare of an
+// acceptance that is still in flight then fails. It returns false when the job
+// must be checked again in a later round.
 func (c *Collector) collectOrphan(ctx context.Context, id identity.JobID, now time.Time) bool {
 	key := record.JobKey(id)
 	found, err := c.Store.Get(ctx, key)
