--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -86,7 +86,7 @@
 	cancelNonRepeatable context.CancelFunc
 
 	mu         sync.Mutex
-	runContext context.Context // of Run; nil before Run is called Run is called
+	runContext context.Context // of Run; nil before Run is called
 	shards     map[int]*shardWork
 	jobs       map[identity.JobID]*job
 	// loading holds the jobs that are being read; the value is true for a job
