--- a/internal/jobs/config.go
+++ b/internal/jobs/config.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Config sets how this node takes, runs and keeps batch jobs. Shards must be
-// the same on all nodes; the rest may differ.
+// Config sets how this node accepts, runs and retains batch jobs. Shards must be
+// the same on all nodes; the other settings may differ.
 type Config struct {
 	Shards           int           `koanf:"shards" usage:"number of shards of batch jobs, the same on all nodes; may be raised, never lowered"`
 	MaxItems         int           `koanf:"max_items" usage:"items in one job at most"`
@@ -35,7 +35,8 @@
 	HandOverDuration time.Duration `koanf:"hand_over" usage:"time for committing what is finished at a planned hand-over of a shard"`
 }
 
-// DefaultConfig suits the target size; docs/decisions gives the reasons.
+// DefaultConfig returns the settings for the target size. The reasons for the
+// values are in docs/decisions.
 func DefaultConfig() Config {
 	return Config{
 		Shards: 1024, MaxItems: 72_000, MaxLineBytes: 1 << 20, MaxTokens: 32_768,
@@ -49,7 +50,7 @@
 	}
 }
 
-// Validate checks the settings; an error names the key.
+// Validate checks the settings. An error names the key of the invalid one.
 func (c Config) Validate() error {
 	positive := []struct {
 		key   string
@@ -84,10 +85,10 @@
 			return fmt.Errorf("%s: must be above zero", field.key)
 		}
 	}
-	const mostShards = 99_999 // five digits in the keys
+	const maxShards = 99_999 // the stored keys have five digits for the shard
 	switch {
-	case c.Shards > mostShards:
-		return fmt.Errorf("shards: at most %d", mostShards)
+	case c.Shards > maxShards:
+		return fmt.Errorf("shards: at most %d", maxShards)
 	case c.OrphanGrace <= c.UploadTimeout:
 		return fmt.Errorf("orphan_grace: must be above upload_timeout (%s)", c.UploadTimeout)
 	case c.LeaseTimeToLive < 2*c.LeaseRenew:
--- a/internal/jobs/faults_test.go
+++ b/internal/jobs/faults_test.go
@@ -20,33 +20,33 @@
 	"ringstream.example/ringstream/internal/peer/peertest"
 )
 
-// checkSentOnce checks that no item of a job was sent to an engine twice.
+// checkSentOnce checks that no item of a job was sent to an engine more than once.
 func (c *cluster) checkSentOnce(key string, items int) {
 	c.t.Helper()
 	for i := range items {
 		if count := c.engines.sent(fmt.Sprintf("prompt %s %d", key, i)); count > 1 {
-			c.t.Errorf("item %d, which must not be repeated, was sent %d times", i, count)
+			c.t.Errorf("non-repeatable item %d was sent %d times", i, count)
 		}
 	}
 }
 
-func TestItemsThatMustNotBeRepeatedAreJoinedAfterAKill(t *testing.T) {
+func TestNonRepeatableItemsAreResumedAfterAKill(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 200, false)
-		settle(2500 * time.Millisecond)
+		advance(2500 * time.Millisecond)
 		victim := c.holderOf(shardOf(job, c.config))
 		c.kill(victim)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		c.network.SetState(victim.id, membership.Dead)
-		own := c.nodes[0]
-		if own == victim {
-			own = c.nodes[1]
+		node := c.nodes[0]
+		if node == victim {
+			node = c.nodes[1]
 		}
-		ended := c.await(own, job.ID, 2*time.Minute)
-		c.checkResults(own, ended, "k")
+		ended := c.await(node, job.ID, 2*time.Minute)
+		c.checkResults(node, ended, "k")
 		c.checkSentOnce("k", 200)
 		if ended.Completed != 200 {
 			t.Errorf("%+v", ended)
@@ -60,31 +60,31 @@
 		c := newCluster(t, 2, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 100, false)
-		settle(2500 * time.Millisecond)
+		advance(2500 * time.Millisecond)
 		victim := c.holderOf(shardOf(job, c.config))
 		c.kill(victim)
 		c.engines.mu.Lock()
-		c.engines.forget = true
+		c.engines.attemptsLost = true
 		c.engines.mu.Unlock()
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		c.network.SetState(victim.id, membership.Dead)
-		settle(time.Second)
-		own := c.nodes[0]
-		if own == victim {
-			own = c.nodes[1]
+		advance(time.Second)
+		node := c.nodes[0]
+		if node == victim {
+			node = c.nodes[1]
 		}
-		settle(20 * time.Second)
+		advance(20 * time.Second)
 		c.engines.mu.Lock()
-		c.engines.forget = false
+		c.engines.attemptsLost = false
 		c.engines.mu.Unlock()
-		ended := c.await(own, job.ID, 5*time.Minute)
+		ended := c.await(node, job.ID, 5*time.Minute)
 		c.checkSentOnce("k", 100)
 		if ended.Unknown == 0 || ended.Completed+ended.Unknown != 100 {
 			t.Errorf("%+v", ended)
 		}
-		for _, result := range c.checkResults(own, ended, "k") {
+		for _, result := range c.checkResults(node, ended, "k") {
 			if result.Outcome == outcome.Unknown.String() && result.Reason == "" {
-				t.Errorf("no reason: %+v", result)
+				t.Errorf("result without a reason: %+v", result)
 			}
 		}
 	})
@@ -96,18 +96,18 @@
 		c := newCluster(t, 3, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 200, false)
-		settle(2500 * time.Millisecond)
-		leaver := c.holderOf(shardOf(job, c.config))
-		leaver.cancel()
-		settle(time.Second)
-		if heir := c.holderOf(shardOf(job, c.config)); heir == nil || heir == leaver {
+		advance(2500 * time.Millisecond)
+		stopping := c.holderOf(shardOf(job, c.config))
+		stopping.cancel()
+		advance(time.Second)
+		if newHolder := c.holderOf(shardOf(job, c.config)); newHolder == nil || newHolder == stopping {
 			t.Fatal("the shard has not moved")
 		}
-		<-leaver.done
-		c.network.SetState(leaver.id, membership.Dead)
-		own := c.holderOf(shardOf(job, c.config))
-		ended := c.await(own, job.ID, 2*time.Minute)
-		c.checkResults(own, ended, "k")
+		<-stopping.done
+		c.network.SetState(stopping.id, membership.Dead)
+		node := c.holderOf(shardOf(job, c.config))
+		ended := c.await(node, job.ID, 2*time.Minute)
+		c.checkResults(node, ended, "k")
 		c.checkSentOnce("k", 200)
 		if ended.Completed != 200 {
 			t.Errorf("%+v", ended)
@@ -121,17 +121,17 @@
 		c := newCluster(t, 3, func(config *Config) { config.HeldResultBytes = 40_000 })
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 800, true)
-		settle(3 * time.Second)
+		advance(3 * time.Second)
 		holder := c.holderOf(shardOf(job, c.config))
 		before, err := holder.Get(t.Context(), tenant, job.ID)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.fleet.Table.Faults.Change(func(f *emulator.FaultSettings) { f.Outage = true })
-		settle(30 * time.Minute)
+		advance(30 * time.Minute)
 		sent := len(c.engines.order)
 		if sent <= before.Completed+32 || sent >= 400 {
-			t.Errorf("%d items were sent while results were held; %d before", sent, before.Completed)
+			t.Errorf("%d items sent in total while results could not be committed; %d completed before", sent, before.Completed)
 		}
 		start := time.Now()
 		_, _, err = c.nodes[1].Submit(t.Context(), submission("new", 3, true))
@@ -142,20 +142,20 @@
 		if waited := time.Since(start); waited > 5*time.Second {
 			t.Errorf("the refusal took %s", waited)
 		}
-		settle(30 * time.Minute)
+		advance(30 * time.Minute)
 		calls := c.fleet.Table.Faults.Calls()["commit"]
 		c.fleet.Table.Faults.Change(func(f *emulator.FaultSettings) { f.Outage = false })
-		settle(20 * time.Second)
+		advance(20 * time.Second)
 		if after := c.fleet.Table.Faults.Calls()["commit"] - calls; after > 3*60 {
 			t.Errorf("%d transactions in the 20 s after the outage", after)
 		}
 		if c.holderOf(shardOf(job, c.config)) != holder {
-			t.Error("the shard moved although its holder lived")
+			t.Error("the shard moved although its holder was alive")
 		}
 		ended := c.await(c.nodes[1], job.ID, 5*time.Minute)
 		c.checkResults(c.nodes[1], ended, "k")
 		if len(c.engines.order) != 800 {
-			t.Errorf("%d attempts of 800 items: work was thrown away", len(c.engines.order))
+			t.Errorf("%d attempts of 800 items: finished work was dropped", len(c.engines.order))
 		}
 	})
 }
@@ -166,9 +166,9 @@
 		c := newCluster(t, 2, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 300, true)
-		settle(2500 * time.Millisecond)
+		advance(2500 * time.Millisecond)
 		c.fleet.Objects.Faults.Change(func(f *emulator.FaultSettings) { f.Outage = true })
-		settle(5 * time.Minute)
+		advance(5 * time.Minute)
 		_, _, err := c.nodes[0].Submit(t.Context(), submission("new", 3, true))
 		var failure *apierror.Error
 		if !errors.As(err, &failure) || failure.Run != outcome.Refused {
@@ -183,22 +183,22 @@
 	})
 }
 
-// TestJobsSurviveStormsOfFaults runs jobs of both kinds through refused calls,
-// lost answers, kills and pauses, drawn by seed.
-func TestJobsSurviveStormsOfFaults(t *testing.T) {
+// TestJobsSurviveRandomFaults runs repeatable and non-repeatable jobs under
+// failed calls, lost answers, a kill and pauses, which are chosen by a seed.
+func TestJobsSurviveRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { storm(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runWithFaults(t, seed) })
 		})
 	}
 }
 
-func storm(t *testing.T, seed uint64) {
+func runWithFaults(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := newCluster(t, 4, func(config *Config) { config.SegmentItems = 50 })
 	defer c.close()
-	c.engines.add(-8)
+	c.engines.addFree(-8)
 	jobs := map[string]Job{}
 	for i := range 4 {
 		key := fmt.Sprintf("k%d", i)
@@ -208,25 +208,25 @@
 		faults.Change(func(f *emulator.FaultSettings) { f.ErrorRate, f.JitterMillis = 0.1, 30 })
 	}
 	for step := range 10 {
-		settle(time.Duration(500+random.IntN(1500)) * time.Millisecond)
+		advance(time.Duration(500+random.IntN(1500)) * time.Millisecond)
 		c.fleet.Table.Faults.Change(func(f *emulator.FaultSettings) { f.LoseAnswers += random.IntN(4) })
-		own := c.nodes[random.IntN(len(c.nodes))]
+		node := c.nodes[random.IntN(len(c.nodes))]
 		switch {
 		case step == 3:
-			c.kill(own)
+			c.kill(node)
 			go func() {
-				settle(4 * time.Second)
-				c.network.SetState(own.id, membership.Dead)
+				advance(4 * time.Second)
+				c.network.SetState(node.id, membership.Dead)
 			}()
 		case random.IntN(2) == 0:
-			go c.pause(own, time.Duration(random.IntN(15))*time.Second)
+			go c.pause(node, time.Duration(random.IntN(15))*time.Second)
 		}
 	}
-	settle(30 * time.Second)
+	advance(30 * time.Second)
 	var alive *testNode
-	for _, own := range c.nodes {
-		if own.gate.get() == running {
-			alive = own
+	for _, node := range c.nodes {
+		if node.gate.get() == running {
+			alive = node
 		}
 	}
 	for key, job := range jobs {
@@ -242,26 +242,27 @@
 	}
 }
 
-// pause stops a node's process for a while; others come to think it dead.
-func (c *cluster) pause(own *testNode, length time.Duration) {
-	if own.gate.get() != running {
+// pause stops a node's process for a while. After 4 s the other nodes take it for
+// dead.
+func (c *cluster) pause(node *testNode, length time.Duration) {
+	if node.gate.get() != running {
 		return
 	}
-	own.gate.set(paused)
-	c.network.SetPaused(own.id, true)
+	node.gate.set(paused)
+	c.network.SetPaused(node.id, true)
 	const detected = 4 * time.Second
 	if length > detected {
-		settle(detected)
-		c.network.SetState(own.id, membership.Dead)
+		advance(detected)
+		c.network.SetState(node.id, membership.Dead)
 		length -= detected
 	}
-	settle(length)
-	if own.gate.get() == dead {
+	advance(length)
+	if node.gate.get() == dead {
 		return
 	}
-	own.gate.set(running)
-	c.network.SetPaused(own.id, false)
-	c.network.SetState(own.id, membership.Alive)
+	node.gate.set(running)
+	c.network.SetPaused(node.id, false)
+	c.network.SetState(node.id, membership.Alive)
 }
 
 func TestEndedJobsAndOrphansAreCollected(t *testing.T) {
@@ -276,12 +277,12 @@
 		if err := c.clients.Objects.Put(t.Context(), orphan, []byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		settle(55 * time.Minute)
+		advance(55 * time.Minute)
 		c.checkResults(c.nodes[1], kept, "old")
 		if _, found := c.fleet.Objects.Object(orphan); found {
-			t.Error("the orphan is still there")
+			t.Error("the orphaned object was not removed")
 		}
-		settle(30 * time.Minute)
+		advance(30 * time.Minute)
 		if _, err := c.nodes[0].Get(t.Context(), tenant, kept.ID); codeOf(err) != apierror.CodeNotFound {
 			t.Errorf("the expired job: %v", err)
 		}
@@ -299,59 +300,61 @@
 	})
 }
 
-// TestAPausedHoldersCompletionsAreRefusedByTheLeaseAlone leaves the heir without
-// capacity, so that it writes nothing: only the lease's compare is in the way.
+// TestAPausedHoldersCompletionsAreRefusedByTheLeaseAlone leaves the new holder
+// without capacity, so that it writes nothing. Only the compare on the lease can
+// then reject the commits of the paused holder.
 func TestAPausedHoldersCompletionsAreRefusedByTheLeaseAlone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 300, true)
-		settle(3500 * time.Millisecond)
-		sleeper := c.holderOf(shardOf(job, c.config))
-		sleeper.gate.stall("renew-", true)
-		sleeper.gate.stall("items-", true)
-		c.network.SetPaused(sleeper.id, true)
-		settle(2 * time.Second) // the items under way end; their outcomes wait behind the pause
-		c.engines.add(-1000)
-		c.network.SetState(sleeper.id, membership.Dead)
-		settle(10 * time.Second)
-		heir := c.otherThan(sleeper)
-		if c.holderOf(shardOf(job, c.config)) == nil || len(heir.Shards()) != c.config.Shards {
+		advance(3500 * time.Millisecond)
+		pausedHolder := c.holderOf(shardOf(job, c.config))
+		pausedHolder.gate.setStalled("renew-", true)
+		pausedHolder.gate.setStalled("items-", true)
+		c.network.SetPaused(pausedHolder.id, true)
+		advance(2 * time.Second) // items in flight end; their outcomes wait for the stalled commit
+		c.engines.addFree(-1000)
+		c.network.SetState(pausedHolder.id, membership.Dead)
+		advance(10 * time.Second)
+		newHolder := c.otherThan(pausedHolder)
+		if c.holderOf(shardOf(job, c.config)) == nil || len(newHolder.Shards()) != c.config.Shards {
 			t.Fatal("the shard has not moved")
 		}
-		before, err := heir.Get(t.Context(), tenant, job.ID)
+		before, err := newHolder.Get(t.Context(), tenant, job.ID)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sleeper.gate.stall("items-", false)
-		settle(20 * time.Second)
-		after, err := heir.Get(t.Context(), tenant, job.ID)
+		pausedHolder.gate.setStalled("items-", false)
+		advance(20 * time.Second)
+		after, err := newHolder.Get(t.Context(), tenant, job.ID)
 		if err != nil || after.Completed != before.Completed {
-			t.Errorf("the woken holder committed: %+v, before %+v, %v", after, before, err)
+			t.Errorf("the former holder committed after its pause: %+v, before %+v, error %v", after, before, err)
 		}
-		c.engines.add(1000)
-		sleeper.gate.stall("renew-", false)
-		c.checkResults(heir, c.await(heir, job.ID, time.Minute), "k")
+		c.engines.addFree(1000)
+		pausedHolder.gate.setStalled("renew-", false)
+		c.checkResults(newHolder, c.await(newHolder, job.ID, time.Minute), "k")
 	})
 }
 
-// A node came back after 15 s in which nothing that it sent had arrived. It did not know yet that its
-// shard had gone to another node, so that both worked on one job. The cancel came to the new holder,
-// which stopped its own work and told nobody, since the job ran there: the former holder's engines
-// worked on for 2.5 to 5.9 s, until it learned that its lease had lapsed (2 of 360 runs with such a fault).
+// A cancellation at the holder of a job must also stop a former holder. A node whose messages had
+// been lost for 15 s did not know yet that another node had claimed its shard, so both ran the job.
+// The new holder received the cancellation, stopped its own work and sent no message. The former
+// holder's engines continued for 2.5 to 5.9 s, until it learned that its lease had expired (2 of 360
+// runs with this fault).
 func TestACancelAtTheHolderStopsTheFormerHolderToo(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 400, true)
-		settle(1500 * time.Millisecond)
+		advance(1500 * time.Millisecond)
 		number := shardOf(job, c.config)
 		holder := c.holderOf(number)
 		former := c.otherThan(holder)
-		former.gate.stall("items-", true) // it would learn of the other lease by its first commit
-		defer former.gate.stall("items-", false)
+		former.gate.setStalled("items-", true) // its first commit would reveal the other node's lease
+		defer former.gate.setStalled("items-", false)
 		var reads atomic.Int32
 		c.fleet.Table.Faults.SetHook(func(call emulator.Call) {
 			if call.Operation == "list" && call.Phase == emulator.BeforeEffect && strings.HasPrefix(call.Subject, record.SegmentsPrefix(job.ID)) {
@@ -359,34 +362,34 @@
 			}
 		})
 		former.runner.Acquired([]shard.Fence{{Shard: number}})
-		c.engines.add(32)
-		settle(500 * time.Millisecond)
+		c.engines.addFree(32)
+		advance(500 * time.Millisecond)
 		if reads.Load() == 0 || c.engines.active() == 0 {
-			t.Fatalf("%d reads: the former holder has not taken up the job", reads.Load())
+			t.Fatalf("%d reads of segments: the former holder does not run the job", reads.Load())
 		}
 		if _, err := holder.Cancel(t.Context(), tenant, job.ID); err != nil {
 			t.Fatal(err)
 		}
-		settle(500 * time.Millisecond)
+		advance(500 * time.Millisecond)
 		if active := c.engines.active(); active != 0 {
 			t.Errorf("%d attempts run half a second after the cancellation", active)
 		}
 	})
 }
 
-// TestCompletionsAfterACancelAreRefusedByTheHeaderAlone loses every word of the
-// cancellation between nodes.
+// TestCompletionsAfterACancelAreRefusedByTheHeaderAlone drops every message about
+// the cancellation, so that only the compare on the job's header rejects commits.
 func TestCompletionsAfterACancelAreRefusedByTheHeaderAlone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2, nil)
 		defer c.close()
 		c.network.SetFilter(func(_, _ identity.NodeID, message any) peertest.Verdict {
-			_, word := message.(jobCancelled)
-			return peertest.Verdict{Drop: word}
+			_, cancellation := message.(jobCancelled)
+			return peertest.Verdict{Drop: cancellation}
 		})
 		job := c.submit(c.nodes[0], "k", 400, true)
-		settle(3500 * time.Millisecond)
+		advance(3500 * time.Millisecond)
 		other := c.nodes[0]
 		if other == c.holderOf(shardOf(job, c.config)) {
 			other = c.nodes[1]
@@ -395,11 +398,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		if active := c.engines.active(); active != 0 {
-			t.Errorf("%d attempts run although a commit has met the cancellation", active)
+			t.Errorf("%d attempts run although a commit conflicted with the cancellation", active)
 		}
-		settle(30 * time.Second)
+		advance(30 * time.Second)
 		later, err := other.Get(t.Context(), tenant, job.ID)
 		if err != nil || later.Completed != cancelled.Completed {
 			t.Errorf("%+v, at the cancellation %+v, %v", later, cancelled, err)
@@ -407,9 +410,9 @@
 	})
 }
 
-// TestAShardWhoseReleaseWasLostIsGivenUpWhenAskedForAgain has a newcomer ask for
-// its shards while the table service takes no commits.
-func TestAShardWhoseReleaseWasLostIsGivenUpWhenAskedForAgain(t *testing.T) {
+// TestAShardWhoseReleaseWasLostIsReleasedOnRequest adds a node, which
+// requests its shards while the table service fails all commits.
+func TestAShardWhoseReleaseWasLostIsReleasedOnRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, nil)
@@ -419,12 +422,12 @@
 		}
 		commits(true)
 		newcomer := c.add()
-		settle(20 * time.Second)
+		advance(20 * time.Second)
 		if len(newcomer.Shards()) != 0 {
 			t.Fatal("shards moved without a commit")
 		}
 		commits(false)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		if first, second := len(c.nodes[0].Shards()), len(newcomer.Shards()); second == 0 || first+second != c.config.Shards {
 			t.Errorf("the nodes hold %d and %d shards of %d", first, second, c.config.Shards)
 		}
--- a/internal/jobs/gate_test.go
+++ b/internal/jobs/gate_test.go
@@ -8,31 +8,31 @@
 	"ringstream.example/ringstream/internal/backend"
 )
 
-// gateMode is what becomes of a node's calls.
+// gateMode is how a gate treats a node's calls.
 type gateMode int
 
 const (
 	running gateMode = iota
 	paused           // calls and answers wait, as in a stopped process
-	dead             // no call has an effect, no answer arrives
+	dead             // calls fail without an effect, and answers are dropped
 )
 
-// gate stands for a node's process: each call passes it on its way out and
-// each answer on its way in.
+// gate simulates the state of a node's process. Each call of the node and each
+// answer to it passes the gate.
 type gate struct {
-	mu     sync.Mutex
-	mode   gateMode
-	change chan struct{}
-	stalls map[string]bool // prefixes of the ids of transactions that wait
+	mu              sync.Mutex
+	mode            gateMode
+	change          chan struct{}
+	stalledPrefixes map[string]bool // by prefix of the transaction ids; true while such transactions wait
 }
 
-func newGate() *gate { return &gate{change: make(chan struct{}), stalls: map[string]bool{}} }
+func newGate() *gate { return &gate{change: make(chan struct{}), stalledPrefixes: map[string]bool{}} }
 
-// stall holds transactions whose id has the prefix back, or lets them go.
-func (g *gate) stall(prefix string, held bool) {
+// setStalled holds or releases the transactions whose id has the prefix.
+func (g *gate) setStalled(prefix string, held bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stalls[prefix] = held
+	g.stalledPrefixes[prefix] = held
 	close(g.change)
 	g.change = make(chan struct{})
 }
@@ -40,7 +40,7 @@
 func (g *gate) await(id string) {
 	for {
 		g.mu.Lock()
-		held, change := g.stalls[id[:strings.IndexByte(id, '-')+1]], g.change
+		held, change := g.stalledPrefixes[id[:strings.IndexByte(id, '-')+1]], g.change
 		g.mu.Unlock()
 		if !held {
 			return
@@ -80,7 +80,7 @@
 	}
 }
 
-func through[T any](g *gate, call func() (T, error)) (T, error) {
+func throughGate[T any](g *gate, call func() (T, error)) (T, error) {
 	var none T
 	if err := g.pass(); err != nil {
 		return none, err
@@ -99,18 +99,18 @@
 
 // Get implements backend.Table.
 func (t gatedTable) Get(ctx context.Context, key string) (backend.Record, error) {
-	return through(t.gate, func() (backend.Record, error) { return t.next.Get(ctx, key) })
+	return throughGate(t.gate, func() (backend.Record, error) { return t.next.Get(ctx, key) })
 }
 
 // List implements backend.Table.
 func (t gatedTable) List(ctx context.Context, prefix, after string, limit int) ([]backend.Record, error) {
-	return through(t.gate, func() ([]backend.Record, error) { return t.next.List(ctx, prefix, after, limit) })
+	return throughGate(t.gate, func() ([]backend.Record, error) { return t.next.List(ctx, prefix, after, limit) })
 }
 
 // Commit implements backend.Table.
 func (t gatedTable) Commit(ctx context.Context, transaction backend.Transaction) (backend.CommitResult, error) {
 	t.gate.await(transaction.ID)
-	return through(t.gate, func() (backend.CommitResult, error) { return t.next.Commit(ctx, transaction) })
+	return throughGate(t.gate, func() (backend.CommitResult, error) { return t.next.Commit(ctx, transaction) })
 }
 
 type gatedObjects struct {
@@ -120,22 +120,22 @@
 
 // Put implements backend.Objects.
 func (o gatedObjects) Put(ctx context.Context, name string, body []byte) error {
-	_, err := through(o.gate, func() (struct{}, error) { return struct{}{}, o.next.Put(ctx, name, body) })
+	_, err := throughGate(o.gate, func() (struct{}, error) { return struct{}{}, o.next.Put(ctx, name, body) })
 	return err
 }
 
 // Get implements backend.Objects.
 func (o gatedObjects) Get(ctx context.Context, name string) ([]byte, error) {
-	return through(o.gate, func() ([]byte, error) { return o.next.Get(ctx, name) })
+	return throughGate(o.gate, func() ([]byte, error) { return o.next.Get(ctx, name) })
 }
 
 // List implements backend.Objects.
 func (o gatedObjects) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
-	return through(o.gate, func() ([]string, error) { return o.next.List(ctx, prefix, after, limit) })
+	return throughGate(o.gate, func() ([]string, error) { return o.next.List(ctx, prefix, after, limit) })
 }
 
 // Delete implements backend.Objects.
 func (o gatedObjects) Delete(ctx context.Context, name string) error {
-	_, err := through(o.gate, func() (struct{}, error) { return struct{}{}, o.next.Delete(ctx, name) })
+	_, err := throughGate(o.gate, func() (struct{}, error) { return struct{}{}, o.next.Delete(ctx, name) })
 	return err
 }
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -29,7 +29,7 @@
 	tokenTime = 50 * time.Millisecond
 )
 
-// cluster is a fleet of managers over the stand-ins, in virtual time.
+// cluster is a fleet of managers in virtual time that use the emulated stores.
 type cluster struct {
 	t       *testing.T
 	fleet   *emulator.Fleet
@@ -42,7 +42,7 @@
 	nodes   []*testNode
 }
 
-// testNode is one manager, and the gate that all its calls pass.
+// testNode is one manager with the gate that all its calls pass.
 type testNode struct {
 	*Manager
 	id     identity.NodeID
@@ -51,7 +51,7 @@
 	done   chan struct{}
 }
 
-// newCluster starts a fleet; the caller is in a synctest bubble.
+// newCluster starts a fleet. The caller must run in a synctest bubble.
 func newCluster(t *testing.T, nodes int, edit func(*Config)) *cluster {
 	t.Helper()
 	fleetConfig := emulator.DefaultFleetConfig()
@@ -80,68 +80,68 @@
 	for range nodes {
 		c.add()
 	}
-	settle(2 * time.Second)
+	advance(2 * time.Second)
 	return c
 }
 
-// settle lets virtual time pass.
-func settle(pause time.Duration) { time.Sleep(pause) }
+// advance lets virtual time pass.
+func advance(pause time.Duration) { time.Sleep(pause) }
 
 func (c *cluster) add() *testNode {
 	id := identity.NodeID(fmt.Sprintf("node-%d", len(c.nodes)+1))
 	bus := c.network.Add(membership.Member{ID: id, State: membership.Alive})
-	own := &testNode{id: id, gate: newGate(), done: make(chan struct{})}
-	own.Manager = New(c.config, Dependencies{
-		Store:   store.New(gatedTable{own.gate, c.clients.Table}),
-		Objects: gatedObjects{own.gate, c.clients.Objects},
-		Bus:     bus, Batch: gatedBatch{own.gate, c.engines}, Rows: fixedRows{},
+	node := &testNode{id: id, gate: newGate(), done: make(chan struct{})}
+	node.Manager = New(c.config, Dependencies{
+		Store:   store.New(gatedTable{node.gate, c.clients.Table}),
+		Objects: gatedObjects{node.gate, c.clients.Objects},
+		Bus:     bus, Batch: gatedBatch{node.gate, c.engines}, Rows: fixedRows{},
 	}, c.logger, nil)
 	ctx, cancel := context.WithCancel(context.Background())
-	own.cancel = cancel
+	node.cancel = cancel
 	go func() {
-		defer close(own.done)
-		_ = own.Run(ctx)
+		defer close(node.done)
+		_ = node.Run(ctx)
 	}()
-	c.nodes = append(c.nodes, own)
-	return own
+	c.nodes = append(c.nodes, node)
+	return node
 }
 
-// close stops all nodes; nothing is checked after.
+// close stops all nodes and the emulated services.
 func (c *cluster) close() {
-	for _, own := range c.nodes {
-		own.gate.set(running)
-		own.cancel()
+	for _, node := range c.nodes {
+		node.gate.set(running)
+		node.cancel()
 	}
-	for _, own := range c.nodes {
-		<-own.done
+	for _, node := range c.nodes {
+		<-node.done
 	}
 	c.clients.Close()
 	c.fleet.Close()
 }
 
-// kill stops a node at once: none of its calls has an effect from now on.
-func (c *cluster) kill(own *testNode) {
-	own.gate.set(dead)
-	c.network.Kill(own.id)
-	own.cancel()
+// kill stops a node at once. None of its later calls has an effect.
+func (c *cluster) kill(node *testNode) {
+	node.gate.set(dead)
+	c.network.Kill(node.id)
+	node.cancel()
 }
 
-// holderOf gives the node that holds a job's shard.
+// holderOf returns the live node that holds a shard, or nil.
 func (c *cluster) holderOf(number int) *testNode {
-	for _, own := range c.nodes {
-		if own.gate.get() == dead {
+	for _, node := range c.nodes {
+		if node.gate.get() == dead {
 			continue
 		}
-		for _, held := range own.Shards() {
+		for _, held := range node.Shards() {
 			if held == number {
-				return own
+				return node
 			}
 		}
 	}
 	return nil
 }
 
-// otherThan gives the first node that is not the one.
+// otherThan returns the first node that is not the given one.
 func (c *cluster) otherThan(one *testNode) *testNode {
 	if c.nodes[0] == one {
 		return c.nodes[1]
@@ -149,9 +149,9 @@
 	return c.nodes[0]
 }
 
-func (c *cluster) submit(own *testNode, key string, items int, repeatable bool) Job {
+func (c *cluster) submit(node *testNode, key string, items int, repeatable bool) Job {
 	c.t.Helper()
-	job, _, err := own.Submit(c.t.Context(), submission(key, items, repeatable))
+	job, _, err := node.Submit(c.t.Context(), submission(key, items, repeatable))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -166,11 +166,11 @@
 	return Submission{Tenant: tenant, Key: key, Model: "m", Repeatable: repeatable, Items: strings.NewReader(lines.String())}
 }
 
-// await waits until the job has ended.
-func (c *cluster) await(own *testNode, id identity.JobID, patience time.Duration) Job {
+// await waits until the job has ended, and fails the test after patience.
+func (c *cluster) await(node *testNode, id identity.JobID, patience time.Duration) Job {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); ; settle(100 * time.Millisecond) {
-		job, err := own.Get(c.t.Context(), tenant, id)
+	for deadline := time.Now().Add(patience); ; advance(100 * time.Millisecond) {
+		job, err := node.Get(c.t.Context(), tenant, id)
 		if err == nil && (job.State == StateCompleted || job.State == StateCancelled) {
 			return job
 		}
@@ -180,10 +180,11 @@
 	}
 }
 
-// checkResults checks that each item has exactly one result, the right one.
-func (c *cluster) checkResults(own *testNode, job Job, key string) []Result {
+// checkResults checks that each item has exactly one result, with its own id and
+// text.
+func (c *cluster) checkResults(node *testNode, job Job, key string) []Result {
 	c.t.Helper()
-	results, err := own.Results(c.t.Context(), tenant, job.ID, 0, job.Total)
+	results, err := node.Results(c.t.Context(), tenant, job.ID, 0, job.Total)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -195,13 +196,13 @@
 			c.t.Fatalf("result %d is %+v", i, result)
 		}
 		if result.Outcome == outcome.Completed.String() && result.Text != answer(fmt.Sprintf("prompt %s %d", key, i), 20) {
-			c.t.Fatalf("result %d is of another item: %+v", i, result)
+			c.t.Fatalf("result %d has the wrong text: %+v", i, result)
 		}
 	}
 	return results
 }
 
-// answer is what the engines make of a prompt.
+// answer returns the text that the engines generate for a prompt.
 func answer(prompt string, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
@@ -210,40 +211,41 @@
 	return text.String()
 }
 
-// fixedRows is a table of one row.
+// fixedRows is a rows.Source whose table has one row.
 type fixedRows struct{}
 
 func (fixedRows) Table() *policy.Table {
 	return policy.NewTable(1, []policy.Row{{ID: "r", Match: policy.Match{Tenant: policy.Any, Model: policy.Any, Kind: policy.Any}, Weight: 1, Pool: "p"}})
 }
 
-// engines is the capacity that all nodes share. An attempt goes on without
-// the node that sent it until it ends or is cancelled.
+// engines simulates the engine capacity that all nodes share. An attempt continues
+// after the loss of the node that sent it until it ends or is cancelled.
 type engines struct {
-	mu       sync.Mutex
-	free     int
-	released chan struct{} // closed and replaced when places become free
-	attempts map[identity.AttemptID]*attempt
-	order    []*attempt
-	sequence int
-	forget   bool // no attempt can be joined any more
+	mu           sync.Mutex
+	free         int
+	released     chan struct{} // closed and replaced when slots become free
+	attempts     map[identity.AttemptID]*attempt
+	order        []*attempt
+	sequence     int
+	attemptsLost bool // no attempt can be resumed any more
 }
 
 type attempt struct {
-	prompt    string
-	tokens    int
-	kept      int
-	started   time.Time
-	cancelled time.Time
-	preempted bool // and cancelled
+	prompt     string
+	tokens     int
+	keptTokens int
+	started    time.Time
+	cancelled  time.Time
+	preempted  bool // set together with cancelled
 }
 
-// made is the number of tokens made by now, and whether it has ended.
-func (a *attempt) made(now time.Time) (int, bool) {
+// progress returns the number of tokens generated by now, and whether the attempt
+// has ended.
+func (a *attempt) progress(now time.Time) (int, bool) {
 	if !a.cancelled.IsZero() {
 		now = a.cancelled
 	}
-	made := min(a.tokens, a.kept+int(now.Sub(a.started)/tokenTime))
+	made := min(a.tokens, a.keptTokens+int(now.Sub(a.started)/tokenTime))
 	return made, made == a.tokens || !a.cancelled.IsZero()
 }
 
@@ -260,31 +262,31 @@
 	return count
 }
 
-// preempt takes the places of all attempts back.
+// preempt preempts all running attempts.
 func (e *engines) preempt() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, sent := range e.order {
-		if _, ended := sent.made(time.Now()); !ended {
+		if _, ended := sent.progress(time.Now()); !ended {
 			sent.cancelled, sent.preempted = time.Now(), true
 		}
 	}
 }
 
-// active counts the attempts that run now.
+// active counts the running attempts.
 func (e *engines) active() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	count := 0
 	for _, sent := range e.order {
-		if _, ended := sent.made(time.Now()); !ended {
+		if _, ended := sent.progress(time.Now()); !ended {
 			count++
 		}
 	}
 	return count
 }
 
-// gatedBatch is one node's way to the engines.
+// gatedBatch is one node's dispatch.Batch, whose calls pass the node's gate.
 type gatedBatch struct {
 	gate    *gate
 	engines *engines
@@ -309,8 +311,8 @@
 	}
 }
 
-// add changes the number of free places, and wakes those who wait.
-func (e *engines) add(places int) {
+// addFree changes the number of free slots, and wakes the waiting calls of Acquire.
+func (e *engines) addFree(places int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.free += places
@@ -322,7 +324,7 @@
 func (b gatedBatch) Resume(ctx context.Context, intent dispatch.Intent, offset int, sink dispatch.Sink) outcome.Outcome {
 	b.engines.mu.Lock()
 	joined := b.engines.attempts[intent.Attempt]
-	if b.engines.forget {
+	if b.engines.attemptsLost {
 		joined = nil
 	}
 	b.engines.mu.Unlock()
@@ -356,8 +358,8 @@
 			return outcome.Outcome{Kind: outcome.Unknown, Reason: "dead"}
 		}
 		b.engines.mu.Lock()
-		made, ended := sent.made(time.Now())
-		forgotten := b.engines.forget
+		made, ended := sent.progress(time.Now())
+		forgotten := b.engines.attemptsLost
 		b.engines.mu.Unlock()
 		if forgotten {
 			return outcome.Outcome{Kind: outcome.Unknown, Reason: "the engine is gone"}
@@ -382,7 +384,7 @@
 type fakeSlot struct{ gatedBatch }
 
 // Release implements dispatch.Slot.
-func (s fakeSlot) Release() { s.engines.add(1) }
+func (s fakeSlot) Release() { s.engines.addFree(1) }
 
 // Run implements dispatch.Slot.
 func (s fakeSlot) Run(ctx context.Context, request dispatch.Request, sink dispatch.Sink) outcome.Outcome {
@@ -399,7 +401,7 @@
 	if s.gate.pass() != nil || ctx.Err() != nil {
 		return outcome.Outcome{Kind: outcome.Refused}
 	}
-	sent := &attempt{prompt: request.Prompt, tokens: request.MaxTokens, kept: len(request.Kept), started: time.Now()}
+	sent := &attempt{prompt: request.Prompt, tokens: request.MaxTokens, keptTokens: len(request.Kept), started: time.Now()}
 	s.engines.mu.Lock()
 	s.engines.attempts[intent.Attempt] = sent
 	s.engines.order = append(s.engines.order, sent)
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,6 +1,6 @@
-// Package jobs accepts batch jobs, keeps their durable state, and runs their
-// items. A job is acknowledged only after the transaction that makes it
-// durable; its shard is owned by one node under a fenced lease.
+// Package jobs accepts batch jobs, stores their state, and runs their items. A
+// job is acknowledged only after the transaction that makes it durable. Its shard
+// is owned by one node under a fenced lease.
 package jobs
 
 import (
@@ -12,7 +12,7 @@
 	"ringstream.example/ringstream/internal/jobs/record"
 )
 
-// State is where a job stands.
+// State is the state of a job as callers see it.
 type State string
 
 // The states of a job.
@@ -23,7 +23,7 @@
 	StateCancelled State = "cancelled"
 )
 
-// Submission is a new job; its items are read as JSON lines from Items.
+// Submission is a new job. Its items are read as JSON lines from Items.
 type Submission struct {
 	Tenant     identity.TenantID
 	Key        string // the idempotency key; required
@@ -36,7 +36,7 @@
 // Item is one line of a submission.
 type Item = record.Item
 
-// Job is what callers and operators see of a job.
+// Job is a job as callers and operators see it.
 type Job struct {
 	ID             identity.JobID    `json:"id"`
 	Tenant         identity.TenantID `json:"tenant"`
@@ -53,21 +53,22 @@
 	Cancelled      int               `json:"cancelled"`
 }
 
-// Result is one item's final outcome, a JSON line of the results.
+// Result is one item's final outcome, and one JSON line of the results.
 type Result = record.Result
 
-// Service is the batch half of the callers' API, the same on every node.
-// Errors are *apierror.Error.
+// Service is the batch part of the callers' API, which every node serves. Errors
+// are *apierror.Error.
 type Service interface {
-	// Submit stores a job and acknowledges it. The same tenant and key give
-	// the same job again; existed says so.
+	// Submit stores a job and acknowledges it. Submitting the same job again with
+	// the same tenant and key returns the existing job, with existed true.
 	Submit(ctx context.Context, submission Submission) (job Job, existed bool, err error)
 	Get(ctx context.Context, tenant identity.TenantID, id identity.JobID) (Job, error)
-	// List pages through a tenant's jobs, newest first; after is the last id seen.
+	// List returns a page of a tenant's jobs, newest first. after is the last id of
+	// the previous page.
 	List(ctx context.Context, tenant identity.TenantID, after identity.JobID, limit int) ([]Job, error)
-	// Cancel stops a job; no item completes after it returns.
+	// Cancel stops a job. No item completes after it returns.
 	Cancel(ctx context.Context, tenant identity.TenantID, id identity.JobID) (Job, error)
-	// Results gives final outcomes of items from (inclusive) to to (exclusive)
-	// by index, while the job runs and after.
+	// Results returns the final outcomes of the items with an index of at least
+	// from and below to. It works while the job runs and after it has ended.
 	Results(ctx context.Context, tenant identity.TenantID, id identity.JobID, from, to int) ([]Result, error)
 }
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -23,7 +23,7 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// Dependencies are what the Manager works with.
+// Dependencies holds the components that a Manager uses.
 type Dependencies struct {
 	Store   *store.Client
 	Objects backend.Objects
@@ -33,7 +33,8 @@
 	Limits  limits.Limiter
 }
 
-// Manager is the Service of one node, and runs the jobs whose shards it holds.
+// Manager implements Service on one node, and runs the jobs whose shards the node
+// holds.
 type Manager struct {
 	config    Config
 	store     *store.Client
@@ -50,12 +51,13 @@
 
 var _ Service = (*Manager)(nil)
 
-// objectPatience bounds one call to the object store with its retries.
-const objectPatience = 5 * time.Second
+// objectCallTimeout is how long a failed call to the object store is retried.
+const objectCallTimeout = 5 * time.Second
 
-// New makes a manager and sets its message handlers; the config is valid.
+// New returns a manager and registers its message handlers on the bus. The config
+// must be valid.
 func New(config Config, deps Dependencies, logger *zap.Logger, registerer prometheus.Registerer) *Manager {
-	blobs := blob.Store{Objects: deps.Objects, RetryTimeout: objectPatience}
+	blobs := blob.Store{Objects: deps.Objects, RetryTimeout: objectCallTimeout}
 	m := &Manager{
 		config: config, store: deps.Store, blobs: blobs, bus: deps.Bus, batch: deps.Batch, rows: deps.Rows, logger: logger,
 		intake: &intake.Intake{Limits: config.intake(), Shards: config.Shards, Store: deps.Store, Blobs: blobs, Logger: logger},
@@ -73,10 +75,10 @@
 	return m
 }
 
-// Run takes part in the fleet's batch work until the context ends, and hands
-// the shards over then. Its last act commits what is finished.
+// Run runs batch work until the context ends. It then commits the finished
+// outcomes and hands the shards over.
 func (m *Manager) Run(ctx context.Context) error {
-	// The runner outlives the keeper, whose last act flushes every shard.
+	// The runner must outlive the keeper, which flushes every shard before it ends.
 	running, stopRunner := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopRunner()
 	var tasks errgroup.Group
@@ -92,10 +94,10 @@
 	return nil
 }
 
-// Shards gives the shards that this node holds.
+// Shards returns the shards that this node holds.
 func (m *Manager) Shards() []int { return m.keeper.Held() }
 
-// holder gives the node that is to hold a job's shard.
+// holder returns the node that should hold a shard.
 func (m *Manager) holder(number int) (identity.NodeID, bool) { return m.keeper.Holder(number) }
 
 func (c Config) intake() intake.Limits {
--- a/internal/jobs/manager_test.go
+++ b/internal/jobs/manager_test.go
@@ -25,7 +25,7 @@
 		if job.State != StateAccepted || job.Total != 250 {
 			t.Fatalf("%+v", job)
 		}
-		settle(3 * time.Second)
+		advance(3 * time.Second)
 		early, err := c.nodes[1].Results(t.Context(), tenant, job.ID, 0, 250)
 		if err != nil || len(early) == 0 || len(early) == 250 {
 			t.Errorf("while running: %d results, %v", len(early), err)
@@ -122,12 +122,12 @@
 				first++
 			}
 			if id != "" && got.job.ID != id {
-				t.Errorf("two jobs: %s and %s", id, got.job.ID)
+				t.Errorf("submissions with one key gave two jobs: %s and %s", id, got.job.ID)
 			}
 			id = got.job.ID
 		}
 		if first != 1 {
-			t.Errorf("%d submissions say that they made the job", first)
+			t.Errorf("%d submissions report a new job, want 1", first)
 		}
 		if _, _, err := c.nodes[0].Submit(t.Context(), submission("k", 31, true)); codeOf(err) != apierror.CodeKeyReuse {
 			t.Error(err)
@@ -172,7 +172,7 @@
 		c := newCluster(t, 2, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 400, true)
-		settle(5500 * time.Millisecond) // between the ends of attempts, which take a second each
+		advance(5500 * time.Millisecond) // between the ends of attempts, which run for a second each
 		if c.engines.active() == 0 {
 			t.Fatal("nothing is running")
 		}
@@ -180,11 +180,11 @@
 		if err != nil || cancelled.State != StateCancelled || cancelled.Completed+cancelled.Cancelled != 400 || cancelled.Completed == 0 {
 			t.Fatalf("%+v, %v", cancelled, err)
 		}
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		if active := c.engines.active(); active != 0 {
 			t.Errorf("%d attempts run 2 s after the cancellation", active)
 		}
-		settle(time.Minute)
+		advance(time.Minute)
 		later, err := c.nodes[0].Get(t.Context(), tenant, job.ID)
 		if err != nil || later.Completed != cancelled.Completed {
 			t.Errorf("%+v, %v", later, err)
@@ -212,19 +212,19 @@
 			if call.Operation != "list" || !strings.HasPrefix(call.Subject, "batch/segment/") || call.Phase != emulator.BeforeEffect {
 				return
 			}
-			if reads.Add(1) == 1 { // the holder has the header, which says open
-				settle(time.Second)
+			if reads.Add(1) == 1 { // the holder has read the header, whose state is open
+				advance(time.Second)
 			}
 		})
 		job = c.submit(c.nodes[0], "k", 40, true)
-		settle(500 * time.Millisecond)
+		advance(500 * time.Millisecond)
 		if _, err := c.nodes[1].Cancel(t.Context(), tenant, job.ID); err != nil {
 			t.Fatal(err)
 		}
 		if reads.Load() < 2 {
 			t.Fatalf("%d reads of segments: the holder was not reading", reads.Load())
 		}
-		settle(time.Minute)
+		advance(time.Minute)
 		c.engines.mu.Lock()
 		defer c.engines.mu.Unlock()
 		if sent := len(c.engines.attempts); sent != 0 {
@@ -233,14 +233,14 @@
 	})
 }
 
-// TestACancelAskedAgainStopsTheWork loses the node that commits a cancellation
-// before it can tell the holder.
-func TestACancelAskedAgainStopsTheWork(t *testing.T) {
+// TestARepeatedCancelStopsTheWork kills the node that commits a cancellation
+// before it can send the message. A repeated cancellation must send it.
+func TestARepeatedCancelStopsTheWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 400, true)
-		settle(1500 * time.Millisecond)
+		advance(1500 * time.Millisecond)
 		holder := c.holderOf(shardOf(job, c.config))
 		var others []*testNode
 		for _, node := range c.nodes {
@@ -254,12 +254,12 @@
 			}
 		})
 		if _, err := others[0].Cancel(t.Context(), tenant, job.ID); err == nil {
-			t.Fatal("the lost node answered")
+			t.Fatal("the killed node answered the cancellation")
 		}
 		if again, err := others[1].Cancel(t.Context(), tenant, job.ID); err != nil || again.State != StateCancelled {
 			t.Fatalf("%+v, %v", again, err)
 		}
-		settle(500 * time.Millisecond)
+		advance(500 * time.Millisecond)
 		if active := c.engines.active(); active != 0 {
 			t.Errorf("%d attempts run after the cancellation", active)
 		}
@@ -274,17 +274,17 @@
 		c := newCluster(t, 3, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 300, true)
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		victim := c.holderOf(shardOf(job, c.config))
 		c.kill(victim)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		c.network.SetState(victim.id, membership.Dead)
-		settle(5 * time.Second)
-		heir := c.holderOf(shardOf(job, c.config))
-		if heir == nil || heir == victim {
+		advance(5 * time.Second)
+		newHolder := c.holderOf(shardOf(job, c.config))
+		if newHolder == nil || newHolder == victim {
 			t.Fatal("the shard has not moved")
 		}
-		c.checkResults(heir, c.await(heir, job.ID, time.Minute), "k")
+		c.checkResults(newHolder, c.await(newHolder, job.ID, time.Minute), "k")
 	})
 }
 
@@ -294,24 +294,24 @@
 		c := newCluster(t, 3, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 300, true)
-		settle(3 * time.Second)
-		leaver := c.holderOf(shardOf(job, c.config))
-		before, err := leaver.Get(t.Context(), tenant, job.ID)
+		advance(3 * time.Second)
+		stopping := c.holderOf(shardOf(job, c.config))
+		before, err := stopping.Get(t.Context(), tenant, job.ID)
 		if err != nil {
 			t.Fatal(err)
 		}
-		leaver.cancel()
-		settle(time.Second)
-		heir := c.holderOf(shardOf(job, c.config))
-		if heir == nil || heir == leaver {
+		stopping.cancel()
+		advance(time.Second)
+		newHolder := c.holderOf(shardOf(job, c.config))
+		if newHolder == nil || newHolder == stopping {
 			t.Fatal("the shard has not moved")
 		}
-		after, err := heir.Get(t.Context(), tenant, job.ID)
+		after, err := newHolder.Get(t.Context(), tenant, job.ID)
 		if err != nil || after.Completed < before.Completed {
 			t.Errorf("%+v, %v", after, err)
 		}
-		c.network.SetState(leaver.id, membership.Dead)
-		c.checkResults(heir, c.await(heir, job.ID, time.Minute), "k")
+		c.network.SetState(stopping.id, membership.Dead)
+		c.checkResults(newHolder, c.await(newHolder, job.ID, time.Minute), "k")
 	})
 }
 
@@ -321,25 +321,25 @@
 		c := newCluster(t, 3, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 600, true)
-		settle(2 * time.Second)
-		sleeper := c.holderOf(shardOf(job, c.config))
-		sleeper.gate.set(paused)
-		c.network.SetPaused(sleeper.id, true)
-		settle(5 * time.Second)
-		c.network.SetState(sleeper.id, membership.Dead)
-		settle(8 * time.Second)
-		c.network.SetState(sleeper.id, membership.Alive)
-		sleeper.gate.set(running)
-		c.network.SetPaused(sleeper.id, false)
+		advance(2 * time.Second)
+		pausedHolder := c.holderOf(shardOf(job, c.config))
+		pausedHolder.gate.set(paused)
+		c.network.SetPaused(pausedHolder.id, true)
+		advance(5 * time.Second)
+		c.network.SetState(pausedHolder.id, membership.Dead)
+		advance(8 * time.Second)
+		c.network.SetState(pausedHolder.id, membership.Alive)
+		pausedHolder.gate.set(running)
+		c.network.SetPaused(pausedHolder.id, false)
 		ended := c.await(c.nodes[0], job.ID, 2*time.Minute)
 		c.checkResults(c.nodes[0], ended, "k")
 		if ended.Completed != 600 {
 			t.Errorf("%+v", ended)
 		}
-		settle(10 * time.Second)
+		advance(10 * time.Second)
 		held := make(map[int]int)
-		for _, own := range c.nodes {
-			for _, number := range own.Shards() {
+		for _, node := range c.nodes {
+			for _, number := range node.Shards() {
 				held[number]++
 			}
 		}
--- a/internal/jobs/measure_test.go
+++ b/internal/jobs/measure_test.go
@@ -18,13 +18,13 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// TestStoreCallsPerItem measures, in virtual time, what the items of one node
-// cost the stores at its share of the target rate (1,620 items/s over 340
-// nodes: 4.8 items/s) and above; docs/CAPACITY.md quotes the log lines.
+// TestStoreCallsPerItem measures, in virtual time, the store calls per item of one
+// node at its share of the target rate (1,620 items/s over 340 nodes: 4.8 items/s)
+// and above it. docs/CAPACITY.md quotes the log lines.
 func TestStoreCallsPerItem(t *testing.T) {
 	cases := []struct {
 		interval time.Duration
-		slots    int // items of a second each: items/s
+		slots    int // each item takes a second, so this is also the rate in items/s
 	}{
 		{500 * time.Millisecond, 5}, {time.Second, 5}, {2 * time.Second, 5}, {2 * time.Second, 50},
 	}
@@ -35,7 +35,7 @@
 				const items = 1200
 				c := newCluster(t, 1, func(config *Config) { config.CommitInterval = test.interval })
 				defer c.close()
-				c.engines.add(test.slots - 32)
+				c.engines.addFree(test.slots - 32)
 				commits, puts := c.fleet.Table.Faults.Calls()["commit"], c.fleet.Objects.Faults.Calls()["put"]
 				start := time.Now()
 				job := c.submit(c.nodes[0], "k", items, true)
@@ -46,20 +46,20 @@
 				objects := float64(c.fleet.Objects.Faults.Calls()["put"]-puts) / items
 				t.Logf("%s interval, %.1f items/s: %.4f transactions/item with the renewals, %.4f objects/item, %.2f transactions/s",
 					test.interval, items/elapsed, perItem, objects, float64(all)/elapsed)
-				// One transaction and one object an interval, whatever the number of
-				// items; besides them the acceptance, the input, the last outcomes.
-				const besides = 5
-				most := elapsed/test.interval.Seconds() + besides
-				if float64(all) > most || objects*items > most {
-					t.Errorf("%d transactions and %.0f objects, allowed are %.1f", all, objects*items, most)
+				// One transaction and one object per interval, independent of the number
+				// of items, plus those of the acceptance, the input and the last outcomes.
+				const otherCalls = 5
+				maxCalls := elapsed/test.interval.Seconds() + otherCalls
+				if float64(all) > maxCalls || objects*items > maxCalls {
+					t.Errorf("%d transactions and %.0f objects, want at most %.1f of each", all, objects*items, maxCalls)
 				}
 			})
 		})
 	}
 }
 
-// countingObjects takes objects without keeping them, and looks at the heap
-// while each is written.
+// countingObjects discards the objects that are written, and measures the heap at
+// each write.
 type countingObjects struct {
 	backend.Objects
 	base, peak uint64
@@ -80,15 +80,15 @@
 	return nil
 }
 
-// generated is a submission made while it is read.
-type generated struct {
+// generatedItems generates the lines of a submission while it is read.
+type generatedItems struct {
 	items, next int
 	prompt      string
 	line        []byte
 }
 
 // Read implements io.Reader.
-func (g *generated) Read(p []byte) (int, error) {
+func (g *generatedItems) Read(p []byte) (int, error) {
 	if len(g.line) == 0 {
 		if g.next == g.items {
 			return 0, io.EOF
@@ -101,39 +101,40 @@
 	return n, nil
 }
 
-// TestTheLargestJobIsAcceptedInBoundedMemory accepts 72,000 items of 0.8 KB, and
-// measures the heap with each object that is written.
+// TestTheLargestJobIsAcceptedInBoundedMemory accepts 72,000 items of 0.8 KB and
+// measures the heap at each object that is written.
 //
-// It does not run beside other tests, whose heap it would measure.
+// It does not run in parallel with other tests, whose heap it would measure too.
 func TestTheLargestJobIsAcceptedInBoundedMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, nil)
 		defer c.close()
 		objects := &countingObjects{}
 		network := peertest.New(peertest.Options{})
-		taker := New(DefaultConfig(), Dependencies{
+		manager := New(DefaultConfig(), Dependencies{
 			Store: store.New(c.clients.Table), Objects: objects,
 			Bus: network.Add(membership.Member{ID: "taker"}), Batch: gatedBatch{newGate(), c.engines}, Rows: fixedRows{},
 		}, zap.NewNop(), nil)
 		objects.base = heap()
-		items := &generated{items: 72_000, prompt: strings.Repeat("x", 800)}
-		job, _, err := taker.Submit(t.Context(), Submission{Tenant: tenant, Key: "large", Model: "m", Repeatable: true, Items: items})
+		items := &generatedItems{items: 72_000, prompt: strings.Repeat("x", 800)}
+		job, _, err := manager.Submit(t.Context(), Submission{Tenant: tenant, Key: "large", Model: "m", Repeatable: true, Items: items})
 		if err != nil || job.Total != 72_000 {
 			t.Fatalf("%+v, %v", job, err)
 		}
 		added := float64(objects.peak-objects.base) / (1 << 20)
 		t.Logf("%d MB of items accepted with %.1f MB added to the heap at most", objects.bytes>>20, added)
-		const most = 64
-		if added > most {
-			t.Errorf("%.1f MB were added, allowed are %d", added, most)
+		const maxMB = 64
+		if added > maxMB {
+			t.Errorf("%.1f MB were added to the heap, want at most %d", added, maxMB)
 		}
 	})
 }
 
-// Three nodes start one after the other, each of which knows only those before it. The shards of one
-// claim were handed to the reader of open jobs one by one: it was woken by the first, and made a
-// list for each of up to 15 that it found by then. 37 lists were usual, up to 103 seen, and 20 of 240
-// starts under the race detector were over the bound; handed over together they take 21 in all 240.
+// The shards of one claim must be passed to the runner in one call. Three nodes start one after the
+// other, and each knows only those before it. When the shards were passed one by one, the first woke
+// the reader of open jobs, which made a separate list for each of up to 15 shards passed by then. A
+// start usually took 37 lists, up to 103, and 20 of 240 starts under the race detector exceeded the
+// bound. Passed together, all 240 starts took 21 lists each.
 func TestAColdStartTakesFewStoreCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -142,17 +143,17 @@
 		const nodes = 3
 		for range nodes {
 			c.add()
-			settle(400 * time.Millisecond)
+			advance(400 * time.Millisecond)
 		}
-		settle(7 * time.Second)
+		advance(7 * time.Second)
 		held := 0
-		for _, own := range c.nodes {
-			held += len(own.Shards())
+		for _, node := range c.nodes {
+			held += len(node.Shards())
 		}
 		calls := c.fleet.Table.Faults.Calls()
 		t.Logf("%d shards held after %d commits, %d gets and %d lists", held, calls["commit"], calls["get"], calls["list"])
 		if held != 1024 || calls["commit"] > 60 || calls["get"]+calls["list"] > 60 {
-			t.Error("above the bound, or shards without a holder")
+			t.Error("too many store calls, or not every shard is held")
 		}
 	})
 }
--- a/internal/jobs/messages.go
+++ b/internal/jobs/messages.go
@@ -10,19 +10,21 @@
 	"ringstream.example/ringstream/internal/peer"
 )
 
-// jobSubmitted tells the holder of a shard that a job was accepted.
+// jobSubmitted informs the holder of a shard that a job was accepted for it.
 type jobSubmitted struct{ Shard int }
 
-// jobCancelled tells the holder of a job that its cancellation was committed.
+// jobCancelled informs all nodes that a job's cancellation was committed.
 type jobCancelled struct{ Job identity.JobID }
 
 // forecastRequest asks the holder of a job when it expects to finish it.
 type forecastRequest struct{ Job identity.JobID }
 
-// forecastReply answers a forecastRequest; a zero time says nothing.
+// forecastReply answers a forecastRequest. Finish is zero when there is no
+// forecast.
 type forecastReply struct{ Finish time.Time }
 
-// Messages gives a prototype of each message that this package sends to peers.
+// Messages returns a prototype of each message that this package and the package
+// shard send to peers.
 func Messages() []any {
 	return []any{jobSubmitted{}, jobCancelled{}, forecastRequest{}, forecastReply{}, shard.HandOverRequest{}, shard.Released{}}
 }
@@ -51,30 +53,32 @@
 	})
 }
 
-// tellSubmitted wakes the holder of the job's shard; a lost word costs one poll.
-func (m *Manager) tellSubmitted(number int) {
+// notifySubmitted makes the holder of the shard read its open jobs.
+func (m *Manager) notifySubmitted(number int) {
 	holder, found := m.holder(number)
 	switch {
 	case !found:
 	case holder == m.bus.Self():
 		m.runner.Submitted(number)
 	default:
-		_ = m.bus.Send(holder, jobSubmitted{Shard: number}) // a lost word costs one poll
+		_ = m.bus.Send(holder, jobSubmitted{Shard: number}) // a lost message delays the job until the next poll
 	}
 }
 
-// tellCancelled stops the job wherever it runs. The word is flooded, also when
-// the job runs here: a former holder that does not know that its lease has
-// lapsed runs it too, and worked on for up to 5.9 s (fault cells, virtual
-// time). If the word is lost, a holder learns of it at its next commit or poll.
-func (m *Manager) tellCancelled(id identity.JobID) {
+// broadcastCancelled stops the job on every node that runs it. The message is sent
+// to all nodes even when the job runs on this one, because a former holder that
+// does not know that its lease has expired may run it too. Without the message,
+// such a holder continued for up to 5.9 s (fault tests in virtual time). If the
+// message is lost, a holder learns of the cancellation at its next commit or poll.
+func (m *Manager) broadcastCancelled(id identity.JobID) {
 	m.runner.Cancelled(id)
 	m.bus.Flood(jobCancelled{Job: id})
 }
 
-// expectedFinish asks the job's holder for its forecast; zero when there is none.
+// expectedFinish requests the forecast from the job's holder. It returns the zero
+// time when there is none.
 func (m *Manager) expectedFinish(ctx context.Context, header *record.Job) time.Time {
-	const patience = 200 * time.Millisecond
+	const forecastTimeout = 200 * time.Millisecond
 	holder, found := m.holder(header.Shard)
 	if !found {
 		return time.Time{}
@@ -83,7 +87,7 @@
 		finish, _ := m.runner.ExpectedFinish(header.ID)
 		return finish
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, forecastTimeout)
 	defer cancel()
 	reply, err := m.bus.Call(ctx, holder, forecastRequest{Job: header.ID})
 	if err != nil {
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -9,14 +9,14 @@
 	"ringstream.example/ringstream/internal/jobs/record"
 )
 
-// Operators is the view of all tenants' jobs, for the admin API only: each
-// method takes an empty tenant as any tenant.
+// Operators gives the admin API access to the jobs of all tenants. In each method
+// an empty tenant stands for any tenant.
 type Operators struct{ manager *Manager }
 
-// Operators gives the operators' view.
+// Operators returns the operators' view of this manager's jobs.
 func (m *Manager) Operators() Operators { return Operators{manager: m} }
 
-// Get gives a job. Errors are *apierror.Error.
+// Get returns a job. Errors are *apierror.Error.
 func (o Operators) Get(ctx context.Context, tenant identity.TenantID, id identity.JobID) (Job, error) {
 	owner, err := o.owner(ctx, tenant, id)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return o.manager.Get(ctx, owner, id)
 }
 
-// Cancel stops a job; no item completes after it returns.
+// Cancel stops a job. No item completes after it returns.
 func (o Operators) Cancel(ctx context.Context, tenant identity.TenantID, id identity.JobID) (Job, error) {
 	owner, err := o.owner(ctx, tenant, id)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return o.manager.Cancel(ctx, owner, id)
 }
 
-// Results gives final outcomes of items by index.
+// Results returns final outcomes of items, like Service.Results.
 func (o Operators) Results(ctx context.Context, tenant identity.TenantID, id identity.JobID, from, to int) ([]Result, error) {
 	owner, err := o.owner(ctx, tenant, id)
 	if err != nil {
@@ -43,7 +43,8 @@
 	return o.manager.Results(ctx, owner, id, from, to)
 }
 
-// owner is the tenant that a job belongs to.
+// owner returns the tenant that a job belongs to, or the given tenant if it is not
+// empty.
 func (o Operators) owner(ctx context.Context, tenant identity.TenantID, id identity.JobID) (identity.TenantID, error) {
 	if tenant != "" {
 		return tenant, nil
@@ -52,8 +53,8 @@
 	return stored.Tenant, err
 }
 
-// header reads a job's header whoever it belongs to; the zero header when there
-// is none.
+// header reads a job's header regardless of its tenant. It returns the zero header
+// when there is none.
 func (o Operators) header(ctx context.Context, id identity.JobID) (record.Job, error) {
 	found, err := o.manager.store.Get(ctx, record.JobKey(id))
 	if err != nil {
@@ -65,14 +66,14 @@
 	return record.Decode[record.Job](found.Value)
 }
 
-// List pages through one tenant's jobs, newest first. Without a tenant it pages
-// through the open jobs of all tenants, in the order of their shards.
+// List returns a page of one tenant's jobs, newest first. Without a tenant it
+// returns a page of the open jobs of all tenants, in the order of their shards.
 func (o Operators) List(ctx context.Context, tenant identity.TenantID, after identity.JobID, limit int) ([]Job, error) {
 	if tenant != "" {
 		return o.manager.List(ctx, tenant, after, limit)
 	}
-	if limit < 1 || limit > mostListed {
-		limit = mostListed
+	if limit < 1 || limit > maxListed {
+		limit = maxListed
 	}
 	from := ""
 	if after != "" {
@@ -88,7 +89,7 @@
 	}
 	listed := make([]Job, len(entries))
 	reads, readContext := errgroup.WithContext(ctx)
-	reads.SetLimit(listReads)
+	reads.SetLimit(maxParallelListReads)
 	for i, entry := range entries {
 		reads.Go(func() (err error) {
 			listed[i], err = o.Get(readContext, "", record.JobOfOpenKey(entry.Key))
--- a/internal/jobs/progress_test.go
+++ b/internal/jobs/progress_test.go
@@ -15,25 +15,25 @@
 	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
 )
 
-func TestItemsThatGaveWayGoOnFromTheirTokens(t *testing.T) {
+func TestPreemptedItemsResumeFromTheirTokens(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, nil)
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 64, true)
-		settle(500 * time.Millisecond)
+		advance(500 * time.Millisecond)
 		c.engines.preempt()
 		ended := c.await(c.nodes[0], job.ID, time.Minute)
 		c.checkResults(c.nodes[0], ended, "k")
 		again, kept := 0, 0
 		for _, sent := range c.engines.order[32:] {
-			if sent.kept > 0 {
+			if sent.keptTokens > 0 {
 				again++
-				kept += sent.kept
+				kept += sent.keptTokens
 			}
 		}
 		if again != 32 || kept < 32*8 || len(c.engines.order) != 64+32 {
-			t.Errorf("%d of 32 preempted items went on from %d tokens, in %d attempts", again, kept, len(c.engines.order))
+			t.Errorf("%d of 32 preempted items resumed from %d tokens, in %d attempts", again, kept, len(c.engines.order))
 		}
 	})
 }
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2, nil)
 		defer c.close()
-		late := submission("late", 1000, true) // a second each on 32 places: over 31 s
+		late := submission("late", 1000, true) // a second each on 32 slots: over 31 s
 		late.Deadline = time.Now().Add(20 * time.Second)
 		inTime := submission("in-time", 64, true)
 		inTime.Deadline = time.Now().Add(time.Hour)
@@ -54,9 +54,9 @@
 		if _, _, err := c.nodes[0].Submit(t.Context(), inTime); err != nil {
 			t.Fatal(err)
 		}
-		settle(10500 * time.Millisecond)
-		for _, own := range c.nodes {
-			seen, err := own.Get(t.Context(), tenant, job.ID)
+		advance(10500 * time.Millisecond)
+		for _, node := range c.nodes {
+			seen, err := node.Get(t.Context(), tenant, job.ID)
 			finish := seen.ExpectedFinish.Sub(job.CreatedAt)
 			t.Logf("expected after %s", finish)
 			if err != nil || finish < 28*time.Second || finish > 45*time.Second {
@@ -71,8 +71,9 @@
 	})
 }
 
-// TestALostAnswerOfAnyCommitIsSettled loses the answer of each of the first
-// commits in turn: claims, renewals, acceptance, intents, outcomes, the end.
+// TestALostAnswerOfAnyCommitIsSettled loses the answer to one of the first commits
+// in each subtest: claims, renewals, the acceptance, intents, outcomes and the end
+// of the job.
 func TestALostAnswerOfAnyCommitIsSettled(t *testing.T) {
 	t.Parallel()
 	for lost := range int32(14) {
@@ -81,7 +82,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, 1, func(config *Config) { config.CommitInterval = 100 * time.Millisecond })
 				defer c.close()
-				c.engines.add(-20) // several rounds
+				c.engines.addFree(-20) // 12 slots remain for 80 items
 				var commits atomic.Int32
 				c.fleet.Table.Faults.SetHook(func(call emulator.Call) {
 					if call.Operation == "commit" && call.Phase == emulator.BeforeEffect && commits.Add(1) == lost+1 {
@@ -99,7 +100,7 @@
 					}
 				}
 				if commits.Load() <= lost {
-					t.Fatalf("only %d commits: none was lost", commits.Load())
+					t.Fatalf("only %d commits, so no answer was lost", commits.Load())
 				}
 			})
 		})
--- a/internal/jobs/results.go
+++ b/internal/jobs/results.go
@@ -18,14 +18,14 @@
 	"ringstream.example/ringstream/internal/jobs/record"
 )
 
-// resultReads bounds the objects that one call reads at once.
-const resultReads = 8
+// maxParallelResultReads bounds the objects that one call reads concurrently.
+const maxParallelResultReads = 8
 
-// mostResults bounds the range of one call, and with it the memory it takes.
-const mostResults = 10_000
+// maxResultRange bounds the items of one call, and thereby its memory.
+const maxResultRange = 10_000
 
-// Results implements Service. Items of a cancelled job that had no outcome
-// then are given as cancelled.
+// Results implements Service. Items without an outcome when their job was
+// cancelled are returned as cancelled.
 func (m *Manager) Results(ctx context.Context, tenant identity.TenantID, id identity.JobID, from, to int) ([]Result, error) {
 	header, _, err := m.header(ctx, tenant, id)
 	if err != nil {
@@ -35,8 +35,8 @@
 	if from < 0 || from > to {
 		return nil, apierror.Invalid("the range %d to %d is not within the job's %d items", from, to, header.Total())
 	}
-	if to-from > mostResults {
-		return nil, apierror.Invalid("a range has at most %d items", mostResults)
+	if to-from > maxResultRange {
+		return nil, apierror.Invalid("a range has at most %d items", maxResultRange)
 	}
 	low, high, first := segmentsOf(&header, from, to)
 	segments, err := m.segmentRange(ctx, &header, low, high)
@@ -56,8 +56,8 @@
 	return results, nil
 }
 
-// segmentsOf gives the segments, from low to below high, that hold the items
-// from from to below to, and the index of the first item of the first.
+// segmentsOf returns the range of segments, from low to below high, that holds the
+// items from from to below to, and the index of the first item of segment low.
 func segmentsOf(header *record.Job, from, to int) (low, high, first int) {
 	if from == to {
 		return 0, 0, 0
@@ -75,7 +75,8 @@
 	return min(low, high), high, first
 }
 
-// segmentResults gives the outcomes of a segment's items from low to high.
+// segmentResults returns the outcomes of a segment's items from low to below high.
+// first is the index of the segment's first item in the job.
 func (m *Manager) segmentResults(ctx context.Context, header *record.Job, segment *batch.Segment, number, first, low, high int) ([]Result, error) {
 	written, err := m.readObjects(ctx, header.ID, segment.References(low, high), first+low, first+high)
 	if err != nil {
@@ -106,11 +107,12 @@
 	return results, nil
 }
 
-// readObjects gives the results in the objects, by index, within the range.
+// readObjects returns the results in the objects whose index is at least from and
+// below to, by index.
 func (m *Manager) readObjects(ctx context.Context, id identity.JobID, references []batch.Reference, from, to int) (map[int]Result, error) {
 	read := make([][]Result, len(references))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(resultReads)
+	group.SetLimit(maxParallelResultReads)
 	for i, reference := range references {
 		group.Go(func() error {
 			body, err := m.blobs.Get(ctx, record.ResultObject(id, reference))
@@ -152,7 +154,7 @@
 	}
 }
 
-// itemIDs gives the callers' ids of a segment's items.
+// itemIDs returns the custom_id of each of a segment's items.
 func (m *Manager) itemIDs(ctx context.Context, id identity.JobID, number int) ([]string, error) {
 	body, err := m.blobs.Get(ctx, record.InputObject(id, number))
 	if err != nil {
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -22,12 +22,12 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// longestKey bounds an idempotency key, in bytes.
-const longestKey = 256
+// maxIdempotencyKeyBytes bounds an idempotency key.
+const maxIdempotencyKeyBytes = 256
 
 // Submit implements Service.
 func (m *Manager) Submit(ctx context.Context, submission Submission) (Job, bool, error) {
-	if err := m.check(&submission); err != nil {
+	if err := m.validate(&submission); err != nil {
 		return Job{}, false, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.config.UploadTimeout)
@@ -40,16 +40,16 @@
 		return Job{}, false, err
 	}
 	if existed {
-		job, err := m.view(ctx, &header)
+		job, err := m.viewWithProgress(ctx, &header)
 		return job, true, err
 	}
 	events.JobAccepted.Log(m.logger, zap.String("job", string(header.ID)), zap.String("tenant", string(header.Tenant)),
 		zap.Int("items", header.Total()), zap.Int("shard", header.Shard))
-	m.tellSubmitted(header.Shard)
+	m.notifySubmitted(header.Shard)
 	return viewOf(&header, batch.Counts{Total: header.Total()}), false, nil
 }
 
-func (m *Manager) check(submission *Submission) error {
+func (m *Manager) validate(submission *Submission) error {
 	now := time.Now()
 	if submission.Deadline.IsZero() {
 		submission.Deadline = now.Add(m.config.DefaultWindow)
@@ -57,8 +57,8 @@
 	switch {
 	case submission.Key == "":
 		return apierror.Invalid("a batch job needs an idempotency key")
-	case len(submission.Key) > longestKey:
-		return apierror.Invalid("the idempotency key is longer than %d bytes", longestKey)
+	case len(submission.Key) > maxIdempotencyKeyBytes:
+		return apierror.Invalid("the idempotency key is longer than %d bytes", maxIdempotencyKeyBytes)
 	case submission.Model == "":
 		return apierror.Invalid("model is missing")
 	case submission.Items == nil:
@@ -76,10 +76,11 @@
 	if err != nil {
 		return Job{}, err
 	}
-	return m.view(ctx, &header)
+	return m.viewWithProgress(ctx, &header)
 }
 
-// header reads a job's header; another tenant's job is not found.
+// header reads a job's header and its version. A job of another tenant is reported
+// as not found.
 func (m *Manager) header(ctx context.Context, tenant identity.TenantID, id identity.JobID) (record.Job, uint64, error) {
 	found, err := m.store.Get(ctx, record.JobKey(id))
 	if err != nil {
@@ -98,16 +99,17 @@
 }
 
 func readFailed(err error) error {
-	const comeBack = 2 * time.Second
+	const minRetryAfter = 2 * time.Second
 	var failure *backend.Error
 	if errors.As(err, &failure) {
-		return apierror.Unavailable(max(comeBack, failure.RetryAfter), "the job cannot be read now: %v", err)
+		return apierror.Unavailable(max(minRetryAfter, failure.RetryAfter), "the job cannot be read now: %v", err)
 	}
 	return err
 }
 
-// view adds a job's progress to its header.
-func (m *Manager) view(ctx context.Context, header *record.Job) (Job, error) {
+// viewWithProgress returns a job with its progress and, while it is open, its
+// forecast.
+func (m *Manager) viewWithProgress(ctx context.Context, header *record.Job) (Job, error) {
 	var counts batch.Counts
 	segments, err := m.segments(ctx, header)
 	if err != nil {
@@ -128,8 +130,8 @@
 	return m.segmentRange(ctx, header, 0, len(header.Segments))
 }
 
-// segmentRange reads a job's segments from low to below high, in order. One
-// without a record is one in which nothing has happened.
+// segmentRange reads a job's segments from low to below high, in order. All items
+// of a segment without a record are open.
 func (m *Manager) segmentRange(ctx context.Context, header *record.Job, low, high int) ([]batch.Segment, error) {
 	segments := make([]batch.Segment, high-low)
 	for i, items := range header.Segments[low:high] {
@@ -140,7 +142,7 @@
 		after = record.SegmentKey(header.ID, low-1)
 	}
 	for next := low; next < high; {
-		page := min(high-next, segmentPage)
+		page := min(high-next, segmentPageSize)
 		stored, err := m.store.Page(ctx, record.SegmentsPrefix(header.ID), after, page)
 		if err != nil {
 			return nil, readFailed(err)
@@ -161,8 +163,8 @@
 	return segments, nil
 }
 
-// segmentPage bounds one read of segments.
-const segmentPage = 500
+// segmentPageSize bounds one read of segments.
+const segmentPageSize = 500
 
 func viewOf(header *record.Job, counts batch.Counts) Job {
 	job := Job{
@@ -182,16 +184,16 @@
 	return job
 }
 
-// listReads bounds the reads that List makes at once.
-const listReads = 8
+// maxParallelListReads bounds the concurrent reads of List.
+const maxParallelListReads = 8
 
-// mostListed bounds one page of List.
-const mostListed = 100
+// maxListed bounds one page of List.
+const maxListed = 100
 
 // List implements Service.
 func (m *Manager) List(ctx context.Context, tenant identity.TenantID, after identity.JobID, limit int) ([]Job, error) {
-	if limit < 1 || limit > mostListed {
-		limit = mostListed
+	if limit < 1 || limit > maxListed {
+		limit = maxListed
 	}
 	prefix, from := record.TenantPrefix(tenant), ""
 	if after != "" {
@@ -203,7 +205,7 @@
 	}
 	listed := make([]Job, len(entries))
 	reads, readContext := errgroup.WithContext(ctx)
-	reads.SetLimit(listReads)
+	reads.SetLimit(maxParallelListReads)
 	for i, entry := range entries {
 		reads.Go(func() (err error) {
 			listed[i], err = m.Get(readContext, tenant, record.JobOfTenantKey(entry.Key))
@@ -216,22 +218,24 @@
 	return listed, nil
 }
 
-// cancelRaces bounds the attempts of a cancellation against a job that ends.
-const cancelRaces = 3
+// maxCancelAttempts bounds the attempts of a cancellation whose job changes
+// concurrently.
+const maxCancelAttempts = 3
 
 // Cancel implements Service.
 func (m *Manager) Cancel(ctx context.Context, tenant identity.TenantID, id identity.JobID) (Job, error) {
-	for range cancelRaces {
+	for range maxCancelAttempts {
 		header, version, err := m.header(ctx, tenant, id)
 		if err != nil {
 			return Job{}, err
 		}
 		if header.State == record.StateCancelled {
-			// The node that committed this may have been lost before it told the holder.
-			m.tellCancelled(id)
+			// The node that committed the cancellation may have been lost before it
+			// sent the message.
+			m.broadcastCancelled(id)
 		}
 		if header.Ended() {
-			return m.view(ctx, &header)
+			return m.viewWithProgress(ctx, &header)
 		}
 		header.State, header.EndedAt = record.StateCancelled, time.Now().UTC()
 		result := m.store.Commit(ctx, backend.Transaction{
@@ -243,7 +247,7 @@
 		case store.Applied:
 			return m.cancelled(ctx, &header)
 		case store.Conflict:
-			continue // it ended, or another cancellation came first
+			continue // the job has ended, or another cancellation was committed first
 		case store.NotApplied:
 			return Job{}, apierror.Unavailable(time.Second, "the job was not cancelled: %v", result.Cause)
 		default:
@@ -253,10 +257,11 @@
 	return Job{}, apierror.New(http.StatusConflict, apierror.CodeConflict, "job %s changed while it was being cancelled", id)
 }
 
-// cancelled stops the work of a job whose cancellation is durable.
+// cancelled stops the attempts of a job whose cancellation is durable, and returns
+// the job.
 func (m *Manager) cancelled(ctx context.Context, header *record.Job) (Job, error) {
 	events.JobCancelled.Log(m.logger, zap.String("job", string(header.ID)), zap.String("tenant", string(header.Tenant)))
-	m.tellCancelled(header.ID)
+	m.broadcastCancelled(header.ID)
 	segments, err := m.segments(ctx, header)
 	if err != nil {
 		return Job{}, err
