--- a/internal/jobs/record/record.go
+++ b/internal/jobs/record/record.go
@@ -144,9 +144,9 @@
 	return fmt.Sprintf("%s%05d", SegmentsPrefix(job), segment)
 }
 
-// SegmentNumber parses the number at the end of a SegmentKey, an InputObject or a
+// TrailingNumber parses the number at the end of a SegmentKey, an InputObject or a
 // ShardKey.
-func SegmentNumber(key string) (int, error) {
+func TrailingNumber(key string) (int, error) {
 	var number int
 	_, err := fmt.Sscanf(key[strings.LastIndexByte(key, '/')+1:], "%05d", &number)
 	return number, err
--- a/internal/jobs/runner/commit.go
+++ b/internal/jobs/runner/commit.go
@@ -65,10 +65,10 @@
 	return rand.N(longest + 1) //nolint:gosec // jitter, not a secret
 }
 
-// commit commits a plan and applies the result. It returns false when the plan
-// was not applied for lack of an answer, or the context has ended. A plan that
-// may have taken effect is retried unchanged until its result is known, and
-// nothing else is committed before that.
+// commit commits a plan and applies the result. It returns false when the store
+// did not apply the plan, which is then requeued, or when the context has ended. A
+// plan that may have taken effect is retried unchanged until its result is known,
+// and nothing else is committed before that.
 func (r *Runner) commit(ctx context.Context, p *plan) bool {
 	pause := initialCommitBackoff
 	for {
--- a/internal/jobs/runner/load.go
+++ b/internal/jobs/runner/load.go
@@ -209,7 +209,7 @@
 		segments[number] = batch.NewSegment(items)
 	}
 	for _, entry := range stored {
-		number, err := record.SegmentNumber(entry.Key)
+		number, err := record.TrailingNumber(entry.Key)
 		if err != nil || number >= len(segments) {
 			return nil, nil, fmt.Errorf("segment record %s: unexpected key", entry.Key)
 		}
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -149,7 +149,7 @@
 		}
 		for _, entry := range stored {
 			after = entry.Key
-			if next, err = record.SegmentNumber(entry.Key); err != nil || next >= high {
+			if next, err = record.TrailingNumber(entry.Key); err != nil || next >= high {
 				return segments, err
 			}
 			if segments[next-low], err = record.DecodeSegment(entry.Value, header.Segments[next]); err != nil {
--- a/internal/jobs/shard/keeper.go
+++ b/internal/jobs/shard/keeper.go
@@ -310,7 +310,7 @@
 			return nil, err
 		}
 		for _, found := range all {
-			if number, err := record.SegmentNumber(found.Key); err == nil {
+			if number, err := record.TrailingNumber(found.Key); err == nil {
 				read[number] = found
 			}
 		}
