--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,31 +19,31 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Causes with which an attempt's context is cancelled.
+// Causes of the cancellation of an attempt's context.
 var (
 	errStalled   = errors.New("the engine gave no token in time")
 	errPreempted = errors.New("the engine's place was needed for online work")
 )
 
-// Ends of reading a stream.
+// Errors that end the reading of a stream.
 var (
 	errCallerGone  = errors.New("the caller has gone")
 	errWrongOffset = errors.New("the engine gave a token of another offset")
 	errWrongEnd    = errors.New("the engine's count of tokens differs from those received")
 	errStopped     = errors.New("the engine stopped the attempt")
 
-	errCancelUnheard = errors.New("the engine did not answer any try")
+	errCancelUnconfirmed = errors.New("the engine did not answer any try")
 )
 
-// ending says how an attempt ended. When it is not final, another engine may
-// be asked, and err says what went wrong.
-type ending struct {
+// attemptResult is the result of an attempt. When it is not final, the request may
+// be sent to another engine, and err is the cause of the failure.
+type attemptResult struct {
 	final   bool
 	outcome outcome.Outcome
 	err     error
 }
 
-func final(end outcome.Outcome) ending { return ending{final: true, outcome: end} }
+func finalResult(end outcome.Outcome) attemptResult { return attemptResult{final: true, outcome: end} }
 
 // attempt is one dispatch of a run to one engine.
 type attempt struct {
@@ -51,35 +51,37 @@
 	run     *run
 	id      identity.AttemptID
 	client  backend.Engine
-	engine  *fleet.Engine // nil when the attempt was begun by another node
-	// incarnation is the engine's, set for what may run once only.
+	engine  *fleet.Engine // nil when another node began the attempt
+	// incarnation is the engine's incarnation. It is set only for requests that are
+	// not repeatable.
 	incarnation identity.Incarnation
-	// watchdog cancels the context when no token comes; it is reset by tokens.
+	// watchdog cancels the context when no token arrives in time. Each token resets it.
 	watchdog *time.Timer
 }
 
-// attempt sends the run to an engine on which it is counted, and takes the answer.
-func (s *Service) attempt(ctx context.Context, run *run, engine *fleet.Engine) ending {
+// attempt sends the run to an engine on which it is already counted and reads the
+// response.
+func (s *Service) attempt(ctx context.Context, run *run, engine *fleet.Engine) attemptResult {
 	run.attempts++
-	own := &attempt{service: s, run: run, id: identity.AttemptID(ulid.Make().String()), client: engine.Client, engine: engine}
+	current := &attempt{service: s, run: run, id: identity.AttemptID(ulid.Make().String()), client: engine.Client, engine: engine}
 	if load, reported := engine.Load(); reported && !run.request.Repeatable {
-		own.incarnation = load.Incarnation
+		current.incarnation = load.Incarnation
 	}
 	if run.request.BeforeSend != nil {
-		if err := run.request.BeforeSend(ctx, own.intent()); err != nil {
-			return final(run.refuse(codeIntent, err.Error(), s.config.RetryAfter))
+		if err := run.request.BeforeSend(ctx, current.intent()); err != nil {
+			return finalResult(run.refuse(codeIntent, err.Error(), s.config.RetryAfter))
 		}
 	}
 	if ctx.Err() != nil {
-		return final(run.stopped(ctx))
+		return finalResult(run.contextEnded(ctx))
 	}
-	end := own.start(ctx)
-	s.metrics.attempts.WithLabelValues(classLabel(run.class), endLabel(end)).Inc()
-	return end
+	result := current.start(ctx)
+	s.metrics.attempts.WithLabelValues(classLabel(run.class), resultLabel(result)).Inc()
+	return result
 }
 
-// start sends the request and reads its stream to an end.
-func (a *attempt) start(ctx context.Context) ending {
+// start sends the request and reads its stream until it ends.
+func (a *attempt) start(ctx context.Context) attemptResult {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	a.watchdog = time.AfterFunc(a.service.config.FirstTokenTimeout, func() { cancel(errStalled) })
@@ -95,37 +97,38 @@
 		Incarnation: a.incarnation,
 	})
 	if err != nil {
-		if notRun(err) {
-			return a.refused(ctx, err)
+		if provesNotRun(err) {
+			return a.handleRefusal(ctx, err)
 		}
-		a.run.maybeRan = true
-		return a.broken(ctx, cause(streamCtx, err))
+		a.run.mayHaveRun = true
+		return a.handleBrokenStream(ctx, withContextCause(streamCtx, err))
 	}
-	a.run.maybeRan = true
+	a.run.mayHaveRun = true
 	a.service.fleet.Sent(a.engine, a.run.prefix)
-	return a.read(ctx, streamCtx, stream)
+	return a.readStream(ctx, streamCtx, stream)
 }
 
-// read takes a stream's tokens and decides what its end means.
-func (a *attempt) read(ctx, streamCtx context.Context, stream backend.TokenStream) ending {
-	finish, err := a.take(stream)
+// readStream receives a stream's tokens and returns the result of its end.
+func (a *attempt) readStream(ctx, streamCtx context.Context, stream backend.TokenStream) attemptResult {
+	finish, err := a.receive(stream)
 	_ = stream.Close()
 	if err != nil {
-		return a.broken(ctx, cause(streamCtx, err))
+		return a.handleBrokenStream(ctx, withContextCause(streamCtx, err))
 	}
-	return final(outcome.Outcome{
+	return finalResult(outcome.Outcome{
 		Kind: outcome.Completed, FinishReason: finish.Reason,
 		PromptTokens: finish.PromptTokens, OutputTokens: finish.OutputTokens, Tokens: a.run.tokens,
 	})
 }
 
-// take reads tokens in offset order. A token seen before is dropped; a token
-// of a later offset breaks the stream, which is then joined at the exact offset.
-func (a *attempt) take(stream backend.TokenStream) (backend.Finish, error) {
+// receive reads tokens in offset order. It drops a token that was received before.
+// A token with a later offset ends the reading with errWrongOffset, and the caller
+// resumes the stream at the exact offset.
+func (a *attempt) receive(stream backend.TokenStream) (backend.Finish, error) {
 	for {
 		token, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			return a.finish(stream.Finish())
+			return a.checkFinish(stream.Finish())
 		}
 		if err != nil {
 			return backend.Finish{}, err
@@ -135,11 +138,11 @@
 			continue
 		}
 		if token.Offset > expected {
-			a.crossed(expected, token.Offset)
+			a.logWrongOffset(expected, token.Offset)
 			return backend.Finish{}, errWrongOffset
 		}
 		a.watchdog.Reset(a.service.config.NextTokenTimeout)
-		a.run.started()
+		a.run.releasePrefill()
 		if a.engine != nil {
 			a.service.fleet.Worked(a.engine)
 		}
@@ -150,138 +153,140 @@
 	}
 }
 
-// finish checks that the engine's end fits what was received.
-func (a *attempt) finish(finish backend.Finish) (backend.Finish, error) {
+// checkFinish checks that the engine finished the attempt and that its token count
+// matches the tokens received.
+func (a *attempt) checkFinish(finish backend.Finish) (backend.Finish, error) {
 	if finish.Reason == "cancelled" {
 		return finish, errStopped
 	}
 	if finish.OutputTokens != len(a.run.tokens) {
-		a.crossed(len(a.run.tokens), finish.OutputTokens)
+		a.logWrongOffset(len(a.run.tokens), finish.OutputTokens)
 		return finish, errWrongEnd
 	}
 	return finish, nil
 }
 
-// broken decides what to do after a stream that ended early. The request may
-// have run.
-func (a *attempt) broken(ctx context.Context, err error) ending {
+// handleBrokenStream decides how to proceed after a stream ended early. The request
+// may have run.
+func (a *attempt) handleBrokenStream(ctx context.Context, err error) attemptResult {
 	switch {
 	case errors.Is(err, errCallerGone):
 		a.cancel(ctx)
-		return final(outcome.Outcome{Kind: outcome.Cancelled, Code: codeCancelled, Reason: err.Error(), Tokens: a.run.tokens})
+		return finalResult(outcome.Outcome{Kind: outcome.Cancelled, Code: codeCancelled, Reason: err.Error(), Tokens: a.run.tokens})
 	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errPreempted):
 		a.cancel(ctx)
-		return final(a.run.stopped(ctx))
+		return finalResult(a.run.contextEnded(ctx))
 	case errors.Is(context.Cause(ctx), errPreempted):
-		a.cancelNow(ctx)
-		return final(outcome.Outcome{Kind: outcome.Preempted, Code: codePreempted, Reason: errPreempted.Error(), Tokens: a.run.tokens})
+		a.cancelAndWait(ctx)
+		return finalResult(outcome.Outcome{Kind: outcome.Preempted, Code: codePreempted, Reason: errPreempted.Error(), Tokens: a.run.tokens})
 	}
-	a.failed(err)
+	a.logFailure(err)
 	if errors.Is(err, errStalled) && a.run.request.Repeatable {
-		a.hung()
+		a.reportHung()
 		a.cancel(ctx)
-		return ending{err: err}
+		return attemptResult{err: err}
 	}
 	if errors.Is(err, errStopped) && !a.run.request.Repeatable {
-		return final(outcome.Outcome{Kind: outcome.Failed, Code: codeEngine, Reason: err.Error(), Tokens: a.run.tokens})
+		return finalResult(outcome.Outcome{Kind: outcome.Failed, Code: codeEngine, Reason: err.Error(), Tokens: a.run.tokens})
 	}
 	return a.resume(ctx, err)
 }
 
-// resume joins the attempt again on its own engine at the exact offset. The
-// tries count from the last token. When they fail, a repeatable request goes on
-// elsewhere from its kept tokens; any other is left to run on the engine, where
-// its one attempt can still be joined by its id.
-func (a *attempt) resume(ctx context.Context, cause error) ending {
-	pause := a.service.config.ResumePause
+// resume rejoins the attempt's stream on its own engine at the exact offset. The
+// count of tries restarts with each token received. When all tries fail, a
+// repeatable request continues on another engine from its kept tokens. Any other
+// request is left running on the engine, where its only attempt can still be
+// resumed by its id.
+func (a *attempt) resume(ctx context.Context, cause error) attemptResult {
+	backoff := a.service.config.ResumePause
 	offset := len(a.run.tokens)
 	for tries := 0; tries < a.service.config.ResumeAttempts; tries++ {
-		if !wait.For(ctx, pause) {
-			return a.broken(ctx, cause)
+		if !wait.For(ctx, backoff) {
+			return a.handleBrokenStream(ctx, cause)
 		}
-		pause *= 2
-		end, err := a.join(ctx)
+		backoff *= 2
+		result, err := a.rejoin(ctx)
 		if received := len(a.run.tokens); received > offset {
-			offset, tries, pause = received, -1, a.service.config.ResumePause
+			offset, tries, backoff = received, -1, a.service.config.ResumePause
 		}
 		if err == nil {
-			return end
+			return result
 		}
 		cause = err
 		if errors.Is(err, errCallerGone) || ctx.Err() != nil {
-			return a.broken(ctx, err)
+			return a.handleBrokenStream(ctx, err)
 		}
-		if code(err) == backend.CodeNotFound {
+		if errorCode(err) == backend.CodeNotFound {
 			break
 		}
 	}
-	if a.engine != nil && !errors.Is(cause, errWrongOffset) && code(cause) != backend.CodeNotFound {
-		a.hung()
+	if a.engine != nil && !errors.Is(cause, errWrongOffset) && errorCode(cause) != backend.CodeNotFound {
+		a.reportHung()
 	}
 	if a.run.request.Repeatable {
 		a.cancel(ctx)
-		return ending{err: cause}
+		return attemptResult{err: cause}
 	}
-	if code(cause) == backend.CodeNotFound && a.neverRan(ctx) {
-		return final(outcome.Outcome{
+	if errorCode(cause) == backend.CodeNotFound && a.confirmNeverRan(ctx) {
+		return finalResult(outcome.Outcome{
 			Kind: outcome.Refused, Code: codeNeverRan, RetryAfter: a.service.config.RetryAfter,
 			Reason: "the engine never ran the attempt and never will: " + cause.Error(),
 		})
 	}
 	events.RequestOutcomeLost.Log(a.service.logger, zap.String("request", string(a.run.request.ID)),
 		zap.String("engine", a.engineName()), zap.Int("offset", len(a.run.tokens)))
-	return final(a.run.lost(cause))
+	return finalResult(a.run.unknownOutcome(cause))
 }
 
-// join reads the attempt's stream from the present offset; an error says why
-// it did not reach its end.
-func (a *attempt) join(ctx context.Context) (ending, error) {
+// rejoin reads the attempt's stream from the current offset. It returns an error when
+// the stream did not reach its end.
+func (a *attempt) rejoin(ctx context.Context) (attemptResult, error) {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	a.watchdog = time.AfterFunc(a.service.config.FirstTokenTimeout, func() { cancel(errStalled) })
 	defer a.watchdog.Stop()
 	stream, err := a.client.Resume(streamCtx, a.id, len(a.run.tokens))
 	if err != nil {
-		return ending{}, cause(streamCtx, err)
+		return attemptResult{}, withContextCause(streamCtx, err)
 	}
-	finish, err := a.take(stream)
+	finish, err := a.receive(stream)
 	_ = stream.Close()
 	if err != nil {
-		return ending{}, cause(streamCtx, err)
+		return attemptResult{}, withContextCause(streamCtx, err)
 	}
-	return final(outcome.Outcome{
+	return finalResult(outcome.Outcome{
 		Kind: outcome.Completed, FinishReason: finish.Reason,
 		PromptTokens: finish.PromptTokens, OutputTokens: finish.OutputTokens, Tokens: a.run.tokens,
 	}), nil
 }
 
-// refused takes an engine's proof that it does not run the request.
-func (a *attempt) refused(ctx context.Context, err error) ending {
+// handleRefusal handles an error that proves that the engine did not run the request.
+func (a *attempt) handleRefusal(ctx context.Context, err error) attemptResult {
 	if ctx.Err() != nil {
-		return final(a.run.stopped(ctx))
+		return finalResult(a.run.contextEnded(ctx))
 	}
-	a.failed(err)
-	switch code(err) {
+	a.logFailure(err)
+	switch errorCode(err) {
 	case backend.CodeInvalid:
-		return final(a.run.refuse(codeInvalid, err.Error(), 0))
+		return finalResult(a.run.refuse(codeInvalid, err.Error(), 0))
 	case backend.CodeLeaving:
 		a.service.fleet.Left(a.engine)
 	case backend.CodeUnavailable:
 		a.service.fleet.Unreachable(a.engine, err.Error())
 	}
-	return ending{err: err}
+	return attemptResult{err: err}
 }
 
-// cancel stops the engine's work in the background, on a context of its own,
-// so that the caller's end is not held up.
+// cancel stops the engine's work in the background, independently of the
+// cancellation of ctx, so that the result is not delayed.
 func (a *attempt) cancel(ctx context.Context) {
-	a.service.background.Go(func() { a.service.cancelUntilHeard(ctx, a.client, a.intent()) })
+	a.service.background.Go(func() { a.service.cancelUntilConfirmed(ctx, a.client, a.intent()) })
 }
 
-// cancelNow returns when the engine has heard of the cancel, or after one try;
-// further tries are then made in the background.
-func (a *attempt) cancelNow(ctx context.Context) {
-	if _, heard := a.service.cancelOnce(ctx, a.client, a.intent()); !heard {
+// cancelAndWait tries once to cancel the attempt. If the engine does not confirm it,
+// further tries are made in the background.
+func (a *attempt) cancelAndWait(ctx context.Context) {
+	if _, confirmed := a.service.cancelOnce(ctx, a.client, a.intent()); !confirmed {
 		a.cancel(ctx)
 	}
 }
@@ -290,48 +295,51 @@
 	return Intent{Attempt: a.id, Engine: identity.EngineID(a.engineName()), Incarnation: a.incarnation}
 }
 
-// neverRan cancels the attempt and says whether its engine vouches, in the life
-// that the attempt was meant for, that it never ran and never will.
-func (a *attempt) neverRan(ctx context.Context) bool {
-	report, heard := a.service.cancelOnce(ctx, a.client, a.intent())
-	return heard && report.Never && a.incarnation != "" && report.Incarnation == a.incarnation && len(a.run.tokens) == 0
+// confirmNeverRan cancels the attempt and returns whether its engine, in the
+// incarnation that the attempt was meant for, confirms that the attempt never ran
+// and never will.
+func (a *attempt) confirmNeverRan(ctx context.Context) bool {
+	report, confirmed := a.service.cancelOnce(ctx, a.client, a.intent())
+	return confirmed && report.Never && a.incarnation != "" && report.Incarnation == a.incarnation && len(a.run.tokens) == 0
 }
 
-// cancelOnce tries once, and says whether the engine has taken the cancel or
-// does not know the attempt.
-func (s *Service) cancelOnce(ctx context.Context, client backend.Engine, intent Intent) (report backend.CancelReport, heard bool) {
+// cancelOnce tries once to cancel an attempt. confirmed is true when the engine
+// accepted the cancel or does not know the attempt.
+func (s *Service) cancelOnce(ctx context.Context, client backend.Engine, intent Intent) (report backend.CancelReport, confirmed bool) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), s.config.CancelTimeout)
 	defer stop()
 	report, err := client.Cancel(ctx, intent.Attempt)
-	return report, err == nil || code(err) == backend.CodeNotFound
+	return report, err == nil || errorCode(err) == backend.CodeNotFound
 }
 
-// The pauses between tries to cancel an attempt: a cancel reaches an engine
-// within two seconds of its answering again.
+// The backoff between tries to cancel an attempt is bounded so that a cancel reaches
+// an engine within two seconds of the engine answering again.
 const (
-	firstCancelPause   = 100 * time.Millisecond
-	longestCancelPause = 500 * time.Millisecond
+	minCancelBackoff = 100 * time.Millisecond
+	maxCancelBackoff = 500 * time.Millisecond
 )
 
-// cancelUntilHeard asks again while the engine does not answer: an engine that
-// hung or was cut off has gone on with its work. It ends with the service.
-func (s *Service) cancelUntilHeard(ctx context.Context, client backend.Engine, intent Intent) {
+// cancelUntilConfirmed retries a cancel while the engine does not answer, since an
+// engine that hung or was unreachable keeps working on the attempt. It gives up
+// after CancelPatience or when the service stops.
+func (s *Service) cancelUntilConfirmed(ctx context.Context, client backend.Engine, intent Intent) {
 	deadline := time.Now().Add(s.config.CancelPatience)
-	for pause := firstCancelPause; ; pause = min(2*pause, longestCancelPause) {
-		if _, heard := s.cancelOnce(ctx, client, intent); heard {
+	for backoff := minCancelBackoff; ; backoff = min(2*backoff, maxCancelBackoff) {
+		if _, confirmed := s.cancelOnce(ctx, client, intent); confirmed {
 			return
 		}
-		if time.Now().After(deadline) || !s.pause(pause) {
+		if time.Now().After(deadline) || !s.sleepUnlessStopping(backoff) {
 			events.CancelFailed.Log(s.logger, zap.String("attempt", string(intent.Attempt)), zap.String("engine", string(intent.Engine)),
-				zap.Error(errCancelUnheard))
+				zap.Error(errCancelUnconfirmed))
 			return
 		}
 	}
 }
 
-// pause waits; false when the service stops first.
-func (s *Service) pause(length time.Duration) bool {
-	timer := time.NewTimer(length)
+// sleepUnlessStopping waits for the duration. It returns false when the service
+// stops first.
+func (s *Service) sleepUnlessStopping(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-s.stopping:
@@ -341,18 +349,18 @@
 	}
 }
 
-func (a *attempt) hung() {
+func (a *attempt) reportHung() {
 	if a.engine != nil {
 		a.service.fleet.Hung(a.engine, "streams stand still")
 	}
 }
 
-func (a *attempt) failed(err error) {
+func (a *attempt) logFailure(err error) {
 	events.AttemptFailed.Log(a.service.logger, zap.String("request", string(a.run.request.ID)), zap.String("attempt", string(a.id)),
 		zap.String("engine", a.engineName()), zap.Int("offset", len(a.run.tokens)), zap.Error(err))
 }
 
-func (a *attempt) crossed(want, got int) {
+func (a *attempt) logWrongOffset(want, got int) {
 	events.AttemptCrossed.Log(a.service.logger, zap.String("request", string(a.run.request.ID)), zap.String("attempt", string(a.id)),
 		zap.String("engine", a.engineName()), zap.Int("want", want), zap.Int("got", got))
 }
@@ -364,20 +372,21 @@
 	return string(a.engine.ID)
 }
 
-// cause replaces a stream's error by what its context was cancelled for.
-func cause(ctx context.Context, err error) error {
+// withContextCause wraps a stream's error in the cause of its context's
+// cancellation, if there is one and err is not errCallerGone.
+func withContextCause(ctx context.Context, err error) error {
 	if reason := context.Cause(ctx); reason != nil && !errors.Is(err, errCallerGone) {
 		return fmt.Errorf("%w (%w)", reason, err)
 	}
 	return err
 }
 
-func notRun(err error) bool {
+func provesNotRun(err error) bool {
 	var failure *backend.Error
 	return errors.As(err, &failure) && failure.Effect == backend.EffectNone
 }
 
-func code(err error) backend.ErrorCode {
+func errorCode(err error) backend.ErrorCode {
 	var failure *backend.Error
 	if errors.As(err, &failure) {
 		return failure.Code
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -14,50 +14,50 @@
 	"ringstream.example/ringstream/internal/fleet"
 )
 
-// batchWaiter waits for idle capacity.
-type batchWaiter struct{ granted chan *fleet.Engine } // holds one
+// batchWaiter is a call of Acquire that waits for idle capacity.
+type batchWaiter struct{ granted chan *fleet.Engine } // buffered, capacity 1
 
-// batchRun is batch work that can be taken back.
+// batchRun is a batch item that can be preempted.
 type batchRun struct {
 	preempt context.CancelCauseFunc
-	// yielding: it was told to give way and is still counted on its engine.
-	yielding bool
+	// preempting is true when the run was preempted and still counts on its engine.
+	preempting bool
 }
 
-// Acquire implements Batch. Waiters of one pool and model are served in order.
+// Acquire implements Batch. Waiters for one pool and model are served in FIFO order.
 func (s *Service) Acquire(ctx context.Context, pool, model string) (Slot, error) {
 	key := queueKey{pool: pool, model: model}
-	own := &batchWaiter{granted: make(chan *fleet.Engine, 1)}
+	waiter := &batchWaiter{granted: make(chan *fleet.Engine, 1)}
 	s.mutex.Lock()
-	s.waiting[key] = append(s.waiting[key], own)
+	s.batchWaiters[key] = append(s.batchWaiters[key], waiter)
 	s.grantBatch()
 	s.mutex.Unlock()
 	select {
-	case engine := <-own.granted:
+	case engine := <-waiter.granted:
 		return &slot{service: s, engine: engine}, nil
 	case <-ctx.Done():
 	}
 	s.mutex.Lock()
-	s.removeWaiter(key, own)
+	s.removeWaiter(key, waiter)
 	s.mutex.Unlock()
 	select {
-	case engine := <-own.granted: // granted while it gave up
+	case engine := <-waiter.granted: // granted concurrently with the cancellation
 		return &slot{service: s, engine: engine}, nil
 	default:
 		return nil, ctx.Err()
 	}
 }
 
-func (s *Service) removeWaiter(key queueKey, own *batchWaiter) {
-	s.waiting[key] = slices.DeleteFunc(s.waiting[key], func(other *batchWaiter) bool { return other == own })
+func (s *Service) removeWaiter(key queueKey, waiter *batchWaiter) {
+	s.batchWaiters[key] = slices.DeleteFunc(s.batchWaiters[key], func(other *batchWaiter) bool { return other == waiter })
 }
 
-// grantBatch hands idle capacity to waiting batch work, unless online work of
-// the pool waits. The mutex is held.
+// grantBatch grants idle capacity to waiting batch work, unless online work is queued
+// for the pool. The caller holds the mutex.
 func (s *Service) grantBatch() {
-	for key, waiters := range s.waiting {
+	for key, waiters := range s.batchWaiters {
 		granted := 0
-		for granted < len(waiters) && !s.onlineWaits(key.pool) {
+		for granted < len(waiters) && !s.onlineWaiting(key.pool) {
 			engine := s.idleEngine(key)
 			if engine == nil {
 				break
@@ -67,14 +67,14 @@
 			granted++
 		}
 		if granted == len(waiters) {
-			delete(s.waiting, key)
+			delete(s.batchWaiters, key)
 		} else {
-			s.waiting[key] = waiters[granted:]
+			s.batchWaiters[key] = waiters[granted:]
 		}
 	}
 }
 
-func (s *Service) onlineWaits(pool string) bool {
+func (s *Service) onlineWaiting(pool string) bool {
 	for key, waiting := range s.queues {
 		if key.pool == pool && waiting.order.Len() > 0 {
 			return true
@@ -91,7 +91,7 @@
 	s.candidates = s.candidates[:0]
 	for _, engine := range engines {
 		candidate := engine.Candidate()
-		candidate.BatchAllowed = s.limits.Allowed(candidate.MaxRunning, candidate.Online, engine.OnlineIdle(now))
+		candidate.BatchAllowed = s.batchLimits.Allowed(candidate.MaxRunning, candidate.Online, engine.OnlineIdle(now))
 		if engine.BatchShareSpent(candidate.BatchAllowed) {
 			candidate.BatchAllowed = 0
 		}
@@ -104,59 +104,60 @@
 	return engines[decision.Index]
 }
 
-// yield takes batch work back from an engine whose places are needed, youngest
-// first, since it has the least to lose. The mutex is held.
-func (s *Service) yield(engine *fleet.Engine) {
+// preemptBatch preempts batch runs on an engine whose capacity is needed for online
+// work, youngest first because they lose the least progress. The caller holds the
+// mutex.
+func (s *Service) preemptBatch(engine *fleet.Engine) {
 	candidate := engine.Candidate()
 	idle := engine.OnlineIdle(time.Now())
-	if candidate.Online == 0 && idle >= s.limits.Hold {
-		return // several nodes may have overfilled it; the engine queues what is over
+	if candidate.Online == 0 && idle >= s.batchLimits.Hold {
+		return // several nodes may have overfilled the engine; it queues the excess
 	}
-	over := candidate.Batch - s.limits.Allowed(candidate.MaxRunning, candidate.Online, idle) - s.yielding[engine.ID]
-	runs := s.batch[engine.ID]
-	count := min(over, len(runs))
+	excess := candidate.Batch - s.batchLimits.Allowed(candidate.MaxRunning, candidate.Online, idle) - s.preempting[engine.ID]
+	runs := s.batchRuns[engine.ID]
+	count := min(excess, len(runs))
 	if count <= 0 {
 		return
 	}
 	for _, victim := range runs[len(runs)-count:] {
-		victim.yielding = true
+		victim.preempting = true
 		victim.preempt(errPreempted)
 	}
-	s.batch[engine.ID] = runs[:len(runs)-count]
-	s.yielding[engine.ID] += count
+	s.batchRuns[engine.ID] = runs[:len(runs)-count]
+	s.preempting[engine.ID] += count
 	s.metrics.preemptions.Add(float64(count))
 	events.BatchPreempted.Log(s.logger, zap.String("engine", string(engine.ID)), zap.Int("count", count))
 }
 
-// register makes a run one that can be taken back, unless it may not be repeated.
-func (s *Service) register(engine *fleet.Engine, own *batchRun, repeatable bool) {
+// registerBatch makes a run preemptible if it is repeatable.
+func (s *Service) registerBatch(engine *fleet.Engine, item *batchRun, repeatable bool) {
 	if !repeatable {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.batch[engine.ID] = append(s.batch[engine.ID], own)
-	s.yield(engine) // online work may have come since the slot was granted
+	s.batchRuns[engine.ID] = append(s.batchRuns[engine.ID], item)
+	s.preemptBatch(engine) // online work may have arrived since the slot was granted
 }
 
-// unregister ends a run and counts it off its engine in one step, so that
-// yield never sees the one without the other.
-func (s *Service) unregister(engine *fleet.Engine, own *batchRun) {
+// unregisterBatch unregisters a run and releases its engine's capacity in one
+// critical section, so that preemptBatch never sees one without the other.
+func (s *Service) unregisterBatch(engine *fleet.Engine, item *batchRun) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.release(engine, routing.Batch)
-	if own.yielding {
-		s.yielding[engine.ID]--
+	if item.preempting {
+		s.preempting[engine.ID]--
 	}
-	runs := slices.DeleteFunc(s.batch[engine.ID], func(other *batchRun) bool { return other == own })
+	runs := slices.DeleteFunc(s.batchRuns[engine.ID], func(other *batchRun) bool { return other == item })
 	if len(runs) == 0 {
-		delete(s.batch, engine.ID)
+		delete(s.batchRuns, engine.ID)
 		return
 	}
-	s.batch[engine.ID] = runs
+	s.batchRuns[engine.ID] = runs
 }
 
-// slot is capacity of one engine reserved for one item.
+// slot is capacity on one engine reserved for one item.
 type slot struct {
 	service *Service
 	engine  *fleet.Engine
@@ -166,23 +167,23 @@
 func (s *slot) Release() { s.service.release(s.engine, routing.Batch) }
 
 // Run implements Slot. An item is sent to the slot's engine only. When that
-// engine fails, a repeatable item comes back as Preempted with its tokens, to be
-// run again; what may not be repeated is never taken back for online work.
+// engine fails, a repeatable item that may have run ends as Preempted with its tokens
+// so that it can be run again. An item that is not repeatable is never preempted.
 func (s *slot) Run(ctx context.Context, request Request, sink Sink) outcome.Outcome {
 	run := s.service.newRun(request, sink, routing.Batch)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	own := &batchRun{preempt: cancel}
-	s.service.register(s.engine, own, request.Repeatable)
-	defer s.service.unregister(s.engine, own)
-	end := s.service.attempt(ctx, run, s.engine)
-	result := end.outcome
-	if whole, ok := run.whole(); ok && !end.final {
-		result = whole
-	} else if !end.final {
-		result = run.giveUp(end.err, s.service.config.RetryAfter)
-		if run.maybeRan && request.Repeatable {
-			result = outcome.Outcome{Kind: outcome.Preempted, Code: codeLost, Reason: end.err.Error(), Tokens: run.tokens}
+	item := &batchRun{preempt: cancel}
+	s.service.registerBatch(s.engine, item, request.Repeatable)
+	defer s.service.unregisterBatch(s.engine, item)
+	ended := s.service.attempt(ctx, run, s.engine)
+	result := ended.outcome
+	if completed, ok := run.completedByLength(); ok && !ended.final {
+		result = completed
+	} else if !ended.final {
+		result = run.attemptsExhausted(ended.err, s.service.config.RetryAfter)
+		if run.mayHaveRun && request.Repeatable {
+			result = outcome.Outcome{Kind: outcome.Preempted, Code: codeLost, Reason: ended.err.Error(), Tokens: run.tokens}
 		}
 	}
 	if errors.Is(context.Cause(ctx), errPreempted) && result.Kind == outcome.Refused {
@@ -196,14 +197,14 @@
 func (s *Service) Resume(ctx context.Context, intent Intent, offset int, sink Sink) outcome.Outcome {
 	client, known := s.fleet.Client(intent.Engine)
 	run := s.newRun(Request{Repeatable: false}, sink, routing.Batch)
-	run.maybeRan = true
+	run.mayHaveRun = true
 	run.tokens = make([]string, offset)
 	if !known {
-		return run.lost(errors.New("the engine is no longer in the machine list"))
+		return run.unknownOutcome(errors.New("the engine is no longer in the machine list"))
 	}
-	own := &attempt{service: s, run: run, id: intent.Attempt, client: client, incarnation: intent.Incarnation}
-	end := own.resume(ctx, errors.New("the stream's node has gone"))
-	result := end.outcome
+	earlier := &attempt{service: s, run: run, id: intent.Attempt, client: client, incarnation: intent.Incarnation}
+	ended := earlier.resume(ctx, errors.New("the stream's node has gone"))
+	result := ended.outcome
 	if len(run.tokens) >= offset {
 		result.Tokens = run.tokens[offset:]
 	}
@@ -213,6 +214,6 @@
 // Cancel implements Batch.
 func (s *Service) Cancel(ctx context.Context, intent Intent) {
 	if client, known := s.fleet.Client(intent.Engine); known {
-		s.cancelUntilHeard(ctx, client, intent)
+		s.cancelUntilConfirmed(ctx, client, intent)
 	}
 }
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -2,33 +2,33 @@
 
 import "sync"
 
-// retryBudget lets retries be at most a fixed part of requests, beside a
-// burst, so that failing engines do not multiply the load on the others.
+// retryBudget limits retries to a fixed ratio of requests plus a burst, so that
+// failing engines do not multiply the load on the others.
 type retryBudget struct {
 	ratio, burst float64
 
-	mutex sync.Mutex
-	left  float64
+	mutex     sync.Mutex
+	available float64
 }
 
 func newRetryBudget(ratio float64, burst int) *retryBudget {
-	return &retryBudget{ratio: ratio, burst: float64(burst), left: float64(burst)}
+	return &retryBudget{ratio: ratio, burst: float64(burst), available: float64(burst)}
 }
 
-// request credits the budget with one request.
-func (b *retryBudget) request() {
+// creditRequest adds the retry allowance of one request to the budget.
+func (b *retryBudget) creditRequest() {
 	b.mutex.Lock()
-	b.left = min(b.left+b.ratio, b.burst)
+	b.available = min(b.available+b.ratio, b.burst)
 	b.mutex.Unlock()
 }
 
-// retry takes one retry, or says that the budget is spent.
-func (b *retryBudget) retry() bool {
+// takeRetry consumes one retry. It returns false when the budget is exhausted.
+func (b *retryBudget) takeRetry() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.left < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.left--
+	b.available--
 	return true
 }
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -26,7 +26,8 @@
 	BatchHold         time.Duration `koanf:"batch_hold" usage:"how long an engine is kept from batch work after its last online work"`
 }
 
-// DefaultConfig suits engines that give a first token within seconds.
+// DefaultConfig returns settings for engines that return a first token within
+// seconds.
 func DefaultConfig() Config {
 	return Config{
 		FirstTokenTimeout: 8 * time.Second,
@@ -49,7 +50,7 @@
 	}
 }
 
-// Validate names the first key that is wrong.
+// Validate returns an error that names the first invalid key.
 func (c Config) Validate() error {
 	durations := []struct {
 		key   string
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -21,20 +21,20 @@
 	"ringstream.example/ringstream/internal/peer/peertest"
 )
 
-// site is one node with its engines, in a synctest bubble.
-type site struct {
+// testNode is one node with its engines in a synctest bubble.
+type testNode struct {
 	*dispatch.Service
 	fleet   *fleet.Service
 	list    *fakeFleet
 	engines []*fakeEngine
 }
 
-// runSite runs test against a node with so many engines, in virtual time.
-func runSite(t *testing.T, count int, test func(t *testing.T, s *site)) {
+// runTestNode runs test against a node with count engines in virtual time.
+func runTestNode(t *testing.T, count int, test func(t *testing.T, s *testNode)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &site{}
+		s := &testNode{}
 		for i := range count {
 			s.engines = append(s.engines, newFakeEngine("engine-"+strconv.Itoa(i)))
 		}
@@ -70,7 +70,7 @@
 	return texts
 }
 
-// collect is a sink that checks that offsets rise by one.
+// collect returns a sink that checks that offsets increase by one.
 func collect(t *testing.T, into *[]string) dispatch.Sink {
 	return func(token backend.Token) error {
 		if token.Offset != len(*into) {
@@ -81,7 +81,7 @@
 	}
 }
 
-func expectWhole(t *testing.T, s *site, request dispatch.Request) {
+func expectComplete(t *testing.T, s *testNode, request dispatch.Request) {
 	t.Helper()
 	var got []string
 	end := s.Run(t.Context(), request, collect(t, &got))
@@ -93,7 +93,7 @@
 	}
 }
 
-func (s *site) generates() int {
+func (s *testNode) sends() int {
 	total := 0
 	for _, engine := range s.engines {
 		engine.set(func(f *fakeEngine) { total += f.generates })
@@ -101,26 +101,26 @@
 	return total
 }
 
-// TestFaultsLeaveTheAnswerWhole runs a repeatable request through each single
-// fault of its engine; there are always other engines.
-func TestFaultsLeaveTheAnswerWhole(t *testing.T) {
+// TestAnswerIsCompleteDespiteEngineFault runs repeatable requests against each single
+// fault of one engine while another engine is healthy.
+func TestAnswerIsCompleteDespiteEngineFault(t *testing.T) {
 	faults := map[string]func(*fakeEngine){
 		"none":         func(*fakeEngine) {},
 		"broken":       func(f *fakeEngine) { f.breakAt[3] = true; f.breakAt[7] = true },
-		"lost answer":  func(f *fakeEngine) { f.lose = 1 },
+		"lost answer":  func(f *fakeEngine) { f.loseAnswers = 1 },
 		"gap":          func(f *fakeEngine) { f.skewAt = 4 },
 		"repeated":     func(f *fakeEngine) { f.repeatAt = 4 },
 		"down":         func(f *fakeEngine) { f.down = true },
-		"saturated":    func(f *fakeEngine) { f.refuse = f.fault(backend.CodeSaturated, backend.EffectNone) },
+		"saturated":    func(f *fakeEngine) { f.refusal = f.fault(backend.CodeSaturated, backend.EffectNone) },
 		"hung at once": func(f *fakeEngine) { f.hangAt = 0 },
 		"hung later":   func(f *fakeEngine) { f.hangAt = 5 },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			runSite(t, 2, func(t *testing.T, s *site) {
+			runTestNode(t, 2, func(t *testing.T, s *testNode) {
 				s.engines[0].set(fault)
 				for i := range 6 {
-					expectWhole(t, s, request("r"+strconv.Itoa(i), 10))
+					expectComplete(t, s, request("r"+strconv.Itoa(i), 10))
 				}
 			})
 		})
@@ -128,7 +128,7 @@
 }
 
 func TestEngineLostMidStreamGoesOnElsewhereFromKeptTokens(t *testing.T) {
-	runSite(t, 2, func(t *testing.T, s *site) {
+	runTestNode(t, 2, func(t *testing.T, s *testNode) {
 		var got []string
 		sink := collect(t, &got)
 		end := s.Run(t.Context(), request("r", 10), func(token backend.Token) error {
@@ -145,14 +145,14 @@
 		if diff := cmp.Diff(answer("r", 10), got); diff != "" {
 			t.Error(diff)
 		}
-		if s.generates() != 2 {
-			t.Errorf("%d attempts, want 2", s.generates())
+		if s.sends() != 2 {
+			t.Errorf("engines received %d attempts, want 2", s.sends())
 		}
 	})
 }
 
 func TestNonRepeatableRunsAtMostOnce(t *testing.T) {
-	runSite(t, 2, func(t *testing.T, s *site) {
+	runTestNode(t, 2, func(t *testing.T, s *testNode) {
 		once := request("once", 10)
 		once.Repeatable = false
 		intents := 0
@@ -160,7 +160,7 @@
 		for _, engine := range s.engines {
 			engine.set(func(f *fakeEngine) { f.breakAt[2] = true })
 		}
-		expectWhole(t, s, once) // a broken stream is joined again, not sent again
+		expectComplete(t, s, once) // a broken stream is resumed, not sent again
 		for _, engine := range s.engines {
 			engine.set(func(f *fakeEngine) { f.hangAt = 5 })
 		}
@@ -168,14 +168,14 @@
 		if end.Kind != outcome.Unknown {
 			t.Errorf("outcome %v, want unknown", end.Kind)
 		}
-		if intents != 2 || s.generates() != 2 {
-			t.Errorf("%d intents and %d sends, want 2 and 2", intents, s.generates())
+		if intents != 2 || s.sends() != 2 {
+			t.Errorf("%d intents and %d sends, want 2 and 2", intents, s.sends())
 		}
 	})
 }
 
 func TestNonRepeatableThatBreaksOftenIsJoinedWhileItAdvances(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
 		once := request("once", 30)
 		once.Repeatable = false
 		s.engines[0].set(func(f *fakeEngine) {
@@ -183,12 +183,12 @@
 				f.breakAt[offset] = true
 			}
 		})
-		expectWhole(t, s, once)
+		expectComplete(t, s, once)
 	})
 }
 
 func TestNonRepeatableThatIsLostRunsOnAndCanBeJoined(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
 		var intent dispatch.Intent
 		once := request("once", 30)
 		once.Repeatable = false
@@ -206,8 +206,8 @@
 	})
 }
 
-func TestACancelIsRepeatedUntilTheEngineHears(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
+func TestCancelIsRetriedUntilEngineAnswers(t *testing.T) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
 		var attempt identity.AttemptID
 		item := request("item", 2000)
 		item.BeforeSend = func(_ context.Context, sent dispatch.Intent) error { attempt = sent.Attempt; return nil }
@@ -228,27 +228,27 @@
 		time.Sleep(2 * time.Second)
 		s.engines[0].set(func(f *fakeEngine) {
 			if !f.cancelled[attempt] {
-				t.Error("the engine never heard of the cancel")
+				t.Error("the engine never received the cancel")
 			}
 		})
 	})
 }
 
 func TestRefusedIntentSendsNothing(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
 		refused := request("r", 5)
 		refused.BeforeSend = func(context.Context, dispatch.Intent) error { return errSinkClosed }
 		if end := s.Run(t.Context(), refused, nil); end.Kind != outcome.Refused {
 			t.Errorf("outcome %v, want refused", end.Kind)
 		}
-		if s.generates() != 0 {
+		if s.sends() != 0 {
 			t.Error("the request was sent")
 		}
 	})
 }
 
 func TestCallerGoneCancelsTheEnginesWork(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
 		end := s.Run(t.Context(), request("r", 50), func(token backend.Token) error {
 			if token.Offset == 3 {
 				return errSinkClosed
@@ -262,9 +262,9 @@
 	})
 }
 
-func TestNoRoomIsRefusedAsNotRunWithARetryTime(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
-		for i := range fakeRunning {
+func TestNoCapacityIsRefusedWithRetryAfter(t *testing.T) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
+		for i := range fakeMaxRunning {
 			go s.Run(t.Context(), request("long"+strconv.Itoa(i), 1000), nil)
 		}
 		synctest.Wait()
@@ -274,24 +274,24 @@
 			t.Errorf("outcome %+v, want refused with a retry time", end)
 		}
 		if waited := time.Since(start); waited > dispatch.DefaultConfig().QueueWait {
-			t.Errorf("refused after %v", waited)
+			t.Errorf("refused after %v, want at most the queue wait", waited)
 		}
 		time.Sleep(15 * time.Second)
 	})
 }
 
 func TestLeavingEngineGetsNoNewWorkWithinTwoSeconds(t *testing.T) {
-	for name, leave := range map[string]func(*site){
-		"machine list": func(s *site) { s.list.leave("engine-0") },
-		"load report":  func(s *site) { s.engines[0].set(func(f *fakeEngine) { f.leaving = true }) },
+	for name, leave := range map[string]func(*testNode){
+		"machine list": func(s *testNode) { s.list.leave("engine-0") },
+		"load report":  func(s *testNode) { s.engines[0].set(func(f *fakeEngine) { f.leaving = true }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			runSite(t, 2, func(t *testing.T, s *site) {
+			runTestNode(t, 2, func(t *testing.T, s *testNode) {
 				leave(s)
 				time.Sleep(2 * time.Second)
 				before := s.engines[0].sends()
 				for i := range 10 {
-					expectWhole(t, s, request("r"+strconv.Itoa(i), 3))
+					expectComplete(t, s, request("r"+strconv.Itoa(i), 3))
 				}
 				if s.engines[0].sends() != before {
 					t.Error("the leaving engine got new work")
@@ -302,8 +302,8 @@
 }
 
 func TestHungEngineIsEjectedAndProbedBack(t *testing.T) {
-	runSite(t, 2, func(t *testing.T, s *site) {
-		expectWhole(t, s, request("first", 3))
+	runTestNode(t, 2, func(t *testing.T, s *testNode) {
+		expectComplete(t, s, request("first", 3))
 		first := s.engines[0] // requests go to the first engine of the order
 		if first.sends() == 0 {
 			first = s.engines[1]
@@ -311,7 +311,7 @@
 		first.set(func(f *fakeEngine) { f.hangAt = 0 })
 		before := first.sends()
 		for i := range 8 {
-			expectWhole(t, s, request("r"+strconv.Itoa(i), 3))
+			expectComplete(t, s, request("r"+strconv.Itoa(i), 3))
 		}
 		hung := first.sends() - before
 		if hung == 0 || hung > 2 {
@@ -320,18 +320,18 @@
 		first.set(func(f *fakeEngine) { f.hangAt = -1 })
 		time.Sleep(time.Minute)
 		for i := range 20 {
-			expectWhole(t, s, request("s"+strconv.Itoa(i), 3))
+			expectComplete(t, s, request("s"+strconv.Itoa(i), 3))
 		}
-		if came := first.sends() - before - hung; came < 5 {
-			t.Errorf("the engine came back to %d of 20 requests", came)
+		if received := first.sends() - before - hung; received < 5 {
+			t.Errorf("the recovered engine got %d of 20 requests, want at least 5", received)
 		}
 	})
 }
 
-func TestOnlineTakesBatchBackAtOnce(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
-		ends := make(chan outcome.Outcome, fakeRunning)
-		for i := range fakeRunning {
+func TestOnlinePreemptsBatchAtOnce(t *testing.T) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
+		ends := make(chan outcome.Outcome, fakeMaxRunning)
+		for i := range fakeMaxRunning {
 			slot, err := s.Acquire(t.Context(), fakePool, fakeModel)
 			if err != nil {
 				t.Fatal(err)
@@ -342,27 +342,27 @@
 		waiting, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		if slot, err := s.Acquire(waiting, fakePool, fakeModel); err == nil {
-			t.Errorf("more was given to batch work than the engine holds: %v", slot)
+			t.Errorf("batch work was granted more slots than the engine runs: %v", slot)
 		}
 		start := time.Now()
-		for i := range fakeRunning {
+		for i := range fakeMaxRunning {
 			go s.Run(t.Context(), request("online"+strconv.Itoa(i), 20), nil)
 		}
-		for range fakeRunning {
+		for range fakeMaxRunning {
 			end := <-ends
 			if end.Kind != outcome.Preempted || len(end.Tokens) < 90 {
-				t.Errorf("outcome %v with %d tokens", end.Kind, len(end.Tokens))
+				t.Errorf("outcome %v with %d tokens, want preempted with at least 90", end.Kind, len(end.Tokens))
 			}
 		}
 		if took := time.Since(start); took > 100*time.Millisecond {
-			t.Errorf("batch gave way after %v", took)
+			t.Errorf("batch work was preempted after %v, want at most 100ms", took)
 		}
 		time.Sleep(time.Second)
 	})
 }
 
 func TestBatchResumeJoinsAnEarlierIntent(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
 		var intent dispatch.Intent
 		item := request("item", 10)
 		item.Repeatable = false
@@ -384,8 +384,8 @@
 	})
 }
 
-func TestIntentNeverSentIsNotRunOnlyInTheSameLifeOfTheEngine(t *testing.T) {
-	runSite(t, 1, func(t *testing.T, s *site) {
+func TestUnsentIntentIsRefusedOnlyInSameIncarnation(t *testing.T) {
+	runTestNode(t, 1, func(t *testing.T, s *testNode) {
 		var intent dispatch.Intent
 		item := request("item", 10)
 		item.Repeatable = false
@@ -401,7 +401,7 @@
 			t.Fatalf("outcome %+v", end)
 		}
 		if end := s.Resume(t.Context(), intent, 0, nil); end.Kind != outcome.Refused {
-			t.Errorf("never sent: outcome %v, want not_run", end.Kind)
+			t.Errorf("never sent: outcome %v, want refused", end.Kind)
 		}
 		restarted := intent
 		restarted.Incarnation = "an earlier life"
--- a/internal/dispatch/fake_test.go
+++ b/internal/dispatch/fake_test.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	fakeModel   = "model"
-	fakePool    = "pool"
-	tokenPause  = 10 * time.Millisecond
-	fakeRunning = 4
+	fakeModel      = "model"
+	fakePool       = "pool"
+	tokenInterval  = 10 * time.Millisecond
+	fakeMaxRunning = 4
 )
 
-// fakeEngine answers token n of a prompt with "prompt/n". Its faults are set
-// by tests under its mutex.
+// fakeEngine generates "prompt/n" as token n of a prompt. Tests set its faults under
+// its mutex.
 type fakeEngine struct {
 	id string
 
-	mutex     sync.Mutex
-	attempts  map[identity.AttemptID]*fakeAttempt
-	refuse    *backend.Error // answers Generate while set
-	lose      int            // so many Generates run and lose their answer
-	breakAt   map[int]bool   // a stream breaks before this offset, once each
-	hangAt    int            // streams stand still before this offset; -1: never
-	skewAt    int            // a stream skips this offset once; -1: never
-	repeatAt  int            // a stream repeats this offset once; -1: never
-	down      bool
-	leaving   bool
-	cancelled map[identity.AttemptID]bool
-	generates int
-	loads     int
-	life      identity.Incarnation
+	mutex       sync.Mutex
+	attempts    map[identity.AttemptID]*fakeAttempt
+	refusal     *backend.Error // returned by Generate while set
+	loseAnswers int            // the number of Generate calls that start the attempt but lose the response
+	breakAt     map[int]bool   // streams break before these offsets, once each
+	hangAt      int            // streams hang before this offset; -1 means never
+	skewAt      int            // a stream skips this offset once; -1 means never
+	repeatAt    int            // a stream repeats the token before this offset once; -1 means never
+	down        bool
+	leaving     bool
+	cancelled   map[identity.AttemptID]bool
+	generates   int
+	loads       int
+	incarnation identity.Incarnation
 }
 
 type fakeAttempt struct {
@@ -47,7 +47,7 @@
 
 func newFakeEngine(id string) *fakeEngine {
 	return &fakeEngine{
-		id: id, life: "life-1", attempts: map[identity.AttemptID]*fakeAttempt{}, breakAt: map[int]bool{},
+		id: id, incarnation: "life-1", attempts: map[identity.AttemptID]*fakeAttempt{}, breakAt: map[int]bool{},
 		hangAt: -1, skewAt: -1, repeatAt: -1, cancelled: map[identity.AttemptID]bool{},
 	}
 }
@@ -58,14 +58,14 @@
 	change(f)
 }
 
-// sends counts the requests that came.
+// sends returns the number of Generate calls received.
 func (f *fakeEngine) sends() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.generates
 }
 
-// cancels counts the attempts that were cancelled.
+// cancels returns the number of attempts that were cancelled.
 func (f *fakeEngine) cancels() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -76,11 +76,11 @@
 	return &backend.Error{Code: code, Effect: effect, System: f.id, Operation: "fake"}
 }
 
-// running counts attempts that are neither cancelled nor finished.
+// running counts the attempts of a priority that are neither cancelled nor finished.
 func (f *fakeEngine) running(priority backend.Priority) int {
 	count := 0
 	for id, attempt := range f.attempts {
-		left := time.Duration(attempt.request.MaxTokens-len(attempt.request.Kept)) * tokenPause
+		left := time.Duration(attempt.request.MaxTokens-len(attempt.request.Kept)) * tokenInterval
 		if !f.cancelled[id] && attempt.request.Priority == priority && time.Since(attempt.started) < left {
 			count++
 		}
@@ -95,14 +95,14 @@
 	switch {
 	case f.down:
 		return nil, f.fault(backend.CodeUnavailable, backend.EffectNone)
-	case f.refuse != nil:
-		return nil, f.refuse
+	case f.refusal != nil:
+		return nil, f.refusal
 	case f.leaving:
 		return nil, f.fault(backend.CodeLeaving, backend.EffectNone)
 	}
 	f.attempts[request.Attempt] = &fakeAttempt{request: request, started: time.Now()}
-	if f.lose > 0 {
-		f.lose--
+	if f.loseAnswers > 0 {
+		f.loseAnswers--
 		return nil, f.fault(backend.CodeUnavailable, backend.EffectUnknown)
 	}
 	return &fakeStream{ctx: ctx, engine: f, id: request.Attempt, offset: len(request.Kept)}, nil
@@ -128,7 +128,7 @@
 	}
 	f.cancelled[id] = true
 	found := f.attempts[id] != nil
-	return backend.CancelReport{Found: found, Never: !found, Incarnation: f.life}, nil
+	return backend.CancelReport{Found: found, Never: !found, Incarnation: f.incarnation}, nil
 }
 
 func (f *fakeEngine) ExportKV(context.Context, identity.AttemptID) ([]byte, error) { return nil, nil }
@@ -147,9 +147,9 @@
 		return backend.EngineLoad{}, f.fault(backend.CodeUnavailable, backend.EffectNone)
 	}
 	return backend.EngineLoad{
-		Engine: identity.EngineID(f.id), ReportedAt: time.Now(), MaxRunning: fakeRunning, Leaving: f.leaving,
+		Engine: identity.EngineID(f.id), ReportedAt: time.Now(), MaxRunning: fakeMaxRunning, Leaving: f.leaving,
 		RunningOnline: f.running(backend.PriorityOnline), RunningBatch: f.running(backend.PriorityBatch),
-		Models: []backend.LoadedModel{{Model: fakeModel, Version: "1"}}, Incarnation: f.life,
+		Models: []backend.LoadedModel{{Model: fakeModel, Version: "1"}}, Incarnation: f.incarnation,
 	}, nil
 }
 
@@ -170,7 +170,7 @@
 	select {
 	case <-s.ctx.Done():
 		return backend.Token{}, s.engine.fault(backend.CodeBroken, backend.EffectUnknown)
-	case <-time.After(tokenPause):
+	case <-time.After(tokenInterval):
 	}
 	s.engine.mutex.Lock()
 	defer s.engine.mutex.Unlock()
@@ -201,7 +201,7 @@
 
 func (s *fakeStream) Close() error { return nil }
 
-// fakeFleet is a machine list of fake engines, and opens them.
+// fakeFleet is a machine list of fake engines and the source of their clients.
 type fakeFleet struct {
 	mutex    sync.Mutex
 	version  uint64
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -18,16 +18,17 @@
 	"ringstream.example/ringstream/internal/peer"
 )
 
-// A request goes to another node, one hop at most, when no engine of this
-// node's subset can take it now. The other node places it on its own engines at
-// once or refuses it. It carries the request's id and deadline. Closing the
-// stream cancels it there.
+// A request is forwarded to another node, over one hop at most, when no engine of
+// this node's subset has free capacity. The other node places it on its own engines
+// at once or refuses it. The forwarded message carries the request's id and
+// deadline. Closing the stream cancels the request on the other node.
 
 const (
-	// forwardTries is how many nodes a request is offered to before it waits here.
-	forwardTries = 2
-	// forwardDraws bounds the draws for nodes that were not asked yet.
-	forwardDraws = 16
+	// maxForwardNodes is the number of nodes that are tried before a request is
+	// queued on this node.
+	maxForwardNodes = 2
+	// maxNodeDraws bounds the random draws for a node that was not tried yet.
+	maxNodeDraws = 16
 )
 
 // forwardRequest opens the stream of one forwarded request.
@@ -45,13 +46,13 @@
 	Deadline       time.Time
 }
 
-// forwardToken is one token of the answer.
+// forwardToken is one token of a forwarded request's output.
 type forwardToken struct {
 	Offset int
 	Text   string
 }
 
-// forwardEnd is the outcome, the last message of the stream.
+// forwardEnd is the outcome of a forwarded request and the last message of its stream.
 type forwardEnd struct {
 	Kind                       uint8
 	Code, Reason, FinishReason string
@@ -61,90 +62,91 @@
 
 func init() { peer.Register(forwardRequest{}, forwardToken{}, forwardEnd{}) }
 
-// errForwardLost ends a forwarded request whose node was lost.
-var errForwardLost = errors.New("the node that the request was forwarded to was lost")
+// errForwardNodeLost is the error of a forwarded request whose node was lost.
+var errForwardNodeLost = errors.New("the node that the request was forwarded to was lost")
 
-// forward offers a run to other nodes. The ending is final unless all of them
-// refused, or one was lost and the request may be repeated.
-func (s *Service) forward(ctx context.Context, run *run) ending {
+// forward offers a run to other nodes. The result is not final when all of them
+// refused, or when the forward failed and the request may be retried; err is then set.
+func (s *Service) forward(ctx context.Context, run *run) attemptResult {
 	if run.forwarded || run.request.BeforeSend != nil {
-		return ending{} // an intent can be recorded only where the request was taken
+		return attemptResult{} // an intent can be recorded only on the node that accepted the request
 	}
-	for range forwardTries {
+	for range maxForwardNodes {
 		node, ok := s.nextNode(run)
 		if !ok {
-			return ending{}
+			return attemptResult{}
 		}
-		run.askedNodes = append(run.askedNodes, node)
-		end := s.forwardTo(ctx, run, node)
-		if end.final || end.err != nil {
-			return end
+		run.triedNodes = append(run.triedNodes, node)
+		result := s.forwardTo(ctx, run, node)
+		if result.final || result.err != nil {
+			return result
 		}
 	}
-	return ending{}
+	return attemptResult{}
 }
 
-// nextNode draws a live node that was not asked before.
+// nextNode draws a live node at random that was not tried before.
 func (s *Service) nextNode(run *run) (identity.NodeID, bool) {
 	view := s.bus.View()
-	for range forwardDraws {
+	for range maxNodeDraws {
 		node, ok := s.fleet.Elsewhere(run.request.Row.Pool, globalRandom{})
 		if !ok {
 			return "", false
 		}
 		member, known := view.Member(node)
 		live := known && (member.State == membership.Alive || member.State == membership.Suspect)
-		if live && node != view.Self && !slices.Contains(run.askedNodes, node) {
+		if live && node != view.Self && !slices.Contains(run.triedNodes, node) {
 			return node, true
 		}
 	}
 	return "", false
 }
 
-// forwardTo runs one request through another node. Neither final nor an error
-// means that it was refused there, or never arrived.
-func (s *Service) forwardTo(ctx context.Context, run *run, node identity.NodeID) ending {
-	stream, err := s.bus.Open(ctx, node, run.forwardRequest())
+// forwardTo runs one request through another node. A result that is neither final
+// nor has an error means that the request was refused there or never arrived.
+func (s *Service) forwardTo(ctx context.Context, run *run, node identity.NodeID) attemptResult {
+	stream, err := s.bus.Open(ctx, node, run.newForwardRequest())
 	if err != nil {
 		if errors.Is(err, peer.ErrLost) {
-			return run.forwardLost(ctx)
+			return run.forwardNodeLost(ctx)
 		}
-		return ending{}
+		return attemptResult{}
 	}
 	defer func() { _ = stream.Close() }()
-	watched, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	s.background.Go(func() { s.closeWhenLost(watched, node, stream) })
-	// The other node has the engine's limits to keep; this one notices its silence.
-	limit := s.config.FirstTokenTimeout + s.config.NextTokenTimeout
-	silence := time.AfterFunc(limit, func() { _ = stream.Close() })
-	defer silence.Stop()
+	s.background.Go(func() { s.closeWhenNodeLost(watchCtx, node, stream) })
+	// The other node enforces the engine's timeouts. This node detects only a silent
+	// node, after the sum of both timeouts.
+	silenceTimeout := s.config.FirstTokenTimeout + s.config.NextTokenTimeout
+	silenceTimer := time.AfterFunc(silenceTimeout, func() { _ = stream.Close() })
+	defer silenceTimer.Stop()
 	for {
 		message, err := stream.Receive()
-		silence.Reset(limit)
+		silenceTimer.Reset(silenceTimeout)
 		if err != nil {
 			events.ForwardLost.Log(s.logger, zap.String("request", string(run.request.ID)), zap.String("node", string(node)), zap.Error(err))
-			return run.forwardLost(ctx)
+			return run.forwardNodeLost(ctx)
 		}
 		switch message := message.(type) {
 		case forwardToken:
-			run.maybeRan = true
+			run.mayHaveRun = true
 			if message.Offset != len(run.tokens) {
-				continue // taken before; the other node gives offsets without gaps
+				continue // received before; the other node sends offsets without gaps
 			}
 			run.tokens = append(run.tokens, message.Text)
 			if err := run.sink(backend.Token(message)); err != nil {
-				return final(outcome.Outcome{Kind: outcome.Cancelled, Code: codeCancelled, Reason: errCallerGone.Error(), Tokens: run.tokens})
+				return finalResult(outcome.Outcome{Kind: outcome.Cancelled, Code: codeCancelled, Reason: errCallerGone.Error(), Tokens: run.tokens})
 			}
 		case forwardEnd:
-			return run.forwardEnded(message)
+			return run.applyForwardEnd(message)
 		}
 	}
 }
 
-// closeWhenLost closes a stream when its node is no longer a member, or when
+// closeWhenNodeLost closes a stream when its node is no longer a member, or when
 // the context ends.
-func (s *Service) closeWhenLost(ctx context.Context, node identity.NodeID, stream peer.Stream) {
+func (s *Service) closeWhenNodeLost(ctx context.Context, node identity.NodeID, stream peer.Stream) {
 	for {
 		changed := s.bus.Changed()
 		member, known := s.bus.View().Member(node)
@@ -161,45 +163,46 @@
 	}
 }
 
-// forwardEnded takes the other node's outcome as it is, except a refusal,
-// after which this node goes on.
-func (r *run) forwardEnded(end forwardEnd) ending {
+// applyForwardEnd returns the other node's outcome as a final result. After a
+// refusal, other than of an invalid request, this node continues. An unknown outcome
+// of a repeatable request and a wrong token count are results that may be retried.
+func (r *run) applyForwardEnd(end forwardEnd) attemptResult {
 	kind := outcome.Kind(end.Kind)
 	if kind == outcome.Refused && end.Code != codeInvalid {
-		return ending{}
+		return attemptResult{}
 	}
 	if kind == outcome.Unknown && r.request.Repeatable {
-		r.maybeRan = true
+		r.mayHaveRun = true
 		r.attempts++
-		return ending{err: errForwardLost}
+		return attemptResult{err: errForwardNodeLost}
 	}
 	if kind == outcome.Completed && end.OutputTokens != len(r.tokens) {
-		r.maybeRan = true
+		r.mayHaveRun = true
 		r.attempts++
-		return ending{err: errWrongEnd}
+		return attemptResult{err: errWrongEnd}
 	}
-	return final(outcome.Outcome{
+	return finalResult(outcome.Outcome{
 		Kind: kind, Code: end.Code, Reason: end.Reason, RetryAfter: end.RetryAfter, FinishReason: end.FinishReason,
 		PromptTokens: end.PromptTokens, OutputTokens: end.OutputTokens, Tokens: r.tokens,
 	})
 }
 
-// forwardLost ends a request whose node was lost: it may have run there. A
-// repeatable one goes on from its kept tokens.
-func (r *run) forwardLost(ctx context.Context) ending {
-	r.maybeRan = true
+// forwardNodeLost returns the result of a forward whose node was lost. The request
+// may have run there. A repeatable request continues from its kept tokens.
+func (r *run) forwardNodeLost(ctx context.Context) attemptResult {
+	r.mayHaveRun = true
 	r.attempts++
 	switch {
 	case ctx.Err() != nil:
-		return final(r.stopped(ctx))
+		return finalResult(r.contextEnded(ctx))
 	case r.request.Repeatable:
-		return ending{err: errForwardLost}
+		return attemptResult{err: errForwardNodeLost}
 	default:
-		return final(r.lost(errForwardLost))
+		return finalResult(r.unknownOutcome(errForwardNodeLost))
 	}
 }
 
-func (r *run) forwardRequest() forwardRequest {
+func (r *run) newForwardRequest() forwardRequest {
 	request := &r.request
 	return forwardRequest{
 		ID: string(request.ID), Tenant: string(request.Tenant), RowID: string(request.Row.ID), Weight: request.Row.Weight,
@@ -208,7 +211,7 @@
 	}
 }
 
-// serveForwarded runs a request of another node on this node's engines.
+// serveForwarded runs a request from another node on this node's engines.
 func (s *Service) serveForwarded(ctx context.Context, _ identity.NodeID, first any, stream peer.Stream) {
 	forwarded, ok := first.(forwardRequest)
 	if !ok {
@@ -222,10 +225,10 @@
 	}
 	run := s.newRun(request, func(token backend.Token) error { return stream.Send(forwardToken(token)) }, routing.Online)
 	run.forwarded = true
-	end := s.runWithin(ctx, run)
-	s.metrics.requests.WithLabelValues("forwarded", end.Kind.String()).Inc()
-	_ = stream.Send(forwardEnd{ // a lost stream is noticed at the other end
-		Kind: uint8(end.Kind), Code: end.Code, Reason: end.Reason, FinishReason: end.FinishReason,
-		RetryAfter: end.RetryAfter, PromptTokens: end.PromptTokens, OutputTokens: end.OutputTokens,
+	ended := s.runWithin(ctx, run)
+	s.metrics.requests.WithLabelValues("forwarded", ended.Kind.String()).Inc()
+	_ = stream.Send(forwardEnd{ // the other node detects a lost stream
+		Kind: uint8(ended.Kind), Code: ended.Code, Reason: ended.Reason, FinishReason: ended.FinishReason,
+		RetryAfter: ended.RetryAfter, PromptTokens: ended.PromptTokens, OutputTokens: ended.OutputTokens,
 	})
 }
--- a/internal/dispatch/forward_test.go
+++ b/internal/dispatch/forward_test.go
@@ -21,21 +21,21 @@
 
 const rarePool = "rare"
 
-// nodes is several nodes, each with a subset of the engines. The rare pool has
+// cluster is several nodes, each with a subset of the engines. The rare pool has
 // one engine, to which only some of the nodes dispatch.
-type nodes struct {
+type cluster struct {
 	network  *peertest.Network
 	services []*dispatch.Service
 	fleets   []*fleet.Service
 	rare     *fakeEngine
 }
 
-func runNodes(t *testing.T, test func(t *testing.T, n *nodes)) {
+func runCluster(t *testing.T, test func(t *testing.T, n *cluster)) {
 	t.Helper()
 	const count, engines = 8, 80
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		n := &nodes{network: peertest.New(peertest.Options{}), rare: newFakeEngine("rare-engine")}
+		n := &cluster{network: peertest.New(peertest.Options{}), rare: newFakeEngine("rare-engine")}
 		all := []*fakeEngine{n.rare}
 		for i := range engines {
 			all = append(all, newFakeEngine("engine-"+strconv.Itoa(i)))
@@ -62,19 +62,19 @@
 	})
 }
 
-// stranger gives a node that does not dispatch to the rare engine.
-func (n *nodes) stranger(t *testing.T) *dispatch.Service {
+// nodeWithoutRareEngine returns a node that does not dispatch to the rare engine.
+func (n *cluster) nodeWithoutRareEngine(t *testing.T) *dispatch.Service {
 	t.Helper()
-	strangers := 0
+	without := 0
 	var found *dispatch.Service
 	for i, watch := range n.fleets {
 		if len(watch.Snapshot().Pool(rarePool)) == 0 {
 			found = n.services[i]
-			strangers++
+			without++
 		}
 	}
-	if strangers != len(n.fleets)-3 {
-		t.Fatalf("%d of %d nodes do not dispatch to the rare engine, want all but 3", strangers, len(n.fleets))
+	if without != len(n.fleets)-3 {
+		t.Fatalf("%d of %d nodes do not dispatch to the rare engine, want all but 3", without, len(n.fleets))
 	}
 	return found
 }
@@ -86,7 +86,7 @@
 }
 
 func TestRequestIsForwardedToANodeWithTheEngine(t *testing.T) {
-	runNodes(t, func(t *testing.T, n *nodes) {
+	runCluster(t, func(t *testing.T, n *cluster) {
 		for i, service := range n.services {
 			rare := rareRequest("r"+strconv.Itoa(i), 6)
 			var got []string
@@ -99,8 +99,8 @@
 }
 
 func TestForwardedRequestIsCancelledWhenItsCallerGoes(t *testing.T) {
-	runNodes(t, func(t *testing.T, n *nodes) {
-		end := n.stranger(t).Run(t.Context(), rareRequest("r", 100), func(token backend.Token) error {
+	runCluster(t, func(t *testing.T, n *cluster) {
+		end := n.nodeWithoutRareEngine(t).Run(t.Context(), rareRequest("r", 100), func(token backend.Token) error {
 			if token.Offset == 3 {
 				return errSinkClosed
 			}
@@ -108,35 +108,36 @@
 		})
 		time.Sleep(time.Second)
 		if end.Kind != outcome.Cancelled || n.rare.cancels() != 1 {
-			t.Errorf("outcome %v, %d cancels on the engine", end.Kind, n.rare.cancels())
+			t.Errorf("outcome %v, %d cancels on the engine; want cancelled and 1", end.Kind, n.rare.cancels())
 		}
 	})
 }
 
 func TestRefusalOfTheOtherNodeIsNotRun(t *testing.T) {
-	runNodes(t, func(t *testing.T, n *nodes) {
-		n.rare.set(func(f *fakeEngine) { f.refuse = f.fault(backend.CodeSaturated, backend.EffectNone) })
-		end := n.stranger(t).Run(t.Context(), rareRequest("r", 5), nil)
+	runCluster(t, func(t *testing.T, n *cluster) {
+		n.rare.set(func(f *fakeEngine) { f.refusal = f.fault(backend.CodeSaturated, backend.EffectNone) })
+		end := n.nodeWithoutRareEngine(t).Run(t.Context(), rareRequest("r", 5), nil)
 		if end.Kind != outcome.Refused || end.RetryAfter == 0 {
 			t.Errorf("outcome %+v, want refused with a retry time", end)
 		}
 	})
 }
 
-// TestLossOfTheOtherNode: the engine runs on, but nobody can be asked. What may
-// be repeated goes on from the kept tokens; what may not is unknown and is never sent again.
+// TestLossOfTheOtherNode kills the node that a request was forwarded to. The engine
+// keeps running, but its node can no longer be queried. A repeatable request continues
+// from its kept tokens. Any other request ends as unknown and is never sent again.
 func TestLossOfTheOtherNode(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		t.Run(strconv.FormatBool(repeatable), func(t *testing.T) {
-			runNodes(t, func(t *testing.T, n *nodes) {
-				stranger := n.stranger(t)
+			runCluster(t, func(t *testing.T, n *cluster) {
+				sender := n.nodeWithoutRareEngine(t)
 				once := rareRequest("r", 100)
 				once.Repeatable = repeatable
 				var got []string
 				sink := collect(t, &got)
-				end := stranger.Run(t.Context(), once, func(token backend.Token) error {
+				end := sender.Run(t.Context(), once, func(token backend.Token) error {
 					if token.Offset == 5 {
-						for i, watch := range n.fleets { // all that dispatch to the engine, so also the right one
+						for i, watch := range n.fleets { // every node with online work on the engine, including the one that runs the request
 							if own, _ := onlineOn(watch); own > 0 {
 								n.network.Kill(identity.NodeID("node-" + strconv.Itoa(i)))
 								n.network.SetState(identity.NodeID("node-"+strconv.Itoa(i)), membership.Dead)
@@ -145,7 +146,7 @@
 					}
 					return sink(token)
 				})
-				time.Sleep(5 * time.Second) // the lost node's process still ends its work
+				time.Sleep(5 * time.Second) // let the killed node's goroutines end their work
 				if !repeatable {
 					if end.Kind != outcome.Unknown || n.rare.sends() != 1 {
 						t.Errorf("outcome %v after %d sends, want unknown after 1", end.Kind, n.rare.sends())
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -6,15 +6,16 @@
 	"ringstream.example/ringstream/internal/peer"
 )
 
-// onlineArrived tells the other dispatchers of an engine that online work has
-// come to it, so that their batch work there gives way before the next load report.
-// It is a hint: when it is lost, the load report says the same later.
+// onlineArrived is sent to the other dispatchers of an engine when the engine has
+// received online work, so that they preempt their batch work there before the
+// next load report. If it is lost, the load report carries the same information
+// later.
 type onlineArrived struct{ Engine string }
 
 func init() { peer.Register(onlineArrived{}) }
 
-// tellDispatchers sends onlineArrived to the engine's other dispatchers.
-func (s *Service) tellDispatchers(engine *fleet.Engine) {
+// notifyDispatchers sends onlineArrived to the engine's other dispatchers.
+func (s *Service) notifyDispatchers(engine *fleet.Engine) {
 	for _, node := range engine.Dispatchers() {
 		if node != s.bus.Self() {
 			_ = s.bus.Send(node, onlineArrived{Engine: string(engine.ID)})
@@ -22,8 +23,8 @@
 	}
 }
 
-// onlineArrived takes the message of another node.
-func (s *Service) onlineArrived(_ identity.NodeID, message any) any {
+// handleOnlineArrived applies an onlineArrived message from another node.
+func (s *Service) handleOnlineArrived(_ identity.NodeID, message any) any {
 	arrived, ok := message.(onlineArrived)
 	if !ok {
 		return nil
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -13,19 +13,19 @@
 	waiting     prometheus.Gauge
 }
 
-// newMetrics makes the metrics and registers them when there is a registerer.
+// newMetrics creates the metrics and registers them unless registerer is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	const namespace, subsystem = "ringstream", "dispatch"
-	made := &metrics{
+	created := &metrics{
 		requests:    prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "requests_total", Help: "Requests and batch items ended, by class and outcome."}, []string{"class", "outcome"}),
 		attempts:    prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "attempts_total", Help: "Dispatches to engines, by class and end."}, []string{"class", "end"}),
 		preemptions: prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "preemptions_total", Help: "Batch items taken back for online work."}),
 		waiting:     prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: "online_waiting", Help: "Online requests that wait for an engine."}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(made.requests, made.attempts, made.preemptions, made.waiting)
+		registerer.MustRegister(created.requests, created.attempts, created.preemptions, created.waiting)
 	}
-	return made
+	return created
 }
 
 func classLabel(class routing.Class) string {
@@ -35,9 +35,9 @@
 	return "batch"
 }
 
-func endLabel(end ending) string {
-	if !end.final {
+func resultLabel(result attemptResult) string {
+	if !result.final {
 		return "retry"
 	}
-	return end.outcome.Kind.String()
+	return result.outcome.Kind.String()
 }
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// The race detector's own runtime breaks off (CHECK failed in tsan_rtl.cpp) on
-// so many goroutines in one bubble; make test runs this file, make race cannot.
+// The race detector's runtime aborts (CHECK failed in tsan_rtl.cpp) with this many
+// goroutines in one bubble. "make test" runs this file; "make race" cannot.
 
 package dispatch_test
 
@@ -28,7 +28,7 @@
 	"ringstream.example/ringstream/internal/peer/peertest"
 )
 
-// pool is three nodes before engine stand-ins, in virtual time.
+// pool is three nodes that dispatch to emulated engines in virtual time.
 type pool struct {
 	engines *emulator.Fleet
 	nodes   []*dispatch.Service
@@ -39,14 +39,14 @@
 	config := emulator.DefaultFleetConfig()
 	config.Network = netsim.New(nil)
 	config.Pools[0].Engines = engines
-	stands, err := emulator.StartFleet(config)
+	emulated, err := emulator.StartFleet(config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	network := peertest.New(peertest.Options{})
-	p := &pool{engines: stands}
+	p := &pool{engines: emulated}
 	for i, zone := range config.Zones {
-		clients, err := stands.Clients(false)
+		clients, err := emulated.Clients(false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,8 +63,8 @@
 	return p
 }
 
-// work runs online requests at a rate and batch items without end, on all
-// nodes, and counts the batch items that completed.
+// work runs online requests at a rate and an endless series of batch items on all
+// nodes. The returned counter counts the batch items that completed.
 func (p *pool) work(ctx context.Context, perSecond float64, workers int) *atomic.Int64 {
 	var items atomic.Int64
 	for i, node := range p.nodes {
@@ -110,8 +110,9 @@
 	}
 }
 
-// TestBatchFillsIdleEngines: without online work, batch work fills at least 90 %
-// of the engines' places; beside online work, 70 % of what that leaves.
+// TestBatchFillsIdleEngines checks that batch work fills at least 90 % of the engines'
+// capacity when there is no online work, and at least 70 % of the capacity that
+// online work leaves otherwise.
 func TestBatchFillsIdleEngines(t *testing.T) {
 	const engines, places = 6, 6 * 32
 	for name, test := range map[string]struct{ perSecond, least float64 }{"idle": {0, 0.9}, "beside online": {15, 0.7}} {
@@ -129,9 +130,9 @@
 				after := p.usage()
 				online := (after.OnlineSequenceSeconds - before.OnlineSequenceSeconds) / span
 				batch := (after.BatchSequenceSeconds - before.BatchSequenceSeconds) / span
-				t.Logf("%.1f online and %.1f batch sequences on %d places; %d items", online, batch, places, items.Load()-done)
+				t.Logf("%.1f online and %.1f batch sequences on %d places; %d items completed", online, batch, places, items.Load()-done)
 				if batch < test.least*(places-online) {
-					t.Errorf("batch fills %.2f of the idle places, at least %.2f is asked", batch/(places-online), test.least)
+					t.Errorf("batch fills %.2f of the idle places, want at least %.2f", batch/(places-online), test.least)
 				}
 				cancel()
 				time.Sleep(10 * time.Second)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -14,7 +14,8 @@
 	"ringstream.example/ringstream/internal/fleet"
 )
 
-// The codes of outcomes other than Completed; docs/operations/errors.md has them.
+// The codes of outcomes other than Completed are described in
+// docs/operations/errors.md.
 const (
 	codeNoCapacity = string(apierror.CodeNoCapacity)
 	codeNotLoaded  = string(apierror.CodeNotLoaded)
@@ -28,29 +29,30 @@
 	codeInvalid    = string(apierror.CodeInvalidRequest)
 )
 
-// maxPrefixBlocks bounds the part of a prompt that routing looks at.
+// maxPrefixBlocks bounds the number of leading prompt blocks that routing hashes.
 const maxPrefixBlocks = 32
 
-// run is one request on its way through attempts. One goroutine uses it, except
-// while it waits in a queue, where Service.mutex guards it.
+// run is the state of one request across its attempts. Only one goroutine uses
+// it, except while it waits in a queue, where Service.mutex guards it.
 type run struct {
-	request  Request
-	sink     Sink
-	class    routing.Class
-	prefix   []uint64
-	tried    []identity.EngineID
-	attempts int
-	// tokens is the whole output so far; what its first tokens were before
-	// this run are the request's kept ones.
+	request      Request
+	sink         Sink
+	class        routing.Class
+	prefix       []uint64
+	triedEngines []identity.EngineID
+	attempts     int
+	// tokens is the whole output so far. It begins with the request's Kept tokens.
 	tokens []string
-	// prefill is what was counted on prefillOn for the attempt's first token.
-	prefill    int
-	prefillOn  *fleet.Engine
-	askedNodes []identity.NodeID // that it was forwarded to
-	// forwarded: it came from another node and goes to no further one.
+	// prefillTokens is the number of prompt tokens counted on prefillEngine until
+	// the attempt's first token.
+	prefillTokens int
+	prefillEngine *fleet.Engine
+	triedNodes    []identity.NodeID // nodes that it was forwarded to
+	// forwarded is set when the request came from another node. It is not
+	// forwarded again.
 	forwarded bool
-	// maybeRan is set once an engine may have run any part of the request.
-	maybeRan bool
+	// mayHaveRun is set once an engine may have run any part of the request.
+	mayHaveRun bool
 }
 
 func (s *Service) newRun(request Request, sink Sink, class routing.Class) *run {
@@ -64,26 +66,28 @@
 	}
 }
 
-// expect counts the prompt tokens that an engine must compute for the run,
-// when it has these blocks of the prefix cached. Service.mutex is held.
-func (r *run) expect(engine *fleet.Engine, blocks int) {
+// addPrefill counts on the engine the prompt tokens that it must compute for the
+// run, given the number of prefix blocks that it has cached. The caller holds
+// Service.mutex.
+func (r *run) addPrefill(engine *fleet.Engine, blocks int) {
 	uncached := r.request.Prompt[blocks*backend.PrefixBlockBytes:]
-	r.prefill = backend.PromptTokens(uncached) + len(r.tokens)
-	r.prefillOn = engine
-	engine.AddPrefill(r.prefill)
+	r.prefillTokens = backend.PromptTokens(uncached) + len(r.tokens)
+	r.prefillEngine = engine
+	engine.AddPrefill(r.prefillTokens)
 }
 
-// started takes the expected prompt tokens off the engine, once.
-func (r *run) started() {
-	if r.prefillOn != nil {
-		r.prefillOn.AddPrefill(-r.prefill)
-		r.prefillOn = nil
+// releasePrefill subtracts the tokens counted by addPrefill from the engine. Further
+// calls have no effect.
+func (r *run) releasePrefill() {
+	if r.prefillEngine != nil {
+		r.prefillEngine.AddPrefill(-r.prefillTokens)
+		r.prefillEngine = nil
 	}
 }
 
-// ticket makes the run's place in the fair queue. Its cost is the work asked of the
-// engine: prompt blocks and output tokens.
-func (r *run) ticket(wait time.Duration) *admission.Ticket {
+// newTicket returns the run's ticket for the fair queue. Its cost is the work
+// requested of the engine, in prompt blocks plus output tokens.
+func (r *run) newTicket(wait time.Duration) *admission.Ticket {
 	deadline := time.Now().Add(wait)
 	if !r.request.Deadline.IsZero() && r.request.Deadline.Before(deadline) {
 		deadline = r.request.Deadline
@@ -95,29 +99,31 @@
 	}
 }
 
-// refuse ends a request that gets no engine: not run, when no attempt can have run.
+// refuse returns the outcome of a request that gets no engine. It is Refused when
+// no attempt can have run, and Unknown otherwise.
 func (r *run) refuse(code, reason string, retryAfter time.Duration) outcome.Outcome {
 	kind := outcome.Refused
-	if r.maybeRan {
+	if r.mayHaveRun {
 		kind = outcome.Unknown
 	}
 	return outcome.Outcome{Kind: kind, Code: code, Reason: reason, RetryAfter: retryAfter}
 }
 
-// stopped ends a request whose context has ended.
-func (r *run) stopped(ctx context.Context) outcome.Outcome {
+// contextEnded returns the outcome of a request whose context has ended.
+func (r *run) contextEnded(ctx context.Context) outcome.Outcome {
 	code, reason := codeCancelled, "the caller has gone"
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		code, reason = codeDeadline, "the deadline has passed"
 	}
-	if !r.maybeRan {
+	if !r.mayHaveRun {
 		return outcome.Outcome{Kind: outcome.Refused, Code: code, Reason: reason}
 	}
 	return outcome.Outcome{Kind: outcome.Cancelled, Code: code, Reason: reason, Tokens: r.tokens}
 }
 
-// whole completes a run whose engine was lost after its last token.
-func (r *run) whole() (outcome.Outcome, bool) {
+// completedByLength returns a Completed outcome when the run has all MaxTokens
+// tokens, as when its engine was lost after the last token.
+func (r *run) completedByLength() (outcome.Outcome, bool) {
 	if len(r.tokens) < r.request.MaxTokens {
 		return outcome.Outcome{}, false
 	}
@@ -127,21 +133,22 @@
 	}, true
 }
 
-// giveUp ends a request after its last attempt.
-func (r *run) giveUp(cause error, retryAfter time.Duration) outcome.Outcome {
+// attemptsExhausted returns the outcome of a request after its last attempt.
+func (r *run) attemptsExhausted(cause error, retryAfter time.Duration) outcome.Outcome {
 	code := codeEngine
 	var failure *backend.Error
 	if errors.As(cause, &failure) && failure.Code == backend.CodeSaturated {
 		code = codeNoCapacity
 		retryAfter = max(retryAfter, failure.RetryAfter)
 	}
-	if r.maybeRan {
+	if r.mayHaveRun {
 		code = codeLost
 	}
 	return r.refuse(code, cause.Error(), retryAfter)
 }
 
-// lost ends a request that was sent and whose engine cannot be asked.
-func (r *run) lost(cause error) outcome.Outcome {
+// unknownOutcome returns the outcome of a request that was sent and whose engine
+// can no longer be queried.
+func (r *run) unknownOutcome(cause error) outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.Unknown, Code: codeLost, Reason: cause.Error(), Tokens: r.tokens}
 }
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -20,17 +20,17 @@
 	"ringstream.example/ringstream/internal/rows"
 )
 
-// Fleet is what dispatch needs of package fleet.
+// Fleet is the part of package fleet that dispatch uses.
 type Fleet interface {
 	Snapshot() *fleet.Snapshot
-	// Changed signals that capacity may have changed; Notify raises it.
+	// Changed signals that capacity may have changed. Notify triggers the signal.
 	Changed() <-chan struct{}
 	Notify()
 	Client(id identity.EngineID) (backend.Engine, bool)
-	// Elsewhere gives a node that dispatches to other engines of the pool.
+	// Elsewhere returns a node that dispatches to other engines of the pool.
 	Elsewhere(pool string, random routing.Random) (identity.NodeID, bool)
 	WithPrefixes(decide func(*routing.PrefixIndex))
-	// What streams show of engines.
+	// The following methods record what streams reveal about an engine's health.
 	Sent(engine *fleet.Engine, prefix []uint64)
 	Worked(engine *fleet.Engine)
 	Hung(engine *fleet.Engine, cause string)
@@ -48,8 +48,8 @@
 
 // Service implements Online and Batch.
 //
-// Its mutex guards the queues and the registry of batch work. It is held for short
-// computations only, and engines' own mutexes are taken under it.
+// Its mutex guards the queues and the registry of batch runs. It is held for short
+// computations only, and engine mutexes are acquired while it is held.
 type Service struct {
 	config  Config
 	fleet   Fleet
@@ -58,30 +58,32 @@
 	logger  *zap.Logger
 	metrics *metrics
 	policy  *routing.Policy
-	// batchPolicy places batch items.
+	// batchPolicy routes batch items.
 	batchPolicy *routing.Policy
 	budget      *retryBudget
-	limits      headroom.Limits
+	batchLimits headroom.Limits
 
-	// background counts cancels under way; Run waits for them.
+	// background counts the cancels and stream watchers in flight. Serve waits
+	// for them.
 	background tasks
 	stopping   chan struct{} // closed when Serve ends
 
-	mutex   sync.Mutex
-	queues  map[queueKey]*queue
-	batch   map[identity.EngineID][]*batchRun // preemptible, oldest first
-	waiting map[queueKey][]*batchWaiter
-	// yielding counts batch work told to give way and still on its engine.
-	yielding map[identity.EngineID]int
-	// Working memory of decisions.
+	mutex        sync.Mutex
+	queues       map[queueKey]*queue
+	batchRuns    map[identity.EngineID][]*batchRun // preemptible runs, oldest first
+	batchWaiters map[queueKey][]*batchWaiter
+	// preempting counts the batch runs that were preempted and still occupy their
+	// engine.
+	preempting map[identity.EngineID]int
+	// candidates and scratch are buffers reused by routing decisions.
 	candidates []routing.Candidate
 	scratch    routing.Scratch
 }
 
-// queueKey names what competes for the same engines.
+// queueKey identifies requests that compete for the same engines.
 type queueKey struct{ pool, model, adapter string }
 
-// queue is the online requests that wait for one kind of engine.
+// queue holds the online requests that wait for engines of one queueKey.
 type queue struct {
 	order   *admission.Queue
 	waiters map[*admission.Ticket]*waiter
@@ -90,29 +92,31 @@
 // waiter is a request waiting for an engine.
 type waiter struct {
 	run    *run
-	placed chan *fleet.Engine // holds one
+	placed chan *fleet.Engine // buffered, capacity 1
 }
 
-// New makes a service; batch work and waiting requests move only while Run runs.
+// New returns a service. Queued requests and waiting batch work are placed on
+// freed capacity only while Serve runs.
 func New(config Config, engines Fleet, bus peer.Bus, table rows.Source, logger *zap.Logger, registerer prometheus.Registerer) *Service {
 	service := &Service{
 		config: config, fleet: engines, bus: bus, rows: table, logger: logger,
 		metrics: newMetrics(registerer),
 		policy:  routing.DefaultPolicy(config.PackTarget, config.PackPrefill), batchPolicy: routing.BatchPolicy(),
-		budget:   newRetryBudget(config.RetryRatio, config.RetryBurst),
-		stopping: make(chan struct{}),
-		queues:   make(map[queueKey]*queue),
-		batch:    make(map[identity.EngineID][]*batchRun),
-		waiting:  make(map[queueKey][]*batchWaiter),
-		yielding: make(map[identity.EngineID]int),
-		limits:   headroom.Limits{Full: config.BatchLimit, Density: config.BatchDensity, Hold: config.BatchHold},
+		budget:       newRetryBudget(config.RetryRatio, config.RetryBurst),
+		stopping:     make(chan struct{}),
+		queues:       make(map[queueKey]*queue),
+		batchRuns:    make(map[identity.EngineID][]*batchRun),
+		batchWaiters: make(map[queueKey][]*batchWaiter),
+		preempting:   make(map[identity.EngineID]int),
+		batchLimits:  headroom.Limits{Full: config.BatchLimit, Density: config.BatchDensity, Hold: config.BatchHold},
 	}
-	bus.Handle(onlineArrived{}, service.onlineArrived)
+	bus.Handle(onlineArrived{}, service.handleOnlineArrived)
 	bus.HandleStream(forwardRequest{}, service.serveForwarded)
 	return service
 }
 
-// Serve is the service's Run (the name is taken by Online): it places waiting work whenever capacity changes, until the context ends.
+// Serve places waiting work whenever capacity changes, until the context ends. It is
+// not named Run because Online has a method of that name.
 func (s *Service) Serve(ctx context.Context) error {
 	for {
 		select {
@@ -132,76 +136,78 @@
 	return s.runWithin(ctx, run)
 }
 
-// runWithin runs an online request within its deadline.
+// runWithin runs an online request under its deadline, if it has one.
 func (s *Service) runWithin(ctx context.Context, run *run) outcome.Outcome {
-	s.budget.request()
+	s.budget.creditRequest()
 	if !run.request.Deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, run.request.Deadline)
 		defer cancel()
 	}
-	end := s.runOnline(ctx, run)
-	s.metrics.requests.WithLabelValues("online", end.Kind.String()).Inc()
-	return end
+	ended := s.runOnline(ctx, run)
+	s.metrics.requests.WithLabelValues("online", ended.Kind.String()).Inc()
+	return ended
 }
 
-// runOnline sends attempts until one completes or the request ends otherwise.
+// runOnline sends attempts until one gives a final result, the attempts are
+// exhausted or the retry budget is spent.
 func (s *Service) runOnline(ctx context.Context, run *run) outcome.Outcome {
 	for {
-		end := s.tryOnce(ctx, run)
-		if end.final {
-			return end.outcome
+		result := s.tryOnce(ctx, run)
+		if result.final {
+			return result.outcome
 		}
-		if whole, ok := run.whole(); ok {
-			return whole
+		if completed, ok := run.completedByLength(); ok {
+			return completed
 		}
-		if run.attempts >= s.config.MaxAttempts || !s.budget.retry() {
-			return run.giveUp(end.err, s.config.RetryAfter)
+		if run.attempts >= s.config.MaxAttempts || !s.budget.takeRetry() {
+			return run.attemptsExhausted(result.err, s.config.RetryAfter)
 		}
 	}
 }
 
-// tryOnce makes one attempt: on an engine of this node that has room, else
-// through another node, else on the engine for which the run waits its turn.
-func (s *Service) tryOnce(ctx context.Context, run *run) ending {
+// tryOnce makes one attempt. It uses an engine of this node that has free capacity,
+// else forwards to another node, else queues the run for an engine of this node.
+func (s *Service) tryOnce(ctx context.Context, run *run) attemptResult {
 	engine := s.placeNow(run)
 	if engine == nil {
-		if end := s.forward(ctx, run); end.final || end.err != nil {
-			return end
+		if result := s.forward(ctx, run); result.final || result.err != nil {
+			return result
 		}
 		if run.forwarded {
-			return final(run.refuse(codeNoCapacity, "no engine of this node has room", s.config.RetryAfter))
+			return finalResult(run.refuse(codeNoCapacity, "no engine of this node has room", s.config.RetryAfter))
 		}
 		var refusal outcome.Outcome
-		if engine, refusal = s.place(ctx, run); engine == nil {
-			return final(refusal)
+		if engine, refusal = s.placeOrQueue(ctx, run); engine == nil {
+			return finalResult(refusal)
 		}
 	}
-	end := s.attempt(ctx, run, engine)
-	run.started()
+	result := s.attempt(ctx, run, engine)
+	run.releasePrefill()
 	s.release(engine, routing.Online)
-	run.tried = append(run.tried, engine.ID)
-	return end
+	run.triedEngines = append(run.triedEngines, engine.ID)
+	return result
 }
 
-// placeNow finds an engine with room, unless others wait for one, and counts the request on it.
+// placeNow chooses an engine with free capacity and counts the request on it. It
+// returns nil when other requests are already queued.
 func (s *Service) placeNow(run *run) *fleet.Engine {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.queueFor(run).order.Len() > 0 {
 		return nil
 	}
-	engine, _ := s.choose(run)
+	engine, _ := s.chooseEngine(run)
 	return engine
 }
 
-// place finds an engine and counts the request on it, waiting in the fair
-// queue when none has room. Without an engine it gives the final outcome.
-func (s *Service) place(ctx context.Context, run *run) (*fleet.Engine, outcome.Outcome) {
+// placeOrQueue chooses an engine and counts the request on it, waiting in the fair
+// queue when none has free capacity. Without an engine it returns the final outcome.
+func (s *Service) placeOrQueue(ctx context.Context, run *run) (*fleet.Engine, outcome.Outcome) {
 	s.mutex.Lock()
 	waiting := s.queueFor(run)
 	if waiting.order.Len() == 0 {
-		engine, reason := s.choose(run)
+		engine, reason := s.chooseEngine(run)
 		if engine != nil {
 			s.mutex.Unlock()
 			return engine, outcome.Outcome{}
@@ -211,25 +217,26 @@
 			return nil, run.refuse(codeNotLoaded, "no engine of the pool has the model loaded", s.config.RetryAfter)
 		}
 	}
-	ticket := run.ticket(s.config.QueueWait)
-	own := &waiter{run: run, placed: make(chan *fleet.Engine, 1)}
+	ticket := run.newTicket(s.config.QueueWait)
+	queued := &waiter{run: run, placed: make(chan *fleet.Engine, 1)}
 	if !waiting.order.Push(ticket) {
 		s.mutex.Unlock()
 		return nil, run.refuse(codeNoCapacity, "the queue for this model is full", s.config.RetryAfter)
 	}
-	waiting.waiters[ticket] = own
+	waiting.waiters[ticket] = queued
 	s.metrics.waiting.Inc()
 	s.mutex.Unlock()
 	defer s.metrics.waiting.Dec()
-	return s.await(ctx, waiting, ticket, own)
+	return s.awaitPlacement(ctx, waiting, ticket, queued)
 }
 
-// await waits for a queued request's turn, its caller or its limit.
-func (s *Service) await(ctx context.Context, waiting *queue, ticket *admission.Ticket, own *waiter) (*fleet.Engine, outcome.Outcome) {
+// awaitPlacement waits until a queued request is placed, its context ends or its
+// ticket expires.
+func (s *Service) awaitPlacement(ctx context.Context, waiting *queue, ticket *admission.Ticket, queued *waiter) (*fleet.Engine, outcome.Outcome) {
 	timer := time.NewTimer(time.Until(ticket.Deadline))
 	defer timer.Stop()
 	select {
-	case engine := <-own.placed:
+	case engine := <-queued.placed:
 		return engine, outcome.Outcome{}
 	case <-timer.C:
 	case <-ctx.Done():
@@ -239,18 +246,19 @@
 	delete(waiting.waiters, ticket)
 	s.mutex.Unlock()
 	select {
-	case engine := <-own.placed: // placed while it gave up
-		own.run.started()
+	case engine := <-queued.placed: // placed concurrently with the timeout or cancellation
+		queued.run.releasePrefill()
 		s.release(engine, routing.Online)
 	default:
 	}
 	if ctx.Err() != nil {
-		return nil, own.run.stopped(ctx)
+		return nil, queued.run.contextEnded(ctx)
 	}
-	return nil, own.run.refuse(codeNoCapacity, "no engine had room in time", s.config.RetryAfter)
+	return nil, queued.run.refuse(codeNoCapacity, "no engine had room in time", s.config.RetryAfter)
 }
 
-// release counts one sequence off an engine.
+// release removes one sequence from an engine's count and signals the freed
+// capacity.
 func (s *Service) release(engine *fleet.Engine, class routing.Class) {
 	engine.End(time.Now(), class)
 	s.fleet.Notify()
@@ -266,33 +274,33 @@
 	return waiting
 }
 
-// placeWaiting gives freed capacity to waiting online requests, in their fair
-// order, and what is left to batch work.
+// placeWaiting assigns freed capacity to queued online requests in fair-queue order
+// and the remainder to batch work.
 func (s *Service) placeWaiting() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, waiting := range s.queues {
-		s.drainQueue(waiting)
+		s.placeQueued(waiting)
 	}
-	for id := range s.batch {
+	for id := range s.batchRuns {
 		if engine, known := s.fleet.Snapshot().Engines()[id]; known {
-			s.yield(engine)
+			s.preemptBatch(engine)
 		}
 	}
 	s.grantBatch()
 }
 
-func (s *Service) drainQueue(waiting *queue) {
+func (s *Service) placeQueued(waiting *queue) {
 	for {
 		ticket := waiting.order.Peek()
 		if ticket == nil {
 			return
 		}
 		next := waiting.waiters[ticket]
-		engine, reason := s.choose(next.run)
+		engine, reason := s.chooseEngine(next.run)
 		if engine == nil {
 			if reason == routing.NotUsable {
-				next.run.tried = nil // all were tried: the next change may try them again
+				next.run.triedEngines = nil // all were tried; they may be tried again on the next change
 			}
 			return
 		}
@@ -302,9 +310,9 @@
 	}
 }
 
-// choose routes one request among this node's engines and counts it on the one
-// chosen. Batch work on it gives way. The mutex is held.
-func (s *Service) choose(run *run) (*fleet.Engine, routing.Reason) {
+// chooseEngine routes one request to one of this node's engines, counts it there and
+// preempts batch work as needed. The caller holds the mutex.
+func (s *Service) chooseEngine(run *run) (*fleet.Engine, routing.Reason) {
 	engines := s.fleet.Snapshot().Pool(run.request.Row.Pool)
 	s.candidates = s.candidates[:0]
 	for _, engine := range engines {
@@ -312,7 +320,7 @@
 	}
 	query := routing.Request{
 		Class: run.class, Model: run.request.Model, Adapter: run.request.Adapter,
-		Prefix: run.prefix, Tried: run.tried,
+		Prefix: run.prefix, Tried: run.triedEngines,
 	}
 	var decision routing.Decision
 	s.fleet.WithPrefixes(func(index *routing.PrefixIndex) {
@@ -323,17 +331,18 @@
 	}
 	engine := engines[decision.Index]
 	now := time.Now()
-	fresh := engine.OnlineIdle(now) >= s.config.BatchHold
+	wasIdle := engine.OnlineIdle(now) >= s.config.BatchHold
 	engine.Begin(now, run.class)
-	run.expect(engine, decision.Blocks)
-	s.yield(engine)
-	if fresh {
-		s.tellDispatchers(engine)
+	run.addPrefill(engine, decision.Blocks)
+	s.preemptBatch(engine)
+	if wasIdle {
+		s.notifyDispatchers(engine)
 	}
 	return engine, routing.Chosen
 }
 
-// globalRandom is the runtime's generator, which is safe for concurrent use.
+// globalRandom is the global generator of math/rand/v2, which is safe for concurrent
+// use.
 type globalRandom struct{}
 
 // Uint64 implements routing.Random.
--- a/internal/dispatch/tasks.go
+++ b/internal/dispatch/tasks.go
@@ -3,15 +3,15 @@
 import "sync"
 
 // tasks counts goroutines that end by themselves. Unlike a sync.WaitGroup, it
-// may be given more while it is waited for: requests still end, and cancel
-// their engines' work, while the service stops.
+// allows new goroutines during Wait, because requests that end while the service
+// stops still start cancels of their engines' work.
 type tasks struct {
 	mutex   sync.Mutex
 	running int
-	idle    chan struct{} // closed when running falls to zero; nil: nobody waits
+	idle    chan struct{} // closed when running falls to zero; nil when nothing waits
 }
 
-// Go runs a function in a goroutine of its own.
+// Go runs a function in a new goroutine.
 func (t *tasks) Go(run func()) {
 	t.mutex.Lock()
 	t.running++
@@ -32,7 +32,7 @@
 	}
 }
 
-// Wait returns once no function runs.
+// Wait blocks until no function is running.
 func (t *tasks) Wait() {
 	t.mutex.Lock()
 	if t.running == 0 {
