--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -8,65 +8,64 @@
 	"ringstream.example/ringstream/internal/core/outcome"
 )
 
-// answer is the output of one run: the texts so far, and its end. One writer
-// appends; any number of followers read from the start at their own pace, so
-// a slow client never holds the run back. Its memory is bounded by the
-// request's token limit.
+// answer is the output of one run: the texts so far and the final result. One
+// writer appends. Any number of subscribers read from the start at their own pace,
+// so a slow client never delays the run. The request's token limit bounds its memory.
 type answer struct {
-	mutex     sync.Mutex
-	progress  progress
-	followers []chan struct{}
+	mutex       sync.Mutex
+	progress    progress
+	subscribers []chan struct{}
 }
 
-// progress is what an answer holds at one time. Its texts are never changed
-// after they were added.
+// progress is the state of an answer at one time. Texts are never changed after
+// they were added.
 type progress struct {
 	head   answerHead
 	texts  []string
 	ended  bool
-	ending ending
+	result answerResult
 }
 
-// ending is the end of an answer: a failure, or why and with what usage it
-// completed.
-type ending struct {
+// answerResult is how an answer ended: a failure, or the finish reason and the usage.
+type answerResult struct {
 	failure *apierror.Error
-	// elsewhere: the other site answers; each client's request goes there.
-	elsewhere bool
-	reason    string
-	used      usage
+	// answeredByOtherSite is true when the other site answers. Each client's request
+	// is then passed to that site.
+	answeredByOtherSite bool
+	reason              string
+	used                usage
 }
 
 func newAnswer(head answerHead) *answer { return &answer{progress: progress{head: head}} }
 
-// follow registers a reader: the channel gets a token after each change.
-func (a *answer) follow() chan struct{} {
+// subscribe registers a reader. The channel receives a signal after each change.
+func (a *answer) subscribe() chan struct{} {
 	changed := make(chan struct{}, 1)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.followers = append(a.followers, changed)
+	a.subscribers = append(a.subscribers, changed)
 	if len(a.progress.texts) > 0 || a.progress.ended {
 		changed <- struct{}{}
 	}
 	return changed
 }
 
-// unfollow removes a reader.
-func (a *answer) unfollow(changed chan struct{}) {
+// unsubscribe removes a reader.
+func (a *answer) unsubscribe(changed chan struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for i, follower := range a.followers {
-		if follower == changed {
-			a.followers = append(a.followers[:i], a.followers[i+1:]...)
+	for i, subscriber := range a.subscribers {
+		if subscriber == changed {
+			a.subscribers = append(a.subscribers[:i], a.subscribers[i+1:]...)
 			return
 		}
 	}
 }
 
 func (a *answer) notify() {
-	for _, follower := range a.followers {
+	for _, subscriber := range a.subscribers {
 		select {
-		case follower <- struct{}{}:
+		case subscriber <- struct{}{}:
 		default:
 		}
 	}
@@ -80,48 +79,48 @@
 	a.notify()
 }
 
-// end closes the answer. Only the first end counts.
-func (a *answer) end(with ending) {
+// end closes the answer with a result. Calls after the first have no effect.
+func (a *answer) end(result answerResult) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.progress.ended {
 		return
 	}
-	a.progress.ended, a.progress.ending = true, with
+	a.progress.ended, a.progress.result = true, result
 	a.notify()
 }
 
 // fail closes the answer with a failure.
-func (a *answer) fail(failure *apierror.Error) { a.end(ending{failure: failure}) }
+func (a *answer) fail(failure *apierror.Error) { a.end(answerResult{failure: failure}) }
 
-// replay fills an empty answer with that of an earlier run.
-func (a *answer) replay(head answerHead, texts []string, with ending) {
+// replay fills an empty answer with the answer of an earlier run.
+func (a *answer) replay(head answerHead, texts []string, result answerResult) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.progress = progress{head: head, texts: texts, ended: true, ending: with}
+	a.progress = progress{head: head, texts: texts, ended: true, result: result}
 	a.notify()
 }
 
-// now gives the answer as it stands.
-func (a *answer) now() progress {
+// snapshot returns the current state of the answer.
+func (a *answer) snapshot() progress {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.progress
 }
 
-// text gives all of the text.
+// text returns the whole text.
 func (p progress) text() string { return strings.Join(p.texts, "") }
 
-// endingOf says how an outcome ends an answer.
-func endingOf(ended outcome.Outcome) ending {
+// resultOf returns the answer's result for a run's outcome.
+func resultOf(ended outcome.Outcome) answerResult {
 	if ended.Kind != outcome.Completed {
-		return ending{failure: failureOf(ended)}
+		return answerResult{failure: failureOf(ended)}
 	}
 	reason := ended.FinishReason
 	if reason == "" {
 		reason = finishStop
 	}
-	return ending{reason: reason, used: usage{prompt: ended.PromptTokens, output: ended.OutputTokens}}
+	return answerResult{reason: reason, used: usage{prompt: ended.PromptTokens, output: ended.OutputTokens}}
 }
 
 const finishStop = "stop"
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -19,7 +19,7 @@
 const (
 	defaultListLimit = 50
 	maxListLimit     = 500
-	resultsPage      = 500 // results read from the job at a time
+	resultsPageSize  = 500 // results read from the job in one call
 )
 
 // jobParameter reads a job's parameter from the query, else from the header
@@ -31,7 +31,7 @@
 	return c.Request().Header.Get("X-Batch-" + name)
 }
 
-// submitJob takes a new job; its items are read from the body as they come.
+// submitJob submits a new job. Its items are read from the body as they arrive.
 func (s *Server) submitJob(c echo.Context) error {
 	tenant, err := s.deps.Auth.Tenant(c.Request())
 	if err != nil {
@@ -41,8 +41,8 @@
 	if err != nil {
 		return err
 	}
-	submission.Items = &patientReader{
-		Reader: c.Request().Body, controller: http.NewResponseController(c.Response()), patience: s.config.HTTP.ReadBodyTimeout,
+	submission.Items = &idleTimeoutReader{
+		Reader: c.Request().Body, controller: http.NewResponseController(c.Response()), idleTimeout: s.config.HTTP.ReadBodyTimeout,
 	}
 	job, existed, err := s.deps.Jobs.Submit(c.Request().Context(), submission)
 	if err != nil {
@@ -56,18 +56,19 @@
 	return c.JSON(status, job)
 }
 
-// patientReader bounds how long a job's body may stand still, in place of how
-// long all of it may take.
-type patientReader struct {
+// idleTimeoutReader bounds the idle time between reads of a job's body instead of
+// the total time of the upload.
+type idleTimeoutReader struct {
 	io.Reader
-	controller *http.ResponseController
-	patience   time.Duration
+	controller  *http.ResponseController
+	idleTimeout time.Duration
 }
 
 // Read implements io.Reader.
-func (r *patientReader) Read(buffer []byte) (int, error) {
-	// Without support for deadlines (a test's recorder) nothing is bounded.
-	_ = r.controller.SetReadDeadline(time.Now().Add(r.patience))
+func (r *idleTimeoutReader) Read(buffer []byte) (int, error) {
+	// A connection without support for deadlines, such as a test's recorder, is not
+	// bounded.
+	_ = r.controller.SetReadDeadline(time.Now().Add(r.idleTimeout))
 	return r.Reader.Read(buffer)
 }
 
@@ -82,7 +83,7 @@
 	if submission.Model == "" {
 		return submission, apierror.Invalid(`query parameter "model" is required`)
 	}
-	if err := checkKey(submission.Key); err != nil {
+	if err := validateKey(submission.Key); err != nil {
 		return submission, err
 	}
 	deadline, err := readDeadline(jobParameter(c, "deadline"), time.Now())
@@ -100,7 +101,8 @@
 	return submission, nil
 }
 
-// readDeadline takes an RFC 3339 time or a duration from now.
+// readDeadline parses an RFC 3339 time or a duration from now. The result must lie
+// in the future.
 func readDeadline(text string, now time.Time) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, apierror.Invalid(`query parameter "deadline" is required: an RFC 3339 time, or a duration such as 8h`)
@@ -122,11 +124,12 @@
 	return nil
 }
 
-// maxKeyBytes bounds an idempotency key.
+// maxKeyBytes bounds the length of an idempotency key.
 const maxKeyBytes = 255
 
-// checkKey takes printable ASCII only: the key is part of stored names.
-func checkKey(key string) error {
+// validateKey accepts only printable ASCII without spaces, because the key is part of
+// stored names.
+func validateKey(key string) error {
 	if len(key) > maxKeyBytes {
 		return apierror.Invalid("header %s: at most %d characters", headerIdempotencyKey, maxKeyBytes)
 	}
@@ -199,8 +202,8 @@
 	return c.JSON(http.StatusOK, job)
 }
 
-// jobResults streams final outcomes as JSON lines, page by page. A failure
-// after the first line is a last line with the error's body.
+// jobResults streams final outcomes as JSON lines, page by page. A failure after
+// the first line is reported as a last line that holds the error body.
 func (s *Server) jobResults(c echo.Context) error {
 	tenant, err := s.deps.Auth.Tenant(c.Request())
 	if err != nil {
@@ -221,15 +224,15 @@
 	}
 	response := c.Response()
 	lines := json.NewEncoder(response)
-	for ; from < to; from += resultsPage {
-		results, err := s.deps.Jobs.Results(c.Request().Context(), tenant, id, from, min(from+resultsPage, to))
+	for ; from < to; from += resultsPageSize {
+		results, err := s.deps.Jobs.Results(c.Request().Context(), tenant, id, from, min(from+resultsPageSize, to))
 		if err != nil {
 			return endResults(c, lines, err)
 		}
 		beginResults(response)
 		for _, result := range results {
 			if err := lines.Encode(result); err != nil {
-				return err // the client has gone
+				return err // the client has disconnected
 			}
 		}
 		response.Flush()
@@ -245,11 +248,11 @@
 	}
 }
 
-// endResults ends the lines with an error; before the first line it is the
-// whole answer.
+// endResults ends the lines with an error. Before the first line, the returned
+// error becomes the whole response.
 func endResults(c echo.Context, lines *json.Encoder, err error) error {
 	if c.Response().Committed {
-		_ = lines.Encode(httpserver.NewErrorBody(c, httpserver.Classify(err))) // the client may be gone
+		_ = lines.Encode(httpserver.NewErrorBody(c, httpserver.Classify(err))) // the client may have disconnected
 	}
 	return err
 }
--- a/internal/gateway/batches_test.go
+++ b/internal/gateway/batches_test.go
@@ -16,12 +16,12 @@
 	"ringstream.example/ringstream/internal/jobs"
 )
 
-// memoryJobs is a jobs.Service that keeps one job; its items complete at once.
+// memoryJobs is a jobs.Service that holds one job. Its items complete at once.
 type memoryJobs struct {
 	job        jobs.Job
 	repeatable bool
 	lines      []string
-	failAt     int // Results fails from this index on; 0: never
+	failAt     int // Results fails from this index on; 0 means never
 }
 
 func (m *memoryJobs) Submit(_ context.Context, submission jobs.Submission) (jobs.Job, bool, error) {
@@ -67,8 +67,8 @@
 	return results, nil
 }
 
-func startJobs(t *testing.T, service jobs.Service, change func(*Config)) *started {
-	return start(t, func(config *Config, deps *Dependencies) {
+func startJobs(t *testing.T, service jobs.Service, change func(*Config)) *testServer {
+	return startServer(t, func(config *Config, deps *Dependencies) {
 		deps.Jobs = service
 		if change != nil {
 			change(config)
@@ -76,7 +76,7 @@
 	})
 }
 
-func (s *started) get(t *testing.T, path string) (int, string) {
+func (s *testServer) get(t *testing.T, path string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodGet, s.url+path, nil)
 	if err != nil {
@@ -98,11 +98,11 @@
 func TestJobFromSubmissionToResults(t *testing.T) {
 	service := &memoryJobs{}
 	server := startJobs(t, service, nil)
-	items := strings.Repeat(`{"custom_id":"a","prompt":"x"}`+"\n", resultsPage+1)
+	items := strings.Repeat(`{"custom_id":"a","prompt":"x"}`+"\n", resultsPageSize+1)
 	const path = "/v1/batches?model=scribe&deadline=8h&repeatable=false"
 	response, text := server.post(t, path, items, "Idempotency-Key", "k1")
 	var job jobs.Job
-	if err := json.Unmarshal([]byte(text), &job); err != nil || response.StatusCode != http.StatusCreated || job.Total != resultsPage+1 {
+	if err := json.Unmarshal([]byte(text), &job); err != nil || response.StatusCode != http.StatusCreated || job.Total != resultsPageSize+1 {
 		t.Fatalf("%d %s %v", response.StatusCode, text, err)
 	}
 	if service.repeatable || time.Until(job.Deadline) > 8*time.Hour || response.Header.Get("Location") != "/v1/batches/job-1" {
@@ -112,12 +112,12 @@
 		t.Errorf("sent again: %d", response.StatusCode)
 	}
 	status, lines := server.get(t, "/v1/batches/job-1/results?from=1")
-	if status != http.StatusOK || strings.Count(lines, "\n") != resultsPage || !strings.HasPrefix(lines, `{"index":1,`) {
+	if status != http.StatusOK || strings.Count(lines, "\n") != resultsPageSize || !strings.HasPrefix(lines, `{"index":1,`) {
 		t.Errorf("results: %d, %d lines", status, strings.Count(lines, "\n"))
 	}
-	service.failAt = resultsPage
+	service.failAt = resultsPageSize
 	if _, lines = server.get(t, "/v1/batches/job-1/results"); !strings.Contains(lines, `"code":"store_unavailable"`) {
-		t.Error("results that broke off do not say so")
+		t.Error("results that ended early do not report the error")
 	}
 	if status, text = server.get(t, "/v1/batches/job-2"); status != http.StatusNotFound {
 		t.Errorf("unknown job: %d %s", status, text)
@@ -152,28 +152,28 @@
 	}
 }
 
-// deadlines is a connection that notes its read deadlines.
-type deadlines struct {
+// deadlineRecorder is a connection that records its read deadlines.
+type deadlineRecorder struct {
 	http.ResponseWriter
 	set []time.Time
 }
 
-func (d *deadlines) SetReadDeadline(at time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(at time.Time) error {
 	d.set = append(d.set, at)
 	return nil
 }
 
-func TestALongUploadIsBoundedByItsStandstillOnly(t *testing.T) {
+func TestUploadIsBoundedByIdleTimeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		connection := &deadlines{}
-		reader := patientReader{Reader: strings.NewReader("two reads"), controller: http.NewResponseController(connection), patience: time.Minute}
+		connection := &deadlineRecorder{}
+		reader := idleTimeoutReader{Reader: strings.NewReader("two reads"), controller: http.NewResponseController(connection), idleTimeout: time.Minute}
 		for range 2 {
 			time.Sleep(50 * time.Second)
 			if _, err := reader.Read(make([]byte, 4)); err != nil {
 				t.Fatal(err)
 			}
 			if left := time.Until(connection.set[len(connection.set)-1]); left != time.Minute {
-				t.Errorf("the next byte has %v", left)
+				t.Errorf("read deadline in %v, want 1m", left)
 			}
 		}
 	})
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -22,16 +22,16 @@
 	"ringstream.example/ringstream/internal/limits"
 )
 
-// discard is a client that keeps up: it signals each flush.
-type discard struct {
+// flushSignaler is a client that keeps up and signals each flush.
+type flushSignaler struct {
 	header  http.Header
 	flushed chan struct{}
 }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      { d.flushed <- struct{}{} }
+func (d *flushSignaler) Header() http.Header         { return d.header }
+func (d *flushSignaler) Write(b []byte) (int, error) { return len(b), nil }
+func (d *flushSignaler) WriteHeader(int)             {}
+func (d *flushSignaler) Flush()                      { d.flushed <- struct{}{} }
 
 func benchServer(run runFunc) *Server {
 	return New(DefaultConfig(), Dependencies{
@@ -39,10 +39,10 @@
 	}, zap.NewNop(), nil)
 }
 
-// BenchmarkStreamedToken is one token from dispatch to the client's flush,
-// without sockets: the next token comes only when the last was flushed.
+// BenchmarkStreamedToken measures one token from dispatch to the client's flush,
+// without sockets. The next token is sent only after the last was flushed.
 func BenchmarkStreamedToken(b *testing.B) {
-	client := &discard{header: http.Header{}, flushed: make(chan struct{})}
+	client := &flushSignaler{header: http.Header{}, flushed: make(chan struct{})}
 	server := benchServer(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 		b.ResetTimer()
 		for i := range b.N {
@@ -62,7 +62,7 @@
 	server.http.Echo.ServeHTTP(client, request)
 }
 
-// BenchmarkParseChat is the reading of an ordinary chat request.
+// BenchmarkParseChat measures the parsing of an ordinary chat request.
 func BenchmarkParseChat(b *testing.B) {
 	body := []byte(`{"model":"scribe","stream":true,"max_tokens":200,"temperature":1,"stream_options":{"include_usage":true},"messages":[` +
 		`{"role":"system","content":"You summarise motions."},{"role":"user","content":"` + strings.Repeat("The motion was put. ", 100) + `"}]}`)
@@ -75,9 +75,9 @@
 	}
 }
 
-// BenchmarkFirstTokenOverLoopback is a request over a real connection to the
-// first token of its stream, from an engine that answers at once. The metric
-// includes the client's own part.
+// BenchmarkFirstTokenOverLoopback measures a request over a real connection up to the
+// first token of its stream, from an engine that answers at once. The metric includes
+// the client's own time.
 func BenchmarkFirstTokenOverLoopback(b *testing.B) {
 	server := benchServer(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 		_ = sink(backend.Token{Text: "first"})
@@ -107,20 +107,20 @@
 }
 
 func BenchmarkTokenEncode(b *testing.B) {
-	events := newEnvelope(answerHead{id: "chatcmpl-01J", model: "fleetlink-llm", created: 1, chat: true})
-	buffer := make([]byte, 0, streamBuffer)
+	events := newEventEncoder(answerHead{id: "chatcmpl-01J", model: "fleetlink-llm", created: 1, chat: true})
+	buffer := make([]byte, 0, streamBufferBytes)
 	b.ReportAllocs()
 	for b.Loop() {
 		buffer = events.appendToken(buffer[:0], " harvester")
 	}
-	if !bytes.HasPrefix(buffer, []byte(eventOpen)) {
+	if !bytes.HasPrefix(buffer, []byte(eventPrefix)) {
 		b.Fatal(string(buffer))
 	}
 }
 
-// BenchmarkTokenOverLoopback is the processor time of one token, from dispatch
-// to the client, in streams over real connections that keep up. It includes
-// the client's part and the pacing, so it bounds the node's part from above.
+// BenchmarkTokenOverLoopback measures the processor time of one token, from dispatch
+// to the client, in streams over real connections that keep up. It includes the
+// client's time and the pacing, so it is an upper bound of the node's time.
 func BenchmarkTokenOverLoopback(b *testing.B) {
 	const (
 		streams = 64
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// messageText reads a content: a string, or parts of type text.
+// messageText reads the content of a message, which is a string or an array of
+// parts of type text.
 func messageText(value json.RawMessage) (string, error) {
 	var text string
 	if json.Unmarshal(value, &text) == nil && !isNull(value) {
--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -24,26 +24,27 @@
 	"ringstream.example/ringstream/internal/idempotency"
 )
 
-// The headers that callers may set beside the body.
+// The request headers that callers may set.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerTimeout        = "X-Request-Timeout"
 )
 
-// call is one online request on its way through the gateway.
-type call struct {
+// onlineRequest is one online request in the gateway.
+type onlineRequest struct {
 	id       string
 	tenant   identity.TenantID
 	row      policy.Row
-	request  generation
+	parsed   generation
 	arrived  time.Time
 	deadline time.Time
-	// The request as it came, for a key's digest and for the other site.
+	// path, body and authorization are the request as received. They are used for
+	// the key's digest and for forwarding to the other site.
 	path          string
 	body          []byte
 	authorization string
 	key           idempotency.Key // Key.Key is empty when the request has none
-	hopped        bool            // it came from the other site
+	fromOtherSite bool            // forwarded by the other site
 }
 
 // complete serves one completion request of either form.
@@ -57,23 +58,24 @@
 	if err != nil {
 		return bodyError(err)
 	}
-	taken, err := s.take(c, tenant, body, chat, arrived)
+	request, err := s.readRequest(c, tenant, body, chat, arrived)
 	if err != nil {
 		return err
 	}
-	if taken.key.Key != "" {
-		return s.runKeyed(c, taken)
+	if request.key.Key != "" {
+		return s.runKeyed(c, request)
 	}
-	if s.siteOf(taken) == site.Other {
-		done, err := s.forwardUnkeyed(c, taken)
+	if s.chooseSite(request) == site.Other {
+		done, err := s.forwardUnkeyed(c, request)
 		if done || err != nil {
 			return err
 		}
 	}
-	return s.runUnkeyed(c, taken)
+	return s.runUnkeyed(c, request)
 }
 
-// bodyError tells a body that is too large from a client that went away.
+// bodyError maps the error of reading a body. A body that is too large or too slow
+// keeps its error; any other failure becomes an invalid request.
 func bodyError(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -82,9 +84,9 @@
 	return apierror.Invalid("the body could not be read whole: %v", err)
 }
 
-// take reads the request and finds the row that governs it.
-func (s *Server) take(c echo.Context, tenant identity.TenantID, body []byte, chat bool, arrived time.Time) (*call, error) {
-	request, err := parseGeneration(body, chat)
+// readRequest parses and validates the request and finds the row that governs it.
+func (s *Server) readRequest(c echo.Context, tenant identity.TenantID, body []byte, chat bool, arrived time.Time) (*onlineRequest, error) {
+	parsed, err := parseGeneration(body, chat)
 	if err != nil {
 		return nil, err
 	}
@@ -92,30 +94,31 @@
 	if err != nil {
 		return nil, err
 	}
-	if request.maxTokens == 0 {
-		request.maxTokens = s.config.DefaultMaxTokens
+	if parsed.maxTokens == 0 {
+		parsed.maxTokens = s.config.DefaultMaxTokens
 	}
-	if request.maxTokens > s.config.MaxTokens {
+	if parsed.maxTokens > s.config.MaxTokens {
 		return nil, apierror.Invalid(`field "max_tokens": at most %d`, s.config.MaxTokens)
 	}
-	row, err := s.rowOf(tenant, request.model)
+	row, err := s.findRow(tenant, parsed.model)
 	if err != nil {
 		return nil, err
 	}
 	key := c.Request().Header.Get(headerIdempotencyKey)
-	if err := checkKey(key); err != nil {
+	if err := validateKey(key); err != nil {
 		return nil, err
 	}
-	return &call{
-		id: string(httpserver.RequestID(c)), tenant: tenant, row: row, request: request, arrived: arrived, deadline: arrived.Add(timeout),
+	return &onlineRequest{
+		id: string(httpserver.RequestID(c)), tenant: tenant, row: row, parsed: parsed, arrived: arrived, deadline: arrived.Add(timeout),
 		path: c.Path(), body: body, authorization: c.Request().Header.Get(echo.HeaderAuthorization),
-		key: idempotency.Key{Tenant: tenant, Key: key}, hopped: c.Request().Header.Get(backend.HopHeader) != "",
+		key: idempotency.Key{Tenant: tenant, Key: key}, fromOtherSite: c.Request().Header.Get(backend.HopHeader) != "",
 	}, nil
 }
 
-// rowOf finds the row that governs a tenant's online requests for a model. A
-// table that is not loaded yet says nothing about what it will hold.
-func (s *Server) rowOf(tenant identity.TenantID, model string) (policy.Row, error) {
+// findRow finds the row that governs a tenant's online requests for a model. While
+// the table is not loaded yet, a missing row is not reported as not found, since the
+// loaded table may hold it.
+func (s *Server) findRow(tenant identity.TenantID, model string) (policy.Row, error) {
 	row, found := s.deps.Rows.Table().Lookup(string(tenant), model, policy.KindOnline)
 	switch {
 	case found:
@@ -130,51 +133,52 @@
 	}
 }
 
-// readTimeout gives how long the caller waits at most.
+// readTimeout returns how long the caller waits at most, bounded by RequestTimeout.
 func (s *Server) readTimeout(header http.Header) (time.Duration, error) {
 	text := header.Get(headerTimeout)
 	if text == "" {
 		return s.config.RequestTimeout, nil
 	}
-	asked, err := time.ParseDuration(text)
-	if err != nil || asked <= 0 {
+	requested, err := time.ParseDuration(text)
+	if err != nil || requested <= 0 {
 		return 0, apierror.Invalid("header %s: must be a duration such as 30s", headerTimeout)
 	}
-	return min(s.config.RequestTimeout, asked), nil
+	return min(s.config.RequestTimeout, requested), nil
 }
 
-// runUnkeyed runs a request for the one client that asked; when it goes away
-// the run is cancelled.
-func (s *Server) runUnkeyed(c echo.Context, taken *call) error {
-	release, err := s.admit(taken)
+// runUnkeyed runs a request without an idempotency key for its only client. The run
+// is cancelled when the client disconnects.
+func (s *Server) runUnkeyed(c echo.Context, request *onlineRequest) error {
+	release, err := s.admit(request)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(c.Request().Context(), taken.deadline)
+	ctx, cancel := context.WithDeadline(c.Request().Context(), request.deadline)
 	defer cancel()
-	run := newAnswer(headOf(taken))
+	run := newAnswer(headOf(request))
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		with, used := s.generate(ctx, taken, run, nil)
-		run.end(with)
+		result, used := s.generate(ctx, request, run, nil)
+		run.end(result)
 		release(used)
 	}()
-	form := formOf(taken, taken.deadline.Add(endGrace))
-	form.once = !taken.request.repeatable
+	form := formOf(request, request.deadline.Add(endGrace))
+	form.mayRunOnce = !request.parsed.repeatable
 	err = writeAnswer(c, run, form)
 	cancel()
 	<-finished
 	return err
 }
 
-// endGrace is how long after its deadline a run may take to say how it ended.
+// endGrace is how long after its deadline a run may take to report its end.
 const endGrace = time.Second
 
-// admit takes the request against the limits of its row and tenant.
-func (s *Server) admit(taken *call) (release func(used int), err error) {
-	estimate := backend.PromptTokens(taken.request.prompt) + taken.request.maxTokens
-	release, decision := s.deps.Limits.Admit(taken.row, taken.tenant, estimate)
+// admit checks the request against the limits of its row and tenant. If it returns
+// no error, release must be called once at the end with the tokens used.
+func (s *Server) admit(request *onlineRequest) (release func(used int), err error) {
+	estimate := backend.PromptTokens(request.parsed.prompt) + request.parsed.maxTokens
+	release, decision := s.deps.Limits.Admit(request.row, request.tenant, estimate)
 	if decision.Allowed {
 		return release, nil
 	}
@@ -184,128 +188,129 @@
 	}
 }
 
-func headOf(taken *call) answerHead {
+func headOf(request *onlineRequest) answerHead {
 	prefix := "cmpl-"
-	if taken.request.chat {
+	if request.parsed.chat {
 		prefix = "chatcmpl-"
 	}
-	return answerHead{id: prefix + taken.id, model: taken.request.model, created: taken.arrived.Unix(), chat: taken.request.chat}
+	return answerHead{id: prefix + request.id, model: request.parsed.model, created: request.arrived.Unix(), chat: request.parsed.chat}
 }
 
-func formOf(taken *call, deadline time.Time) answerForm {
-	return answerForm{stream: taken.request.stream, includeUsage: taken.request.includeUsage, deadline: deadline}
+func formOf(request *onlineRequest, deadline time.Time) answerForm {
+	return answerForm{stream: request.parsed.stream, includeUsage: request.parsed.includeUsage, deadline: deadline}
 }
 
-// errStopped ends a run at a stop sequence; errDisorder at a token that is not
-// the next one; errLate refuses a token that comes after the run's end.
+// errStopSequence ends a run at a stop sequence, and errTokenOutOfOrder ends it at a
+// token with an unexpected offset. errTokenAfterEnd refuses a token that arrives
+// after the run's end.
 var (
-	errLate     = errors.New("token after the end of the run")
-	errStopped  = errors.New("stop sequence found")
-	errDisorder = errors.New("token out of order")
+	errTokenAfterEnd   = errors.New("token after the end of the run")
+	errStopSequence    = errors.New("stop sequence found")
+	errTokenOutOfOrder = errors.New("token out of order")
 )
 
-// generate runs the request and fills the answer, up to its end; it gives the
-// end and the number of tokens used.
-func (s *Server) generate(ctx context.Context, taken *call, run *answer, beforeSend func(context.Context, dispatch.Intent) error) (with ending, used int) {
-	return s.collect(taken, run, func(sink dispatch.Sink) outcome.Outcome {
+// generate runs the request and adds its texts to the answer. It returns the result,
+// which the caller sets as the answer's end, and the number of tokens used.
+func (s *Server) generate(ctx context.Context, request *onlineRequest, run *answer, beforeSend func(context.Context, dispatch.Intent) error) (result answerResult, used int) {
+	return s.collect(request, run, func(sink dispatch.Sink) outcome.Outcome {
 		return s.deps.Online.Run(ctx, dispatch.Request{
-			ID: identity.RequestID(taken.id), Tenant: taken.tenant, Row: taken.row, Kind: policy.KindOnline,
-			Model: taken.request.model, Adapter: taken.request.adapter, Prompt: taken.request.prompt,
-			MaxTokens: taken.request.maxTokens, Sampling: taken.request.sampling, Repeatable: taken.request.repeatable, Deadline: taken.deadline,
+			ID: identity.RequestID(request.id), Tenant: request.tenant, Row: request.row, Kind: policy.KindOnline,
+			Model: request.parsed.model, Adapter: request.parsed.adapter, Prompt: request.parsed.prompt,
+			MaxTokens: request.parsed.maxTokens, Sampling: request.parsed.sampling, Repeatable: request.parsed.repeatable, Deadline: request.deadline,
 			BeforeSend: beforeSend,
 		}, sink)
 	})
 }
 
-// collect takes the tokens of one run into its answer.
-func (s *Server) collect(taken *call, run *answer, source func(dispatch.Sink) outcome.Outcome) (with ending, used int) {
+// collect adds the tokens of one run to its answer and records the run's metrics.
+func (s *Server) collect(request *onlineRequest, run *answer, source func(dispatch.Sink) outcome.Outcome) (result answerResult, used int) {
 	s.metrics.running.Inc()
 	defer s.metrics.running.Dec()
-	taker := collector{server: s, taken: taken, run: run, stop: stopFilter{sequences: taken.request.stop}}
-	ended := source(taker.token)
-	with, count := taker.finish(ended)
+	tokens := collector{server: s, request: request, run: run, stop: stopFilter{sequences: request.parsed.stop}}
+	ended := source(tokens.token)
+	result, count := tokens.finish(ended)
 	label := outcome.Completed.String()
-	if with.failure != nil {
-		label = with.failure.Run.String()
+	if result.failure != nil {
+		label = result.failure.Run.String()
 	}
-	s.metrics.ended(taken.request.chat, label, count)
-	events.RequestEnded.Log(s.logger, zap.String("request", taken.id), zap.String("tenant", string(taken.tenant)),
-		zap.String("model", taken.request.model), zap.String("outcome", label), zap.Int("tokens", count),
-		zap.Duration("elapsed", time.Since(taken.arrived)))
-	return with, ended.PromptTokens + count
+	s.metrics.recordEnd(request.parsed.chat, label, count)
+	events.RequestEnded.Log(s.logger, zap.String("request", request.id), zap.String("tenant", string(request.tenant)),
+		zap.String("model", request.parsed.model), zap.String("outcome", label), zap.Int("tokens", count),
+		zap.Duration("elapsed", time.Since(request.arrived)))
+	return result, ended.PromptTokens + count
 }
 
-// collector takes the tokens of one run into its answer. Its lock comes before
-// the answer's.
+// collector adds the tokens of one run to its answer. Its mutex is acquired before
+// the answer's mutex.
 type collector struct {
-	server *Server
-	taken  *call
-	run    *answer
+	server  *Server
+	request *onlineRequest
+	run     *answer
 
-	mutex sync.Mutex // a token may come after the run's end, from another goroutine
-	stop  stopFilter
-	count int
-	last  time.Time // of the token before
-	cause error     // why no further token is taken: errStopped, errDisorder or errLate
+	mutex       sync.Mutex // a token may arrive after the run's end, from another goroutine
+	stop        stopFilter
+	count       int
+	lastTokenAt time.Time // time of the previous token
+	refusal     error     // why tokens are refused: errStopSequence, errTokenOutOfOrder or errTokenAfterEnd
 }
 
 // token is the run's dispatch.Sink.
 func (t *collector) token(token backend.Token) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.cause != nil {
-		return t.cause
+	if t.refusal != nil {
+		return t.refusal
 	}
 	if token.Offset != t.count {
-		t.cause = errDisorder
-		events.AnswerOutOfOrder.Log(t.server.logger, zap.String("request", t.taken.id),
+		t.refusal = errTokenOutOfOrder
+		events.AnswerOutOfOrder.Log(t.server.logger, zap.String("request", t.request.id),
 			zap.Int("expected", t.count), zap.Int("offset", token.Offset))
-		return t.cause
+		return t.refusal
 	}
 	now := time.Now()
 	if t.count == 0 {
-		t.server.metrics.firstTokenAfter(now.Sub(t.taken.arrived))
+		t.server.metrics.observeFirstToken(now.Sub(t.request.arrived))
 	} else {
-		t.server.metrics.nextTokenAfter(now.Sub(t.last))
+		t.server.metrics.observeNextToken(now.Sub(t.lastTokenAt))
 	}
-	t.last = now
+	t.lastTokenAt = now
 	t.count++
-	text, found := t.stop.take(token.Text)
+	text, found := t.stop.filter(token.Text)
 	if text != "" {
 		t.run.add(text)
 	}
 	if found {
-		t.cause = errStopped
-		return t.cause
+		t.refusal = errStopSequence
+		return t.refusal
 	}
 	return nil
 }
 
-// finish closes the collector, and gives the run's end and its tokens.
-func (t *collector) finish(ended outcome.Outcome) (with ending, count int) {
+// finish closes the collector and returns the run's result and its token count.
+func (t *collector) finish(ended outcome.Outcome) (result answerResult, count int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	with = t.ending(ended)
-	t.cause = errLate
-	return with, t.count
+	result = t.result(ended)
+	t.refusal = errTokenAfterEnd
+	return result, t.count
 }
 
-// ending joins what the engine said with what the collector cut off.
-func (t *collector) ending(ended outcome.Outcome) ending {
+// result combines the engine's outcome with the collector's reason to stop, if any.
+func (t *collector) result(ended outcome.Outcome) answerResult {
 	switch {
-	case errors.Is(t.cause, errStopped):
+	case errors.Is(t.refusal, errStopSequence):
 		prompt := ended.PromptTokens
-		if prompt == 0 { // the engine was stopped before it could say
-			prompt = backend.PromptTokens(t.taken.request.prompt)
+		if prompt == 0 { // the engine was stopped before it could report the count
+			prompt = backend.PromptTokens(t.request.parsed.prompt)
 		}
-		return ending{reason: finishStop, used: usage{prompt: prompt, output: t.count}}
-	case errors.Is(t.cause, errDisorder):
-		return ending{failure: failureOf(outcome.Outcome{Kind: outcome.Failed, Reason: "the engine's answer came out of order"})}
+		return answerResult{reason: finishStop, used: usage{prompt: prompt, output: t.count}}
+	case errors.Is(t.refusal, errTokenOutOfOrder):
+		return answerResult{failure: failureOf(outcome.Outcome{Kind: outcome.Failed, Reason: "the engine's answer came out of order"})}
 	case ended.Kind == outcome.Completed && ended.OutputTokens != t.count:
-		return ending{failure: failureOf(outcome.Outcome{Kind: outcome.Failed, Reason: "the engine's answer was not whole"})}
+		return answerResult{failure: failureOf(outcome.Outcome{Kind: outcome.Failed, Reason: "the engine's answer was not whole"})}
 	}
-	if rest := t.stop.rest(); rest != "" && ended.Kind == outcome.Completed {
+	if rest := t.stop.flush(); rest != "" && ended.Kind == outcome.Completed {
 		t.run.add(rest)
 	}
-	return endingOf(ended)
+	return resultOf(ended)
 }
--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -16,8 +16,8 @@
 	"ringstream.example/ringstream/internal/idempotency"
 )
 
-// storedResult is the answer of a key's run as it is kept: enough to write the
-// same bytes again, streamed or whole.
+// storedResult is the stored answer of a key's run. It holds enough to write the
+// same bytes again, streamed or not.
 type storedResult struct {
 	ID           string         `json:"id"`
 	Model        string         `json:"model"`
@@ -30,7 +30,7 @@
 	Failure      *storedFailure `json:"failure,omitempty"`
 }
 
-// storedFailure is the final end of a request that may not run again.
+// storedFailure is the final failure of a request that may not run again.
 type storedFailure struct {
 	Status  int           `json:"status"`
 	Code    apierror.Code `json:"code"`
@@ -38,26 +38,26 @@
 	Run     outcome.Kind  `json:"run"`
 }
 
-func encodeResult(now progress, with ending) []byte {
-	stored := storedResult{ID: now.head.id, Model: now.head.model, Created: now.head.created, Chat: now.head.chat}
-	if with.failure != nil {
-		stored.Failure = &storedFailure{Status: with.failure.Status, Code: with.failure.Code, Message: with.failure.Message, Run: with.failure.Run}
+func encodeResult(current progress, result answerResult) []byte {
+	stored := storedResult{ID: current.head.id, Model: current.head.model, Created: current.head.created, Chat: current.head.chat}
+	if result.failure != nil {
+		stored.Failure = &storedFailure{Status: result.failure.Status, Code: result.failure.Code, Message: result.failure.Message, Run: result.failure.Run}
 	} else {
-		stored.Texts, stored.Reason = now.texts, with.reason
-		stored.PromptTokens, stored.OutputTokens = with.used.prompt, with.used.output
+		stored.Texts, stored.Reason = current.texts, result.reason
+		stored.PromptTokens, stored.OutputTokens = result.used.prompt, result.used.output
 	}
 	encoded, err := json.Marshal(stored)
 	if err != nil {
-		panic(err) // every part of it can be encoded
+		panic(err) // every field can be encoded
 	}
 	return encoded
 }
 
-// readResult answers from the kept result.
+// readResult answers from the stored result.
 func (s *Server) readResult(run *keyedRun, encoded []byte) {
 	var stored storedResult
 	if err := json.Unmarshal(encoded, &stored); err != nil {
-		events.ResultUnreadable.Log(s.logger, zap.String("request", run.taken.id), zap.Error(err))
+		events.ResultUnreadable.Log(s.logger, zap.String("request", run.request.id), zap.Error(err))
 		run.fail(&apierror.Error{
 			Status: http.StatusInternalServerError, Code: apierror.CodeInternal, Run: outcome.Unknown,
 			Message: "the answer kept for this Idempotency-Key cannot be read",
@@ -65,62 +65,63 @@
 		return
 	}
 	head := answerHead{id: stored.ID, model: stored.Model, created: stored.Created, chat: stored.Chat}
-	with := ending{reason: stored.Reason, used: usage{prompt: stored.PromptTokens, output: stored.OutputTokens}}
+	result := answerResult{reason: stored.Reason, used: usage{prompt: stored.PromptTokens, output: stored.OutputTokens}}
 	if failure := stored.Failure; failure != nil {
-		with = ending{failure: &apierror.Error{Status: failure.Status, Code: failure.Code, Message: failure.Message, Run: failure.Run}}
+		result = answerResult{failure: &apierror.Error{Status: failure.Status, Code: failure.Code, Message: failure.Message, Run: failure.Run}}
 	}
-	run.replay(head, stored.Texts, with)
+	run.replay(head, stored.Texts, result)
 }
 
-// conclude ends a claim. An answer is recorded before its clients are told
-// that it is whole: until then another node could still make another one. What
-// does not count is told at once, and the key freed after.
-func (s *Server) conclude(run *keyedRun, claim *idempotency.Claim, with ending) {
+// conclude ends a claim. A complete answer is recorded before its clients see its
+// end, because until then another node could still produce a different one. The failure
+// of a run that may run again is reported at once, and the key is released after.
+// The failure of a run that may not run again is reported at once and then recorded.
+func (s *Server) conclude(run *keyedRun, claim *idempotency.Claim, result answerResult) {
 	ctx, cancel := context.WithTimeout(s.keyed.context, s.config.RecordTime)
 	defer cancel()
 	switch {
 	case claim.Superseded():
-		s.endRecorded(run, with, idempotency.ErrSuperseded)
-	case with.failure == nil:
-		waiting := time.AfterFunc(s.config.RecordWait, func() { run.fail(errNotRecorded) })
-		defer waiting.Stop()
-		err := s.persist(ctx, func() error { return claim.Complete(ctx, encodeResult(run.now(), with)) })
-		s.endRecorded(run, with, err)
-	case run.taken.request.repeatable || with.failure.Run == outcome.Refused:
-		run.end(with)
-		s.logUnrecorded(run, s.persist(ctx, func() error { return claim.Release(ctx) }))
+		s.endAfterRecording(run, result, idempotency.ErrSuperseded)
+	case result.failure == nil:
+		timer := time.AfterFunc(s.config.RecordWait, func() { run.fail(errNotRecorded) })
+		defer timer.Stop()
+		err := s.persist(ctx, func() error { return claim.Complete(ctx, encodeResult(run.snapshot(), result)) })
+		s.endAfterRecording(run, result, err)
+	case run.request.parsed.repeatable || result.failure.Run == outcome.Refused:
+		run.end(result)
+		s.logRecordingError(run, s.persist(ctx, func() error { return claim.Release(ctx) }))
 	default:
-		run.end(with)
-		s.logUnrecorded(run, s.persist(ctx, func() error { return claim.Complete(ctx, encodeResult(run.now(), with)) }))
+		run.end(result)
+		s.logRecordingError(run, s.persist(ctx, func() error { return claim.Complete(ctx, encodeResult(run.snapshot(), result)) }))
 	}
 }
 
-// errNotRecorded ends the wait for a record that the store does not take.
+// errNotRecorded ends the wait for a record that the store does not accept.
 var errNotRecorded = &apierror.Error{
 	Status: http.StatusServiceUnavailable, Code: apierror.CodeStoreDown, Run: outcome.Unknown, RetryAfter: storeRetryAfter,
 	Message: "the request has run, and its answer could not be recorded yet; send it again with the same key to read it",
 }
 
-// errTakenOver ends a run that does not count: another node has the key.
+// errTakenOver ends a run that was superseded because another node has the key.
 var errTakenOver = &apierror.Error{
 	Status: http.StatusServiceUnavailable, Code: apierror.CodeConflict, Run: outcome.Unknown, RetryAfter: time.Second,
 	Message: "another node has taken the key over; send the request again with the same key to read its answer",
 }
 
-func (s *Server) endRecorded(run *keyedRun, with ending, err error) {
+func (s *Server) endAfterRecording(run *keyedRun, result answerResult, err error) {
 	switch {
 	case err == nil:
-		run.end(with)
+		run.end(result)
 	case errors.Is(err, idempotency.ErrSuperseded):
 		run.fail(errTakenOver)
 	default:
 		run.fail(errNotRecorded)
 	}
-	s.logUnrecorded(run, err)
+	s.logRecordingError(run, err)
 }
 
-func (s *Server) logUnrecorded(run *keyedRun, err error) {
-	fields := []zap.Field{zap.String("request", run.taken.id), zap.String("tenant", string(run.taken.tenant))}
+func (s *Server) logRecordingError(run *keyedRun, err error) {
+	fields := []zap.Field{zap.String("request", run.request.id), zap.String("tenant", string(run.request.tenant))}
 	switch {
 	case err == nil:
 	case errors.Is(err, idempotency.ErrSuperseded):
@@ -130,11 +131,11 @@
 	}
 }
 
-// persistPause is the mean pause between two tries of a write, on top of the
-// store's own retries.
-const persistPause = time.Second
+// persistRetryDelay is the mean delay between two tries of a write, in addition to
+// the store's own retries.
+const persistRetryDelay = time.Second
 
-// persist repeats a write until it is done, was superseded, or ctx ends.
+// persist retries a write until it succeeds, the claim was superseded or ctx ends.
 func (s *Server) persist(ctx context.Context, write func() error) error {
 	for {
 		err := write()
@@ -144,7 +145,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(persistPause/2 + rand.N(persistPause)): //nolint:gosec // jitter, not a secret
+		case <-time.After(persistRetryDelay/2 + rand.N(persistRetryDelay)): //nolint:gosec // jitter, not a secret
 		}
 	}
 }
--- a/internal/gateway/encode.go
+++ b/internal/gateway/encode.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// answerHead is what every piece of one answer repeats.
+// answerHead holds the fields that every event of one answer repeats.
 type answerHead struct {
 	id      string
 	model   string
@@ -18,40 +18,40 @@
 	prompt, output int
 }
 
-// envelope encodes the events of one streamed answer. The parts that repeat
-// are made once, so that a token costs an append and one pass of quoting.
-type envelope struct {
-	open   []byte // up to the token's text, which is a JSON string
-	close  []byte // after it
-	head   answerHead
-	finish []byte // up to the finish reason
+// eventEncoder encodes the events of one streamed answer. The repeated parts are
+// encoded once, so that a token costs an append and one pass of quoting.
+type eventEncoder struct {
+	tokenPrefix  []byte // up to the token's text, which is a JSON string
+	tokenSuffix  []byte // after the token's text
+	head         answerHead
+	finishPrefix []byte // up to the finish reason
 }
 
 const (
-	eventOpen  = "data: "
-	eventClose = "\n\n"
-	streamDone = "data: [DONE]\n\n"
+	eventPrefix = "data: "
+	eventSuffix = "\n\n"
+	streamDone  = "data: [DONE]\n\n"
 )
 
-func newEnvelope(head answerHead) *envelope {
+func newEventEncoder(head answerHead) *eventEncoder {
 	object := "text_completion"
 	if head.chat {
 		object = "chat.completion.chunk"
 	}
-	start := append([]byte(eventOpen), `{"id":`...)
+	start := append([]byte(eventPrefix), `{"id":`...)
 	start = appendHead(start, head, object)
 	start = append(start, `,"choices":[{"index":0,`...)
-	made := &envelope{head: head}
+	encoder := &eventEncoder{head: head}
 	if head.chat {
-		made.open = append(append([]byte{}, start...), `"delta":{"content":`...)
-		made.close = []byte(`},"logprobs":null,"finish_reason":null}]}` + eventClose)
-		made.finish = append(append([]byte{}, start...), `"delta":{},"logprobs":null,"finish_reason":`...)
+		encoder.tokenPrefix = append(append([]byte{}, start...), `"delta":{"content":`...)
+		encoder.tokenSuffix = []byte(`},"logprobs":null,"finish_reason":null}]}` + eventSuffix)
+		encoder.finishPrefix = append(append([]byte{}, start...), `"delta":{},"logprobs":null,"finish_reason":`...)
 	} else {
-		made.open = append(append([]byte{}, start...), `"text":`...)
-		made.close = []byte(`,"logprobs":null,"finish_reason":null}]}` + eventClose)
-		made.finish = append(append([]byte{}, start...), `"text":"","logprobs":null,"finish_reason":`...)
+		encoder.tokenPrefix = append(append([]byte{}, start...), `"text":`...)
+		encoder.tokenSuffix = []byte(`,"logprobs":null,"finish_reason":null}]}` + eventSuffix)
+		encoder.finishPrefix = append(append([]byte{}, start...), `"text":"","logprobs":null,"finish_reason":`...)
 	}
-	return made
+	return encoder
 }
 
 // appendHead appends the id's value and the fields after it.
@@ -66,41 +66,41 @@
 }
 
 // appendRole appends the first event of a chat stream.
-func (e *envelope) appendRole(to []byte) []byte {
-	to = append(to, e.open[:len(e.open)-len(`"content":`)]...)
+func (e *eventEncoder) appendRole(to []byte) []byte {
+	to = append(to, e.tokenPrefix[:len(e.tokenPrefix)-len(`"content":`)]...)
 	to = append(to, `"role":"assistant","content":""`...)
-	return append(to, e.close...)
+	return append(to, e.tokenSuffix...)
 }
 
 // appendToken appends one token's event.
-func (e *envelope) appendToken(to []byte, text string) []byte {
-	to = append(to, e.open...)
+func (e *eventEncoder) appendToken(to []byte, text string) []byte {
+	to = append(to, e.tokenPrefix...)
 	to = appendString(to, text)
-	return append(to, e.close...)
+	return append(to, e.tokenSuffix...)
 }
 
 // appendFinish appends the event that carries the finish reason.
-func (e *envelope) appendFinish(to []byte, reason string) []byte {
-	to = append(to, e.finish...)
+func (e *eventEncoder) appendFinish(to []byte, reason string) []byte {
+	to = append(to, e.finishPrefix...)
 	to = appendString(to, reason)
-	return append(to, "}]}"+eventClose...)
+	return append(to, "}]}"+eventSuffix...)
 }
 
 // appendUsage appends the event that carries the usage and no choice.
-func (e *envelope) appendUsage(to []byte, used usage) []byte {
+func (e *eventEncoder) appendUsage(to []byte, used usage) []byte {
 	object := "text_completion"
 	if e.head.chat {
 		object = "chat.completion.chunk"
 	}
-	to = append(to, eventOpen+`{"id":`...)
+	to = append(to, eventPrefix+`{"id":`...)
 	to = appendHead(to, e.head, object)
 	to = append(to, `,"choices":[],"usage":`...)
 	to = appendUsageObject(to, used)
-	return append(to, "}"+eventClose...)
+	return append(to, "}"+eventSuffix...)
 }
 
-// appendWhole appends a whole answer, not streamed.
-func appendWhole(to []byte, head answerHead, text, reason string, used usage) []byte {
+// appendFullAnswer appends the body of an answer that is not streamed.
+func appendFullAnswer(to []byte, head answerHead, text, reason string, used usage) []byte {
 	object := "text_completion"
 	if head.chat {
 		object = "chat.completion"
@@ -135,7 +135,7 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendString appends text as a JSON string, invalid UTF-8 replaced.
+// appendString appends text as a JSON string and replaces invalid UTF-8 by U+FFFD.
 func appendString(to []byte, text string) []byte {
 	to = append(to, '"')
 	start := 0
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -11,8 +11,8 @@
 
 func messageOf(err error) string { return httpserver.Classify(err).Message }
 
-// errClientGone ends a request whose client dropped the connection. Nobody
-// reads it; its status, nginx's 499, is for the access log.
+// errClientGone ends a request whose client closed the connection. No client reads
+// it. Its status, nginx's 499, is for the access log.
 var errClientGone = &apierror.Error{Status: 499, Code: apierror.CodeDeadline, Message: "the client closed the connection", Run: outcome.Cancelled}
 
 // errStillRunning ends the wait of a client whose own deadline comes before
@@ -22,10 +22,11 @@
 	Message: "the deadline passed while the request was running; with an Idempotency-Key, send it again to read the answer",
 }
 
-// defaultRetryAfter is said with a 429 or 503 that names no time of its own.
+// defaultRetryAfter is the Retry-After of a refusal that has none of its own.
 const defaultRetryAfter = time.Second
 
-// failureOf says how a run that did not complete is told to its caller.
+// failureOf returns the error with which a run that did not complete is reported to
+// its caller.
 func failureOf(ended outcome.Outcome) *apierror.Error {
 	failure := &apierror.Error{Code: apierror.Code(ended.Code), Message: ended.Reason, Run: ended.Kind, RetryAfter: ended.RetryAfter}
 	switch ended.Kind {
@@ -58,7 +59,7 @@
 	}
 }
 
-// refusedStatus gives the HTTP status of a refusal by its code.
+// refusedStatus returns the HTTP status of a refusal with the given code.
 func refusedStatus(code apierror.Code) int {
 	switch code {
 	case apierror.CodeInvalidRequest:
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -36,8 +36,8 @@
 	return f(ctx, request, sink)
 }
 
-// say answers each request with the words given.
-func say(words ...string) runFunc {
+// answerWith returns a runFunc that answers each request with the given words.
+func answerWith(words ...string) runFunc {
 	return func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 		for i, word := range words {
 			if err := sink(backend.Token{Offset: i, Text: word}); err != nil {
@@ -78,25 +78,25 @@
 	}})}
 }
 
-// started is a gateway on a loopback port.
-type started struct {
+// testServer is a gateway on a loopback port.
+type testServer struct {
 	*Server
 	url  string
 	stop context.CancelFunc
 	done chan error
 }
 
-func start(t *testing.T, change func(*Config, *Dependencies)) *started {
+func startServer(t *testing.T, change func(*Config, *Dependencies)) *testServer {
 	t.Helper()
 	config := DefaultConfig()
 	config.HTTP.Address, config.HTTP.LeaveTime = "127.0.0.1:0", 0
-	deps := Dependencies{Auth: bearerAuth{}, Rows: testRows(), Limits: limitFunc(unlimited), Online: say("Hello", ", ", "world")}
+	deps := Dependencies{Auth: bearerAuth{}, Rows: testRows(), Limits: limitFunc(unlimited), Online: answerWith("Hello", ", ", "world")}
 	change(&config, &deps)
 	if err := config.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &started{Server: New(config, deps, zap.NewNop(), nil), stop: cancel, done: make(chan error, 1)}
+	s := &testServer{Server: New(config, deps, zap.NewNop(), nil), stop: cancel, done: make(chan error, 1)}
 	go func() { s.done <- s.Run(ctx) }()
 	<-s.Listening()
 	s.url = "http://" + s.Address()
@@ -110,11 +110,11 @@
 	return s
 }
 
-func online(run runFunc) func(*Config, *Dependencies) {
+func withOnline(run runFunc) func(*Config, *Dependencies) {
 	return func(_ *Config, deps *Dependencies) { deps.Online = run }
 }
 
-func (s *started) post(t *testing.T, path, body string, header ...string) (*http.Response, string) {
+func (s *testServer) post(t *testing.T, path, body string, header ...string) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, s.url+path, strings.NewReader(body))
 	if err != nil {
@@ -136,12 +136,12 @@
 	return response, string(text)
 }
 
-func (s *started) openAI() openai.Client {
+func (s *testServer) openAI() openai.Client {
 	return openai.NewClient(option.WithBaseURL(s.url+"/v1/"), option.WithAPIKey("corrib"), option.WithMaxRetries(0))
 }
 
 func TestOfficialClientGetsWholeAndStreamedAnswers(t *testing.T) {
-	client := start(t, online(say("Hello", ", ", "wörld \"1\"\n"))).openAI()
+	client := startServer(t, withOnline(answerWith("Hello", ", ", "wörld \"1\"\n"))).openAI()
 	const want = "Hello, wörld \"1\"\n"
 	chat := openai.ChatCompletionNewParams{Model: "scribe", Messages: []openai.ChatCompletionMessageParamUnion{
 		openai.SystemMessage("Be brief."), openai.UserMessage("Say hello."),
@@ -187,7 +187,7 @@
 }
 
 func TestOfficialClientSeesAFailureInTheMiddleOfAStream(t *testing.T) {
-	client := start(t, online(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
+	client := startServer(t, withOnline(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 		_ = sink(backend.Token{Text: "half"})
 		return outcome.Outcome{Kind: outcome.Unknown, Reason: "the engine fell silent", OutputTokens: 1}
 	})).openAI()
@@ -207,7 +207,7 @@
 		runs       int
 	}{{true, 2}, {false, 1}} {
 		runs := 0
-		server := start(t, online(func(context.Context, dispatch.Request, dispatch.Sink) outcome.Outcome {
+		server := startServer(t, withOnline(func(context.Context, dispatch.Request, dispatch.Sink) outcome.Outcome {
 			runs++
 			return outcome.Outcome{Kind: outcome.Unknown}
 		}))
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestOutcomesAreToldTruthfully(t *testing.T) {
+func TestOutcomesAreReportedTruthfully(t *testing.T) {
 	cases := map[string]struct {
 		ended  outcome.Outcome
 		status int
@@ -239,17 +239,17 @@
 	for name, test := range cases {
 		for _, stream := range []string{"true", "false"} {
 			t.Run(name+" "+stream, func(t *testing.T) {
-				server := start(t, online(func(context.Context, dispatch.Request, dispatch.Sink) outcome.Outcome { return test.ended }))
+				server := startServer(t, withOnline(func(context.Context, dispatch.Request, dispatch.Sink) outcome.Outcome { return test.ended }))
 				response, body := server.post(t, "/v1/completions", `{"model":"scribe","prompt":"x","stream":`+stream+`}`)
-				var told struct{ Code, Run, Message string }
-				if err := json.Unmarshal([]byte(body), &told); err != nil {
+				var reported struct{ Code, Run, Message string }
+				if err := json.Unmarshal([]byte(body), &reported); err != nil {
 					t.Fatalf("%s: %v", body, err)
 				}
-				if response.StatusCode != test.status || told.Run != test.run || told.Code != test.code || told.Message == "" {
+				if response.StatusCode != test.status || reported.Run != test.run || reported.Code != test.code || reported.Message == "" {
 					t.Errorf("%d %s", response.StatusCode, body)
 				}
 				if test.ended.Kind == outcome.Refused && response.Header.Get("Retry-After") == "" {
-					t.Error("a refusal without Retry-After")
+					t.Error("a refusal has no Retry-After")
 				}
 				if response.Header.Get("X-Request-Id") == "" {
 					t.Error("no X-Request-Id")
@@ -260,7 +260,7 @@
 }
 
 func TestHarmlessFieldsAreIgnored(t *testing.T) {
-	server := start(t, online(say("x")))
+	server := startServer(t, withOnline(answerWith("x")))
 	response, text := server.post(t, "/v1/completions",
 		`{"model":"scribe","prompt":"x","temperature":1,"top_p":1.0,"n":1,"user":"u","metadata":{"a":"b"},"logit_bias":{ }}`)
 	if response.StatusCode != http.StatusOK {
@@ -269,7 +269,7 @@
 }
 
 func TestStopSequenceAcrossTokens(t *testing.T) {
-	server := start(t, online(say("one t", "w", "o th", "ree")))
+	server := startServer(t, withOnline(answerWith("one t", "w", "o th", "ree")))
 	_, text := server.post(t, "/v1/completions", `{"model":"scribe","prompt":"x","stop":["two"]}`)
 	if !strings.Contains(text, `"text":"one "`) || !strings.Contains(text, `"finish_reason":"stop"`) {
 		t.Error(text)
@@ -281,7 +281,7 @@
 }
 
 func TestATokenOutOfOrderNeverReachesTheCaller(t *testing.T) {
-	server := start(t, online(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
+	server := startServer(t, withOnline(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 		_ = sink(backend.Token{Offset: 0, Text: "mine"})
 		_ = sink(backend.Token{Offset: 2, Text: "another's"})
 		_ = sink(backend.Token{Offset: 1, Text: "late"})
@@ -295,7 +295,7 @@
 
 func TestClientGoneCancelsTheRun(t *testing.T) {
 	cancelled := make(chan struct{})
-	server := start(t, online(func(ctx context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
+	server := startServer(t, withOnline(func(ctx context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 		_ = sink(backend.Token{Text: "first"})
 		<-ctx.Done()
 		close(cancelled)
@@ -316,7 +316,7 @@
 
 func TestPlannedStopCutsNoStream(t *testing.T) {
 	begun, proceed := make(chan struct{}), make(chan struct{})
-	server := start(t, online(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
+	server := startServer(t, withOnline(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 		_ = sink(backend.Token{Text: "before"})
 		close(begun)
 		<-proceed
@@ -346,8 +346,8 @@
 func TestPlannedStopFinishesAKeyedRunWithoutClients(t *testing.T) {
 	begun, proceed := make(chan struct{}), make(chan struct{})
 	table := backendtest.NewTable()
-	server := start(t, func(_ *Config, deps *Dependencies) {
-		deps.Keys = idempotency.New(idempotency.DefaultConfig(), store.New(table), backendtest.NewObjects(), view{&nodes{}, "a"}, zap.NewNop())
+	server := startServer(t, func(_ *Config, deps *Dependencies) {
+		deps.Keys = idempotency.New(idempotency.DefaultConfig(), store.New(table), backendtest.NewObjects(), memberView{&gateways{}, "a"}, zap.NewNop())
 		deps.Online = runFunc(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 			close(begun)
 			<-proceed
@@ -356,7 +356,7 @@
 		})
 	})
 	ctx, leave := context.WithCancel(t.Context())
-	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, server.url+"/v1/completions", strings.NewReader(wholeBody))
+	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, server.url+"/v1/completions", strings.NewReader(plainBody))
 	request.Header.Set("Authorization", "Bearer corrib")
 	request.Header.Set(headerIdempotencyKey, "k1")
 	go func() {
@@ -364,7 +364,7 @@
 		leave()
 	}()
 	if _, err := http.DefaultClient.Do(request); err == nil { //nolint:bodyclose // no response
-		t.Fatal("an answer before the run's end")
+		t.Fatal("an answer arrived before the run's end")
 	}
 	server.Drain()
 	close(proceed)
@@ -375,8 +375,8 @@
 	}
 }
 
-func TestLimitRefusesWithItsTime(t *testing.T) {
-	server := start(t, func(_ *Config, deps *Dependencies) {
+func TestLimitRefusalCarriesRetryAfter(t *testing.T) {
+	server := startServer(t, func(_ *Config, deps *Dependencies) {
 		deps.Limits = limitFunc(func() limits.Decision {
 			return limits.Decision{Limit: "row requests_per_second", RetryAfter: 1500 * time.Millisecond}
 		})
@@ -387,8 +387,8 @@
 	}
 }
 
-func TestANodeWithoutATableClaimsNothingOfModels(t *testing.T) {
-	server := start(t, func(_ *Config, deps *Dependencies) {
+func TestNodeWithoutATableIsUnavailable(t *testing.T) {
+	server := startServer(t, func(_ *Config, deps *Dependencies) {
 		deps.Rows, deps.TableReady = fixedRows{policy.NewTable(0, nil)}, func() bool { return false }
 	})
 	if response, text := server.post(t, "/v1/completions", `{"model":"scribe","prompt":"x"}`); response.StatusCode != http.StatusServiceUnavailable {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -22,27 +22,27 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// engine is a dispatch.Online and Resumer that tells its runs apart by their
-// text and keeps attempts that were sent. A token takes tokenTime.
-type engine struct {
-	mutex    sync.Mutex
-	runs     int // sends to the engine
-	resumes  int
-	attempts map[identity.AttemptID]int // the run that an attempt was
-	forget   bool                       // the engine was restarted: it knows no attempt
-	never    string                     // the intent of which its engine vouches that it never ran
-	routing  time.Duration              // how long a request waits for an engine
-	pace     time.Duration              // a token's time; zero: tokenTime
+// fakeEngine is a dispatch.Online and Resumer that numbers its runs in their text and
+// remembers the attempts that were sent. A token takes at least minTokenInterval.
+type fakeEngine struct {
+	mutex         sync.Mutex
+	runs          int // number of requests sent to the engine
+	resumes       int
+	attempts      map[identity.AttemptID]int // the run number of each attempt
+	restarted     bool                       // the engine was restarted and knows no attempt
+	neverRan      string                     // the intent that the engine confirms to have never run
+	routingDelay  time.Duration              // how long a request waits for an engine
+	tokenInterval time.Duration              // time per token; zero means minTokenInterval
 }
 
 const (
-	tokenTime = 10 * time.Millisecond
-	runTokens = 20
+	minTokenInterval = 10 * time.Millisecond
+	runTokens        = 20
 )
 
-func (e *engine) Run(ctx context.Context, request dispatch.Request, sink dispatch.Sink) outcome.Outcome {
+func (e *fakeEngine) Run(ctx context.Context, request dispatch.Request, sink dispatch.Sink) outcome.Outcome {
 	intent := dispatch.Intent{Attempt: identity.AttemptID("attempt-" + string(request.ID)), Engine: "e1"}
-	time.Sleep(e.routing)
+	time.Sleep(e.routingDelay)
 	if request.BeforeSend != nil {
 		if err := request.BeforeSend(ctx, intent); err != nil {
 			return outcome.Outcome{Kind: outcome.Refused, Code: "store_unavailable", Reason: err.Error()}
@@ -56,13 +56,13 @@
 	return e.stream(ctx, run, sink)
 }
 
-func (e *engine) Resume(ctx context.Context, intent dispatch.Intent, _ int, sink dispatch.Sink) outcome.Outcome {
+func (e *fakeEngine) Resume(ctx context.Context, intent dispatch.Intent, _ int, sink dispatch.Sink) outcome.Outcome {
 	e.mutex.Lock()
 	e.resumes++
 	run, known := e.attempts[intent.Attempt]
-	known = known && !e.forget
+	known = known && !e.restarted
 	e.mutex.Unlock()
-	if e.never == fmt.Sprintf("%s/%s/%s", intent.Attempt, intent.Engine, intent.Incarnation) {
+	if e.neverRan == fmt.Sprintf("%s/%s/%s", intent.Attempt, intent.Engine, intent.Incarnation) {
 		return outcome.Outcome{Kind: outcome.Refused}
 	}
 	if !known {
@@ -71,13 +71,13 @@
 	return e.stream(ctx, run, sink)
 }
 
-func (e *engine) stream(ctx context.Context, run int, sink dispatch.Sink) outcome.Outcome {
-	pace := max(e.pace, tokenTime)
+func (e *fakeEngine) stream(ctx context.Context, run int, sink dispatch.Sink) outcome.Outcome {
+	interval := max(e.tokenInterval, minTokenInterval)
 	for i := range runTokens {
 		select {
 		case <-ctx.Done():
 			return outcome.Outcome{Kind: outcome.Cancelled}
-		case <-time.After(pace):
+		case <-time.After(interval):
 		}
 		if sink(backend.Token{Offset: i, Text: fmt.Sprintf("run%d-%d ", run, i)}) != nil {
 			return outcome.Outcome{Kind: outcome.Cancelled}
@@ -86,41 +86,41 @@
 	return outcome.Outcome{Kind: outcome.Completed, FinishReason: "stop", PromptTokens: 3, OutputTokens: runTokens}
 }
 
-// nodes are gateways over one store, one engine and one other site.
-type nodes struct {
+// gateways is a set of gateways that share one store, one engine and one other site.
+type gateways struct {
 	t       *testing.T
-	engine  *engine
+	engine  *fakeEngine
 	table   *backendtest.Table
 	objects *backendtest.Objects
 	rows    fixedRows
 	site    backend.Site
 	mutex   sync.Mutex
 	dead    identity.NodeID
-	split   bool // nodes a and b hold each other for dead
+	split   bool // nodes a and b consider each other dead
 }
 
-func newNodes(t *testing.T) *nodes {
-	return &nodes{
-		t: t, engine: &engine{attempts: map[identity.AttemptID]int{}}, rows: testRows(),
+func newGateways(t *testing.T) *gateways {
+	return &gateways{
+		t: t, engine: &fakeEngine{attempts: map[identity.AttemptID]int{}}, rows: testRows(),
 		table: backendtest.NewTable(), objects: backendtest.NewObjects(),
 	}
 }
 
-func (n *nodes) die(id identity.NodeID) {
+func (n *gateways) markDead(id identity.NodeID) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.dead = id
 }
 
-// view is one node's idempotency.Members.
-type view struct {
-	nodes *nodes
+// memberView is one node's idempotency.Members.
+type memberView struct {
+	nodes *gateways
 	self  identity.NodeID
 }
 
-func (v view) Self() identity.NodeID { return v.self }
+func (v memberView) Self() identity.NodeID { return v.self }
 
-func (v view) View() membership.View {
+func (v memberView) View() membership.View {
 	v.nodes.mutex.Lock()
 	defer v.nodes.mutex.Unlock()
 	dead := v.nodes.dead
@@ -130,16 +130,16 @@
 	return membership.View{Self: v.self, Members: []membership.Member{{ID: dead, State: membership.Dead}}}
 }
 
-func (n *nodes) gateway(id identity.NodeID) *Server {
-	keys := idempotency.New(idempotency.DefaultConfig(), store.New(n.table), n.objects, view{n, id}, zap.NewNop())
+func (n *gateways) gateway(id identity.NodeID) *Server {
+	keys := idempotency.New(idempotency.DefaultConfig(), store.New(n.table), n.objects, memberView{n, id}, zap.NewNop())
 	server := New(DefaultConfig(), Dependencies{
 		Auth: bearerAuth{}, Rows: n.rows, Limits: limitFunc(unlimited), Online: n.engine, Resume: n.engine, Keys: keys, Site: n.site,
 	}, zap.NewNop(), nil)
-	n.t.Cleanup(func() { server.keyed.finish(0) })
+	n.t.Cleanup(func() { server.keyed.shutdown(0) })
 	return server
 }
 
-// send makes one request in virtual time; header gives pairs.
+// send makes one request in virtual time. header holds pairs of a name and a value.
 func send(ctx context.Context, server *Server, body string, header ...string) *httptest.ResponseRecorder {
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/v1/completions", strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer corrib")
@@ -151,21 +151,21 @@
 	return recorder
 }
 
-func keyed(t *testing.T, server *Server, body string) *httptest.ResponseRecorder {
+func sendKeyed(t *testing.T, server *Server, body string) *httptest.ResponseRecorder {
 	return send(t.Context(), server, body, headerIdempotencyKey, "k1")
 }
 
 const (
-	wholeBody  = `{"model":"scribe","prompt":"x"}`
-	streamBody = `{"model":"scribe","prompt":"x","stream":true}`
-	onceBody   = `{"model":"scribe","prompt":"x","repeatable":false}`
+	plainBody         = `{"model":"scribe","prompt":"x"}`
+	streamBody        = `{"model":"scribe","prompt":"x","stream":true}`
+	nonRepeatableBody = `{"model":"scribe","prompt":"x","repeatable":false}`
 )
 
-func wantCode(t *testing.T, got *httptest.ResponseRecorder, status int, parts ...string) {
+func wantResponse(t *testing.T, got *httptest.ResponseRecorder, status int, parts ...string) {
 	t.Helper()
 	for _, part := range parts {
 		if !strings.Contains(got.Body.String(), part) {
-			t.Errorf("no %s in %s", part, got.Body)
+			t.Errorf("body lacks %s: %s", part, got.Body)
 		}
 	}
 	if got.Code != status {
--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -22,23 +22,23 @@
 	"ringstream.example/ringstream/internal/idempotency"
 )
 
-// keyedRun is this node's one run, or wait, for an idempotency key. It goes on
-// when its clients go away, so that they can come back for the answer.
+// keyedRun is this node's only run for an idempotency key, or its wait for another
+// node's run. It continues when its clients disconnect, so that they can return for
+// the answer.
 type keyedRun struct {
 	*answer
-	taken    *call
+	request  *onlineRequest
 	digest   string
 	handover handover
 	clients  int // guarded by keyedRuns.mutex
 }
 
-// keyedRuns are the keyed runs of this node. Its lock is held for map access
-// only.
+// keyedRuns holds the keyed runs of this node. Its mutex is held for map access only.
 type keyedRuns struct {
-	context context.Context // ends when the node gives the runs up
+	context context.Context // ends when the node abandons the runs
 	cancel  context.CancelFunc
 	running sync.WaitGroup
-	// withdrawals holds a token for each withdrawal under way.
+	// withdrawals is a semaphore with one entry for each withdrawal in flight.
 	withdrawals chan struct{}
 
 	mutex sync.Mutex
@@ -50,62 +50,62 @@
 	return &keyedRuns{context: ctx, cancel: cancel, byKey: map[idempotency.Key]*keyedRun{}, withdrawals: make(chan struct{}, maxWithdrawals)}
 }
 
-// join gives the key's run, and whether the caller is to drive it. The caller
-// parts from it at its end.
-func (k *keyedRuns) join(taken *call) (run *keyedRun, first bool) {
+// join returns the key's run and whether the caller must start driving it. The caller
+// detaches from the run at the end of its request.
+func (k *keyedRuns) join(request *onlineRequest) (run *keyedRun, first bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if run, running := k.byKey[taken.key]; running {
+	if run, running := k.byKey[request.key]; running {
 		run.clients++
 		return run, false
 	}
-	run = &keyedRun{answer: newAnswer(headOf(taken)), taken: taken, digest: digestOf(taken), clients: 1}
-	k.byKey[taken.key] = run
+	run = &keyedRun{answer: newAnswer(headOf(request)), request: request, digest: digestOf(request), clients: 1}
+	k.byKey[request.key] = run
 	k.running.Add(1)
 	return run, true
 }
 
-func (k *keyedRuns) part(run *keyedRun) {
+func (k *keyedRuns) detach(run *keyedRun) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	run.clients--
 }
 
-// abandon forgets a run that has no clients; false when it has some.
-func (k *keyedRuns) abandon(run *keyedRun) bool {
+// removeIfUnused removes a run that has no clients. It returns false when it has any.
+func (k *keyedRuns) removeIfUnused(run *keyedRun) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if run.clients > 0 {
 		return false
 	}
-	delete(k.byKey, run.taken.key)
+	delete(k.byKey, run.request.key)
 	return true
 }
 
-func (k *keyedRuns) leave(run *keyedRun) {
+func (k *keyedRuns) remove(run *keyedRun) {
 	k.mutex.Lock()
-	if k.byKey[run.taken.key] == run { // not abandoned before
-		delete(k.byKey, run.taken.key)
+	if k.byKey[run.request.key] == run { // not removed by removeIfUnused
+		delete(k.byKey, run.request.key)
 	}
 	k.mutex.Unlock()
 	k.running.Done()
 }
 
-// finish waits for the runs, and gives up those that take too long.
-func (k *keyedRuns) finish(patience time.Duration) {
-	timer := time.AfterFunc(patience, k.cancel)
+// shutdown waits for the runs and cancels those that are not done after the timeout.
+func (k *keyedRuns) shutdown(timeout time.Duration) {
+	timer := time.AfterFunc(timeout, k.cancel)
 	defer timer.Stop()
 	k.running.Wait()
 	k.cancel()
 }
 
-// digestOf identifies a request's content: another content under the same key
-// is refused.
-func digestOf(taken *call) string {
+// digestOf returns a digest of a request's path and body. A request with a different
+// digest under the same key is refused.
+func digestOf(request *onlineRequest) string {
 	digest := sha256.New()
-	_, _ = digest.Write([]byte(taken.path)) // hashes take every write
+	_, _ = digest.Write([]byte(request.path)) // writing to a hash never fails
 	_, _ = digest.Write([]byte{0})
-	_, _ = digest.Write(taken.body)
+	_, _ = digest.Write(request.body)
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
@@ -114,27 +114,28 @@
 	Message: "this Idempotency-Key was used for another request",
 }
 
-// runKeyed answers a request with an idempotency key from the key's one run.
-func (s *Server) runKeyed(c echo.Context, taken *call) error {
+// runKeyed answers a request with an idempotency key from the key's only run.
+func (s *Server) runKeyed(c echo.Context, request *onlineRequest) error {
 	if s.deps.Keys == nil {
 		return storeDown(errors.New("no store of keys"))
 	}
-	run, first := s.keyed.join(taken)
-	defer s.keyed.part(run)
-	if run.digest != digestOf(taken) {
+	run, first := s.keyed.join(request)
+	defer s.keyed.detach(run)
+	if run.digest != digestOf(request) {
 		return errKeyReuse
 	}
 	if first {
 		go s.drive(run)
 	}
-	err := writeAnswer(c, run.answer, formOf(taken, taken.deadline.Add(endGrace+s.config.RecordWait)))
-	if errors.Is(err, errElsewhere) {
-		return s.passKeyed(c, taken, run)
+	err := writeAnswer(c, run.answer, formOf(request, request.deadline.Add(endGrace+s.config.RecordWait)))
+	if errors.Is(err, errAnsweredByOtherSite) {
+		return s.passThroughKeyed(c, request, run)
 	}
 	return err
 }
 
-// storeDown refuses a keyed request: this call ran nothing.
+// storeDown returns the refusal of a keyed request for which nothing was run, because
+// the record of its key could not be reached.
 func storeDown(cause error) *apierror.Error {
 	return &apierror.Error{
 		Status: http.StatusServiceUnavailable, Code: apierror.CodeStoreDown, Run: outcome.Refused, RetryAfter: storeRetryAfter,
@@ -144,54 +145,54 @@
 
 const storeRetryAfter = 5 * time.Second
 
-// Pauses between two looks at a key that another node runs.
+// Bounds of the backoff between two queries of a key that another node runs.
 const (
-	firstKeyPause   = 50 * time.Millisecond
-	longestKeyPause = time.Second
-	// claimGrace is how long after a request's deadline its claim still holds.
+	minKeyPollInterval = 50 * time.Millisecond
+	maxKeyPollInterval = time.Second
+	// claimGrace is how long a claim remains valid after its request's deadline.
 	claimGrace = 30 * time.Second
 )
 
 // drive brings one keyed run to its end.
 func (s *Server) drive(run *keyedRun) {
-	defer s.keyed.leave(run)
-	ctx, cancel := context.WithDeadline(s.keyed.context, run.taken.deadline)
+	defer s.keyed.remove(run)
+	ctx, cancel := context.WithDeadline(s.keyed.context, run.request.deadline)
 	defer cancel()
-	release, err := s.admit(run.taken)
+	release, err := s.admit(run.request)
 	if err != nil {
 		run.fail(httpserver.Classify(err))
 		return
 	}
 	used := 0
 	defer func() { release(used) }()
-	for pause := firstKeyPause; ; pause = min(2*pause, longestKeyPause) {
-		decision, err := s.askKey(ctx, run)
+	for interval := minKeyPollInterval; ; interval = min(2*interval, maxKeyPollInterval) {
+		decision, err := s.queryKey(ctx, run)
 		if err != nil {
 			s.failKeyed(ctx, run, err)
 			return
 		}
 		if decision.Action != core.Wait {
-			used = s.act(ctx, run, decision)
+			used = s.applyDecision(ctx, run, decision)
 			return
 		}
 		select {
 		case <-ctx.Done():
 			run.fail(errStillRunning)
 			return
-		case <-time.After(pause/2 + rand.N(pause/2)): //nolint:gosec // jitter, not a secret
+		case <-time.After(interval/2 + rand.N(interval/2)): //nolint:gosec // jitter, not a secret
 		}
-		if s.keyed.abandon(run) {
-			return // another node runs the key, and nobody waits here
+		if s.keyed.removeIfUnused(run) {
+			return // another node runs the key, and no client waits here
 		}
 	}
 }
 
-func (s *Server) askKey(ctx context.Context, run *keyedRun) (idempotency.Decision, error) {
+func (s *Server) queryKey(ctx context.Context, run *keyedRun) (idempotency.Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.RecordWait)
 	defer cancel()
 	decision, err := s.deps.Keys.Ask(ctx, idempotency.Ask{
-		Key: run.taken.key, Digest: run.digest, Site: s.siteOf(run.taken), Hopped: run.taken.hopped,
-		Expiry: run.taken.deadline.Add(claimGrace),
+		Key: run.request.key, Digest: run.digest, Site: s.chooseSite(run.request), Hopped: run.request.fromOtherSite,
+		Expiry: run.request.deadline.Add(claimGrace),
 	})
 	if err == nil {
 		s.metrics.keyed.WithLabelValues(decision.Action.String()).Inc()
@@ -199,14 +200,14 @@
 	return decision, err
 }
 
-// failKeyed ends a run whose record could not be asked about. A deadline that
-// passed while another node ran the key leaves the outcome unknown.
+// failKeyed ends a run whose key record could not be queried. If the deadline passed
+// while another node ran the key, the outcome is unknown.
 func (s *Server) failKeyed(ctx context.Context, run *keyedRun, err error) {
 	if ctx.Err() != nil {
 		run.fail(errStillRunning)
 		return
 	}
-	events.KeysRefused.Log(s.logger, zap.String("request", run.taken.id), zap.String("tenant", string(run.taken.tenant)), zap.Error(err))
+	events.KeysRefused.Log(s.logger, zap.String("request", run.request.id), zap.String("tenant", string(run.request.tenant)), zap.Error(err))
 	run.fail(storeDown(err))
 	var claim *idempotency.UncertainError
 	if errors.As(err, &claim) {
@@ -214,12 +215,13 @@
 	}
 }
 
-// maxWithdrawals bounds the lost claims that a node withdraws at a time, so
-// that a long outage leaves no crowd behind. Claims beyond it run out.
+// maxWithdrawals bounds the lost claims that a node withdraws concurrently, so that
+// a long outage does not leave a backlog of them. Claims beyond it are not withdrawn
+// and expire.
 const maxWithdrawals = 64
 
-// withdraw undoes a claim under which nothing ran, once the store answers.
-// Until then, calls with the key are refused at once on this node.
+// withdraw undoes a claim under which nothing ran, once the store answers. Until then,
+// requests with the key are refused at once on this node.
 func (s *Server) withdraw(run *keyedRun, claim *idempotency.UncertainError) {
 	select {
 	case s.keyed.withdrawals <- struct{}{}:
@@ -229,11 +231,12 @@
 	defer func() { <-s.keyed.withdrawals }()
 	ctx, cancel := context.WithTimeout(s.keyed.context, s.config.RecordTime)
 	defer cancel()
-	s.logUnrecorded(run, s.persist(ctx, func() error { return s.deps.Keys.Withdraw(ctx, claim) }))
+	s.logRecordingError(run, s.persist(ctx, func() error { return s.deps.Keys.Withdraw(ctx, claim) }))
 }
 
-// act does what the key's record decides, and gives the tokens used.
-func (s *Server) act(ctx context.Context, run *keyedRun, decision idempotency.Decision) (used int) {
+// applyDecision carries out the decision of the key's record and returns the number
+// of tokens used.
+func (s *Server) applyDecision(ctx context.Context, run *keyedRun, decision idempotency.Decision) (used int) {
 	switch decision.Action {
 	case core.Run:
 		return s.runClaim(ctx, run, decision.Claim)
@@ -242,7 +245,7 @@
 	case core.Forward:
 		return s.forwardClaim(ctx, run, decision)
 	case core.Pass:
-		run.end(ending{elsewhere: true})
+		run.end(answerResult{answeredByOtherSite: true})
 	case core.Read:
 		s.readResult(run, decision.Result)
 	case core.Reuse:
@@ -258,14 +261,15 @@
 
 // runClaim runs the request under this node's claim of its key.
 func (s *Server) runClaim(ctx context.Context, run *keyedRun, claim *idempotency.Claim) (used int) {
-	with, used := s.generate(ctx, run.taken, run.answer, beforeSend(run.taken, claim))
-	s.conclude(run, claim, with)
+	result, used := s.generate(ctx, run.request, run.answer, beforeSend(run.request, claim))
+	s.conclude(run, claim, result)
 	return used
 }
 
-// beforeSend records the intent of a request that may run only once.
-func beforeSend(taken *call, claim *idempotency.Claim) func(context.Context, dispatch.Intent) error {
-	if taken.request.repeatable {
+// beforeSend returns the hook that records the intent of a request that may run only
+// once, or nil for a repeatable request.
+func beforeSend(request *onlineRequest, claim *idempotency.Claim) func(context.Context, dispatch.Intent) error {
+	if request.parsed.repeatable {
 		return nil
 	}
 	return func(ctx context.Context, intent dispatch.Intent) error {
@@ -273,15 +277,15 @@
 	}
 }
 
-// resumeClaim joins the stream that a dead node had sent. Only when that one
-// provably never ran is the request sent, under an intent of its own.
+// resumeClaim resumes the stream of an attempt that a dead node had sent. The request
+// is sent again, under a new intent, only when that attempt provably never ran.
 func (s *Server) resumeClaim(ctx context.Context, run *keyedRun, decision idempotency.Decision) (used int) {
-	with, used := s.collect(run.taken, run.answer, func(sink dispatch.Sink) outcome.Outcome {
+	result, used := s.collect(run.request, run.answer, func(sink dispatch.Sink) outcome.Outcome {
 		return s.deps.Resume.Resume(ctx, decision.Intent, 0, sink)
 	})
-	if with.failure != nil && with.failure.Run == outcome.Refused {
+	if result.failure != nil && result.failure.Run == outcome.Refused {
 		return s.runClaim(ctx, run, decision.Claim)
 	}
-	s.conclude(run, decision.Claim, with)
+	s.conclude(run, decision.Claim, result)
 	return used
 }
--- a/internal/gateway/keyed_test.go
+++ b/internal/gateway/keyed_test.go
@@ -19,16 +19,16 @@
 )
 
 func TestFiftyRacingFirstWritersGetTheBytesOfOneRun(t *testing.T) {
-	for _, body := range []string{wholeBody, streamBody} {
+	for _, body := range []string{plainBody, streamBody} {
 		synctest.Test(t, func(t *testing.T) {
-			n := newNodes(t)
+			n := newGateways(t)
 			servers := []*Server{n.gateway("a"), n.gateway("b"), n.gateway("c")}
 			answers := make([]string, 50)
 			var group sync.WaitGroup
 			for i := range answers {
 				group.Go(func() {
-					time.Sleep(time.Duration(i) * tokenTime) // some come after the end
-					answers[i] = keyed(t, servers[i%len(servers)], body).Body.String()
+					time.Sleep(time.Duration(i) * minTokenInterval) // some arrive after the run's end
+					answers[i] = sendKeyed(t, servers[i%len(servers)], body).Body.String()
 				})
 			}
 			group.Wait()
@@ -38,7 +38,7 @@
 				}
 			}
 			if n.engine.runs != 1 {
-				t.Errorf("%d runs", n.engine.runs)
+				t.Errorf("%d runs, want 1", n.engine.runs)
 			}
 		})
 	}
@@ -46,26 +46,26 @@
 
 func TestAnotherBodyUnderTheKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		a, b := n.gateway("a"), n.gateway("b")
-		go keyed(t, a, wholeBody)
+		go sendKeyed(t, a, plainBody)
 		synctest.Wait()
-		wantCode(t, keyed(t, a, streamBody), http.StatusUnprocessableEntity, "idempotency_key_reuse", "not_run")
+		wantResponse(t, sendKeyed(t, a, streamBody), http.StatusUnprocessableEntity, "idempotency_key_reuse", "not_run")
 		time.Sleep(time.Second)
-		wantCode(t, keyed(t, b, streamBody), http.StatusUnprocessableEntity, "idempotency_key_reuse", "not_run")
+		wantResponse(t, sendKeyed(t, b, streamBody), http.StatusUnprocessableEntity, "idempotency_key_reuse", "not_run")
 	})
 }
 
 func TestAKeyedRunOutlivesItsClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		a := n.gateway("a")
-		ctx, leave := context.WithTimeout(t.Context(), 3*tokenTime)
+		ctx, leave := context.WithTimeout(t.Context(), 3*minTokenInterval)
 		defer leave()
 		send(ctx, a, streamBody, headerIdempotencyKey, "k1")
-		again := keyed(t, a, streamBody) // joins the run
+		again := sendKeyed(t, a, streamBody) // joins the run
 		time.Sleep(time.Second)
-		later := keyed(t, n.gateway("b"), streamBody) // reads the record
+		later := sendKeyed(t, n.gateway("b"), streamBody) // reads the record
 		if again.Body.String() != later.Body.String() || !strings.HasSuffix(later.Body.String(), streamDone) || n.engine.runs != 1 {
 			t.Errorf("%d runs:\n%s\n%s", n.engine.runs, again.Body, later.Body)
 		}
@@ -74,35 +74,35 @@
 
 func TestTakeOverOfADeadNodesKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
-		n.engine.pace = 20 * tokenTime
+		n := newGateways(t)
+		n.engine.tokenInterval = 20 * minTokenInterval
 		first := make(chan *httptest.ResponseRecorder, 1)
-		go func() { first <- keyed(t, n.gateway("a"), streamBody) }()
-		time.Sleep(5 * tokenTime)
-		n.die("a") // held for dead, and yet it goes on
-		second := keyed(t, n.gateway("b"), streamBody)
-		wantCode(t, second, http.StatusOK, "run2-19", streamDone)
+		go func() { first <- sendKeyed(t, n.gateway("a"), streamBody) }()
+		time.Sleep(5 * minTokenInterval)
+		n.markDead("a") // considered dead, but it continues
+		second := sendKeyed(t, n.gateway("b"), streamBody)
+		wantResponse(t, second, http.StatusOK, "run2-19", streamDone)
 		if late := <-first; strings.Contains(late.Body.String(), "[DONE]") || !strings.Contains(late.Body.String(), `"run":"unknown"`) {
-			t.Errorf("the run that does not count looks whole: %s", late.Body)
+			t.Errorf("the superseded run looks complete: %s", late.Body)
 		}
-		if third := keyed(t, n.gateway("c"), streamBody); third.Body.String() != second.Body.String() {
+		if third := sendKeyed(t, n.gateway("c"), streamBody); third.Body.String() != second.Body.String() {
 			t.Errorf("read %s", third.Body)
 		}
 	})
 }
 
-func TestNodesThatHoldEachOtherForDeadStillGiveOneAnswer(t *testing.T) {
+func TestNodesThatConsiderEachOtherDeadGiveOneAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
-		n.split, n.engine.pace = true, time.Second
+		n := newGateways(t)
+		n.split, n.engine.tokenInterval = true, time.Second
 		servers := []*Server{n.gateway("a"), n.gateway("b")}
 		answers := make([]string, 2)
 		var group sync.WaitGroup
 		for i := range answers {
-			group.Go(func() { // a client that reaches only its own side
-				time.Sleep(time.Duration(i) * runTokens / 2 * time.Second) // half-way through the other's run
+			group.Go(func() { // a client that reaches only its own side of the partition
+				time.Sleep(time.Duration(i) * runTokens / 2 * time.Second) // halfway through the other's run
 				for range 20 {
-					if answer := keyed(t, servers[i], streamBody); strings.HasSuffix(answer.Body.String(), streamDone) {
+					if answer := sendKeyed(t, servers[i], streamBody); strings.HasSuffix(answer.Body.String(), streamDone) {
 						answers[i] = answer.Body.String()
 						return
 					}
@@ -121,24 +121,24 @@
 }
 
 func TestAnOnceOnlyRequestIsResumedNeverSentAgain(t *testing.T) {
-	for _, forget := range []bool{false, true} {
+	for _, restarted := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			n := newNodes(t)
+			n := newGateways(t)
 			dying := n.gateway("a")
-			go keyed(t, dying, onceBody)
-			time.Sleep(5 * tokenTime)
+			go sendKeyed(t, dying, nonRepeatableBody)
+			time.Sleep(5 * minTokenInterval)
 			n.table.SetFaults(backendtest.Faults{Down: true})
 			dying.keyed.cancel() // the node dies: its run stops and writes nothing
 			synctest.Wait()
 			n.table.SetFaults(backendtest.Faults{})
-			n.die("a")
-			n.engine.forget = forget
-			b, c := keyed(t, n.gateway("b"), onceBody), keyed(t, n.gateway("c"), onceBody)
-			if forget {
-				wantCode(t, b, http.StatusBadGateway, `"run":"unknown"`, "no longer knows")
-				wantCode(t, c, http.StatusBadGateway, `"run":"unknown"`, "no longer knows")
+			n.markDead("a")
+			n.engine.restarted = restarted
+			b, c := sendKeyed(t, n.gateway("b"), nonRepeatableBody), sendKeyed(t, n.gateway("c"), nonRepeatableBody)
+			if restarted {
+				wantResponse(t, b, http.StatusBadGateway, `"run":"unknown"`, "no longer knows")
+				wantResponse(t, c, http.StatusBadGateway, `"run":"unknown"`, "no longer knows")
 			} else {
-				wantCode(t, b, http.StatusOK, "run1-0 ", "run1-19")
+				wantResponse(t, b, http.StatusOK, "run1-0 ", "run1-19")
 				if c.Body.String() != b.Body.String() {
 					t.Errorf("read %s", c.Body)
 				}
@@ -152,7 +152,7 @@
 
 func TestAnIntentThatNeverRanIsSentByItsSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		dying := n.gateway("a")
 		dying.deps.Online = runFunc(func(ctx context.Context, request dispatch.Request, _ dispatch.Sink) outcome.Outcome {
 			if err := request.BeforeSend(ctx, dispatch.Intent{Attempt: "unsent", Engine: "e1", Incarnation: "i1"}); err != nil {
@@ -162,12 +162,12 @@
 			dying.keyed.cancel()
 			return outcome.Outcome{Kind: outcome.Cancelled}
 		})
-		keyed(t, dying, onceBody)
+		sendKeyed(t, dying, nonRepeatableBody)
 		synctest.Wait()
 		n.table.SetFaults(backendtest.Faults{})
-		n.die("a")
-		n.engine.never = "unsent/e1/i1"
-		wantCode(t, keyed(t, n.gateway("b"), onceBody), http.StatusOK, "run1-19")
+		n.markDead("a")
+		n.engine.neverRan = "unsent/e1/i1"
+		wantResponse(t, sendKeyed(t, n.gateway("b"), nonRepeatableBody), http.StatusOK, "run1-19")
 		if n.engine.runs != 1 || n.engine.resumes != 1 {
 			t.Errorf("%d sends, %d resumes", n.engine.runs, n.engine.resumes)
 		}
@@ -176,16 +176,16 @@
 
 func TestAnOwnerThatWasTakenOverDoesNotClaimNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		slow := n.gateway("a")
-		slowEngine := &engine{attempts: map[identity.AttemptID]int{}, routing: time.Minute}
+		slowEngine := &fakeEngine{attempts: map[identity.AttemptID]int{}, routingDelay: time.Minute}
 		slow.deps.Online = slowEngine
 		first := make(chan *httptest.ResponseRecorder, 1)
-		go func() { first <- keyed(t, slow, onceBody) }()
+		go func() { first <- sendKeyed(t, slow, nonRepeatableBody) }()
 		synctest.Wait()
-		n.die("a")
-		wantCode(t, keyed(t, n.gateway("b"), onceBody), http.StatusOK, "run1-19")
-		wantCode(t, <-first, http.StatusServiceUnavailable, `"run":"unknown"`)
+		n.markDead("a")
+		wantResponse(t, sendKeyed(t, n.gateway("b"), nonRepeatableBody), http.StatusOK, "run1-19")
+		wantResponse(t, <-first, http.StatusServiceUnavailable, `"run":"unknown"`)
 		if slowEngine.runs != 0 || n.engine.runs != 1 {
 			t.Errorf("%d sends by the slow owner, %d by its successor", slowEngine.runs, n.engine.runs)
 		}
@@ -194,27 +194,27 @@
 
 func TestAStoreThatIsDownRefusesOnlyKeyedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		a := n.gateway("a")
 		n.table.SetFaults(backendtest.Faults{Down: true})
-		refused := keyed(t, a, wholeBody)
-		wantCode(t, refused, http.StatusServiceUnavailable, "store_unavailable", `"run":"not_run"`)
+		refused := sendKeyed(t, a, plainBody)
+		wantResponse(t, refused, http.StatusServiceUnavailable, "store_unavailable", `"run":"not_run"`)
 		if refused.Header().Get("Retry-After") == "" || n.engine.runs != 0 {
 			t.Errorf("%v, %d runs", refused.Header(), n.engine.runs)
 		}
-		wantCode(t, send(t.Context(), a, wholeBody), http.StatusOK, "run1-19")
+		wantResponse(t, send(t.Context(), a, plainBody), http.StatusOK, "run1-19")
 		n.table.SetFaults(backendtest.Faults{})
-		wantCode(t, keyed(t, a, wholeBody), http.StatusOK, "run2-19")
+		wantResponse(t, sendKeyed(t, a, plainBody), http.StatusOK, "run2-19")
 	})
 }
 
 func TestALostClaimDoesNotHoldItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		n.table.SetFaults(backendtest.Faults{LoseAnswers: store.DefaultRetry.Attempts})
-		wantCode(t, keyed(t, n.gateway("a"), wholeBody), http.StatusServiceUnavailable, `"run":"not_run"`)
+		wantResponse(t, sendKeyed(t, n.gateway("a"), plainBody), http.StatusServiceUnavailable, `"run":"not_run"`)
 		begun := time.Now()
-		wantCode(t, keyed(t, n.gateway("b"), wholeBody), http.StatusOK, "run1-19")
+		wantResponse(t, sendKeyed(t, n.gateway("b"), plainBody), http.StatusOK, "run1-19")
 		if waited := time.Since(begun); waited > 5*time.Second {
 			t.Errorf("answered after %v", waited)
 		}
@@ -223,10 +223,10 @@
 
 func TestAStoreThatHangsRefusesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		n.table.SetFaults(backendtest.Faults{Hang: true})
 		begun := time.Now()
-		wantCode(t, keyed(t, n.gateway("a"), wholeBody), http.StatusServiceUnavailable, "store_unavailable", `"run":"not_run"`)
+		wantResponse(t, sendKeyed(t, n.gateway("a"), plainBody), http.StatusServiceUnavailable, "store_unavailable", `"run":"not_run"`)
 		if waited := time.Since(begun); waited > DefaultConfig().RecordWait {
 			t.Errorf("refused after %v", waited)
 		}
@@ -235,22 +235,22 @@
 
 func TestAnAnswerThatCannotBeRecordedIsGivenLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		a := n.gateway("a")
 		first := make(chan *httptest.ResponseRecorder, 1)
 		begun := time.Now()
-		go func() { first <- keyed(t, a, streamBody) }()
-		time.Sleep(5 * tokenTime)
+		go func() { first <- sendKeyed(t, a, streamBody) }()
+		time.Sleep(5 * minTokenInterval)
 		n.table.SetFaults(backendtest.Faults{Down: true})
-		if told := <-first; strings.Contains(told.Body.String(), "[DONE]") || !strings.Contains(told.Body.String(), `"run":"unknown"`) {
-			t.Errorf("told %s", told.Body)
+		if reply := <-first; strings.Contains(reply.Body.String(), "[DONE]") || !strings.Contains(reply.Body.String(), `"run":"unknown"`) {
+			t.Errorf("the unrecorded answer was reported as %s", reply.Body)
 		}
 		if waited := time.Since(begun); waited > DefaultConfig().RecordWait+time.Second {
-			t.Errorf("told after %v", waited)
+			t.Errorf("reported after %v", waited)
 		}
 		n.table.SetFaults(backendtest.Faults{})
 		time.Sleep(10 * time.Second)
-		wantCode(t, keyed(t, n.gateway("b"), streamBody), http.StatusOK, "run1-19", streamDone)
+		wantResponse(t, sendKeyed(t, n.gateway("b"), streamBody), http.StatusOK, "run1-19", streamDone)
 		if n.engine.runs != 1 {
 			t.Errorf("%d runs", n.engine.runs)
 		}
@@ -259,30 +259,30 @@
 
 func TestLostAnswersOfTheStoreCostNoSecondRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		n.table.SetFaults(backendtest.Faults{LoseAnswers: 2})
-		wantCode(t, keyed(t, n.gateway("a"), onceBody), http.StatusOK, "run1-19")
+		wantResponse(t, sendKeyed(t, n.gateway("a"), nonRepeatableBody), http.StatusOK, "run1-19")
 		n.table.SetFaults(backendtest.Faults{LoseAnswers: 1})
-		wantCode(t, keyed(t, n.gateway("b"), onceBody), http.StatusOK, "run1-19")
+		wantResponse(t, sendKeyed(t, n.gateway("b"), nonRepeatableBody), http.StatusOK, "run1-19")
 	})
 }
 
 func TestARefusedKeyedRequestMayRunLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		a := n.gateway("a")
 		a.deps.Online = runFunc(func(context.Context, dispatch.Request, dispatch.Sink) outcome.Outcome {
 			return outcome.Outcome{Kind: outcome.Refused}
 		})
-		wantCode(t, keyed(t, a, wholeBody), http.StatusServiceUnavailable, "not_run")
+		wantResponse(t, sendKeyed(t, a, plainBody), http.StatusServiceUnavailable, "not_run")
 		synctest.Wait()
-		wantCode(t, keyed(t, n.gateway("b"), wholeBody), http.StatusOK, "run1-19")
+		wantResponse(t, sendKeyed(t, n.gateway("b"), plainBody), http.StatusOK, "run1-19")
 	})
 }
 
 func TestALateTokenReachesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
+		n := newGateways(t)
 		a := n.gateway("a")
 		late := make(chan error, 1)
 		a.deps.Online = runFunc(func(_ context.Context, _ dispatch.Request, sink dispatch.Sink) outcome.Outcome {
@@ -290,11 +290,11 @@
 			time.AfterFunc(time.Second, func() { late <- sink(backend.Token{Offset: 1, Text: "late"}) })
 			return outcome.Outcome{Kind: outcome.Completed, OutputTokens: 1}
 		})
-		got := keyed(t, a, streamBody)
+		got := sendKeyed(t, a, streamBody)
 		if err := <-late; err == nil {
-			t.Error("the late token was taken")
+			t.Error("the late token was accepted")
 		}
-		if again := keyed(t, n.gateway("b"), streamBody); again.Body.String() != got.Body.String() || strings.Contains(again.Body.String(), "late") {
+		if again := sendKeyed(t, n.gateway("b"), streamBody); again.Body.String() != got.Body.String() || strings.Contains(again.Body.String(), "late") {
 			t.Errorf("%s", again.Body)
 		}
 	})
@@ -302,21 +302,21 @@
 
 func TestAWaitWithoutClientsEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNodes(t)
-		n.engine.routing = time.Minute
+		n := newGateways(t)
+		n.engine.routingDelay = time.Minute
 		a, b := n.gateway("a"), n.gateway("b")
-		go keyed(t, a, wholeBody)
+		go sendKeyed(t, a, plainBody)
 		synctest.Wait()
 		ctx, leave := context.WithTimeout(t.Context(), time.Second)
 		defer leave()
-		send(ctx, b, wholeBody, headerIdempotencyKey, "k1")
-		time.Sleep(2 * longestKeyPause)
+		send(ctx, b, plainBody, headerIdempotencyKey, "k1")
+		time.Sleep(2 * maxKeyPollInterval)
 		b.keyed.mutex.Lock()
 		waiting := len(b.keyed.byKey)
 		b.keyed.mutex.Unlock()
 		if waiting != 0 {
-			t.Error("the node still waits for a key that no client asks it for")
+			t.Error("the node still waits for a key without clients")
 		}
-		wantCode(t, keyed(t, b, wholeBody), http.StatusOK, "run1-19")
+		wantResponse(t, sendKeyed(t, b, plainBody), http.StatusOK, "run1-19")
 	})
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the gateway's own: a route, an outcome, no tenant, so that their
-// number does not grow with the callers.
+// metrics are the gateway's metrics. They have no tenant label, so that the number
+// of series does not grow with the number of callers.
 type metrics struct {
 	requests   *prometheus.CounterVec
 	firstToken prometheus.Histogram
@@ -19,7 +19,7 @@
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	made := &metrics{
+	created := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "ringstream_gateway_requests_total",
 			Help: "Online requests by form and by how they ended.",
@@ -41,21 +41,21 @@
 			Help: "Online requests now running.",
 		}),
 	}
-	made.keyed = prometheus.NewCounterVec(prometheus.CounterOpts{
+	created.keyed = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ringstream_gateway_keyed_total",
 		Help: "What the records of idempotency keys decided.",
 	}, []string{"action"})
-	made.forwarded = prometheus.NewCounterVec(prometheus.CounterOpts{
+	created.forwarded = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ringstream_gateway_forwarded_total",
 		Help: "Requests handed to the other site, by what is known of them.",
 	}, []string{"result"})
 	if registerer != nil {
-		registerer.MustRegister(made.requests, made.firstToken, made.nextToken, made.tokens, made.running, made.keyed, made.forwarded)
+		registerer.MustRegister(created.requests, created.firstToken, created.nextToken, created.tokens, created.running, created.keyed, created.forwarded)
 	}
-	return made
+	return created
 }
 
-func (m *metrics) ended(chat bool, label string, tokens int) {
+func (m *metrics) recordEnd(chat bool, label string, tokens int) {
 	m.requests.WithLabelValues(formLabel(chat), label).Inc()
 	m.tokens.Add(float64(tokens))
 }
@@ -67,6 +67,6 @@
 	return "completion"
 }
 
-func (m *metrics) firstTokenAfter(elapsed time.Duration) { m.firstToken.Observe(elapsed.Seconds()) }
+func (m *metrics) observeFirstToken(elapsed time.Duration) { m.firstToken.Observe(elapsed.Seconds()) }
 
-func (m *metrics) nextTokenAfter(elapsed time.Duration) { m.nextToken.Observe(elapsed.Seconds()) }
+func (m *metrics) observeNextToken(elapsed time.Duration) { m.nextToken.Observe(elapsed.Seconds()) }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -22,7 +22,7 @@
 	Data   []modelObject `json:"data"`
 }
 
-// listModels gives the models that the table lets this tenant use.
+// listModels returns the models that the table allows this tenant to use.
 func (s *Server) listModels(c echo.Context) error {
 	tenant, err := s.deps.Auth.Tenant(c.Request())
 	if err != nil {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -15,7 +15,7 @@
 	chat         bool
 	model        string
 	prompt       string
-	maxTokens    int // zero: the caller named none
+	maxTokens    int // zero when the caller set none
 	stream       bool
 	includeUsage bool
 	stop         []string
@@ -25,18 +25,18 @@
 	repeatable   bool
 }
 
-// maxStops is the number of stop sequences that OpenAI's form allows.
+// maxStops is the number of stop sequences that OpenAI's API allows.
 const maxStops = 4
 
 // fieldRule reads one field of a request body into the generation.
 type fieldRule func(value json.RawMessage, request *generation) error
 
-// ignored accepts any value: the field cannot change the answer.
+// ignored accepts any value, because the field cannot change the answer.
 func ignored(json.RawMessage, *generation) error { return nil }
 
-// only accepts the JSON values that mean "leave it off"; any other would
-// change the answer, which no engine interface here supports.
-func only(values ...string) fieldRule {
+// onlyValues accepts only the JSON values that leave a feature off. Any other value
+// would change the answer in a way that no engine interface here supports.
+func onlyValues(values ...string) fieldRule {
 	return func(value json.RawMessage, _ *generation) error {
 		if slices.Contains(values, string(compact(value))) {
 			return nil
@@ -45,46 +45,47 @@
 	}
 }
 
-// into decodes a field into a place in the generation; null leaves it as it is.
-func into[T any](place func(*generation) *T, expected string) fieldRule {
+// decodeInto decodes a value into a field of the generation. null leaves the field
+// unchanged.
+func decodeInto[T any](field func(*generation) *T, expected string) fieldRule {
 	return func(value json.RawMessage, request *generation) error {
-		if err := json.Unmarshal(value, place(request)); err != nil {
+		if err := json.Unmarshal(value, field(request)); err != nil {
 			return apierror.Invalid("must be %s", expected)
 		}
 		return nil
 	}
 }
 
-// within reads a number of the sampling and holds it to its range.
-func within(place func(*backend.Sampling) **float64, least, most float64) fieldRule {
+// numberInRange reads a sampling parameter and rejects a number outside its range.
+func numberInRange(field func(*backend.Sampling) **float64, lowest, highest float64) fieldRule {
 	return func(value json.RawMessage, request *generation) error {
-		number := place(&request.sampling)
-		if err := json.Unmarshal(value, number); err != nil || (*number != nil && (**number < least || **number > most)) {
-			return apierror.Invalid("must be a number from %g to %g", least, most)
+		number := field(&request.sampling)
+		if err := json.Unmarshal(value, number); err != nil || (*number != nil && (**number < lowest || **number > highest)) {
+			return apierror.Invalid("must be a number from %g to %g", lowest, highest)
 		}
 		return nil
 	}
 }
 
-// commonFields are the fields of both forms. docs/operations/callers.md lists
-// them; a field in neither table is refused by name.
+// commonFields are the fields of both forms, listed in docs/operations/callers.md. A
+// field that is neither common nor specific to the form is refused by name.
 var commonFields = map[string]fieldRule{
-	"model":          into(func(r *generation) *string { return &r.model }, "a string"),
-	"stream":         into(func(r *generation) *bool { return &r.stream }, "true or false"),
+	"model":          decodeInto(func(r *generation) *string { return &r.model }, "a string"),
+	"stream":         decodeInto(func(r *generation) *bool { return &r.stream }, "true or false"),
 	"stream_options": streamOptions,
 	"stop":           stopSequences,
 	"max_tokens":     tokenLimit,
-	"user":           into(func(r *generation) *string { return &r.user }, "a string"),
-	"adapter":        into(func(r *generation) *string { return &r.adapter }, "a string"),
-	"repeatable":     into(func(r *generation) *bool { return &r.repeatable }, "true or false"),
-
-	"n":                 only("1", "null"),
-	"temperature":       within(func(s *backend.Sampling) **float64 { return &s.Temperature }, 0, 2),
-	"top_p":             within(func(s *backend.Sampling) **float64 { return &s.TopP }, 0, 1),
-	"presence_penalty":  within(func(s *backend.Sampling) **float64 { return &s.PresencePenalty }, -2, 2),
-	"frequency_penalty": within(func(s *backend.Sampling) **float64 { return &s.FrequencyPenalty }, -2, 2),
-	"seed":              into(func(r *generation) **int64 { return &r.sampling.Seed }, "a whole number"),
-	"logit_bias":        only("null", "{}"),
+	"user":           decodeInto(func(r *generation) *string { return &r.user }, "a string"),
+	"adapter":        decodeInto(func(r *generation) *string { return &r.adapter }, "a string"),
+	"repeatable":     decodeInto(func(r *generation) *bool { return &r.repeatable }, "true or false"),
+
+	"n":                 onlyValues("1", "null"),
+	"temperature":       numberInRange(func(s *backend.Sampling) **float64 { return &s.Temperature }, 0, 2),
+	"top_p":             numberInRange(func(s *backend.Sampling) **float64 { return &s.TopP }, 0, 1),
+	"presence_penalty":  numberInRange(func(s *backend.Sampling) **float64 { return &s.PresencePenalty }, -2, 2),
+	"frequency_penalty": numberInRange(func(s *backend.Sampling) **float64 { return &s.FrequencyPenalty }, -2, 2),
+	"seed":              decodeInto(func(r *generation) **int64 { return &r.sampling.Seed }, "a whole number"),
+	"logit_bias":        onlyValues("null", "{}"),
 
 	"metadata":          ignored,
 	"store":             ignored,
@@ -96,45 +97,45 @@
 
 var completionFields = map[string]fieldRule{
 	"prompt":   completionPrompt,
-	"best_of":  only("1", "null"),
-	"echo":     only("false", "null"),
-	"logprobs": only("null"),
-	"suffix":   only("null", `""`),
+	"best_of":  onlyValues("1", "null"),
+	"echo":     onlyValues("false", "null"),
+	"logprobs": onlyValues("null"),
+	"suffix":   onlyValues("null", `""`),
 }
 
 var chatFields = map[string]fieldRule{
 	"messages":              chatMessages,
 	"max_completion_tokens": tokenLimit,
-	"logprobs":              only("false", "null"),
-	"top_logprobs":          only("null", "0"),
-	"response_format":       only("null", `{"type":"text"}`),
-	"tools":                 only("null", "[]"),
-	"functions":             only("null", "[]"),
-	"tool_choice":           only("null", `"none"`, `"auto"`),
-	"function_call":         only("null", `"none"`, `"auto"`),
+	"logprobs":              onlyValues("false", "null"),
+	"top_logprobs":          onlyValues("null", "0"),
+	"response_format":       onlyValues("null", `{"type":"text"}`),
+	"tools":                 onlyValues("null", "[]"),
+	"functions":             onlyValues("null", "[]"),
+	"tool_choice":           onlyValues("null", `"none"`, `"auto"`),
+	"function_call":         onlyValues("null", `"none"`, `"auto"`),
 	"parallel_tool_calls":   ignored,
-	"modalities":            only("null", `["text"]`),
-	"audio":                 only("null"),
-	"reasoning_effort":      only("null"),
-	"verbosity":             only("null"),
-	"web_search_options":    only("null"),
+	"modalities":            onlyValues("null", `["text"]`),
+	"audio":                 onlyValues("null"),
+	"reasoning_effort":      onlyValues("null"),
+	"verbosity":             onlyValues("null"),
+	"web_search_options":    onlyValues("null"),
 }
 
-// parseGeneration reads a request body. Errors are 400 and name the field.
+// parseGeneration parses a request body. Its errors have status 400 and name the field.
 func parseGeneration(body []byte, chat bool) (generation, error) {
 	request := generation{chat: chat, repeatable: true}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return request, apierror.Invalid("the body must be one JSON object")
 	}
-	own := completionFields
+	formFields := completionFields
 	if chat {
-		own = chatFields
+		formFields = chatFields
 	}
 	for name, value := range fields {
 		rule, known := commonFields[name]
 		if !known {
-			rule, known = own[name]
+			rule, known = formFields[name]
 		}
 		if !known {
 			return request, apierror.Invalid("field %q is not known; remove it", name)
@@ -143,10 +144,10 @@
 			return request, apierror.Invalid("field %q: %s", name, messageOf(err))
 		}
 	}
-	return request, request.check(fields)
+	return request, request.checkRequired(fields)
 }
 
-func (r *generation) check(fields map[string]json.RawMessage) error {
+func (r *generation) checkRequired(fields map[string]json.RawMessage) error {
 	content := "prompt"
 	if r.chat {
 		content = "messages"
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// completionPrompt takes a string, or an array that holds one string.
+// completionPrompt reads a string or an array that holds exactly one string.
 func completionPrompt(value json.RawMessage, request *generation) error {
 	if json.Unmarshal(value, &request.prompt) == nil && !isNull(value) {
 		return nil
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestWrongRequestsNameTheField(t *testing.T) {
-	server := start(t, online(say("x")))
+	server := startServer(t, withOnline(answerWith("x")))
 	cases := map[string]string{
 		`{"model":"scribe","prompt":"x","temperature":2.5}`:            `"temperature"`,
 		`{"model":"scribe","prompt":"x","temperature":"hot"}`:          `"temperature"`,
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -1,7 +1,7 @@
-// Package gateway is the callers' HTTP API: completions, chat completions and
-// models in the form of OpenAI's clients, and batch jobs. It owns the form of
-// requests and answers and nothing of their run: it never routes, never talks
-// to an engine, and keeps nothing that outlives a request.
+// Package gateway implements the callers' HTTP API: completions, chat completions and
+// models in the format of OpenAI's API, and batch jobs. It defines only the format of
+// requests and answers. It never routes a request, never talks to an engine and keeps
+// no state that outlives a request.
 package gateway
 
 import (
@@ -27,7 +27,7 @@
 	"ringstream.example/ringstream/internal/rows"
 )
 
-// Config is the callers' listener and the bounds of what callers may ask.
+// Config configures the callers' listener and the limits of their requests.
 type Config struct {
 	HTTP             httpserver.Config `koanf:"http"`
 	RequestTimeout   time.Duration     `koanf:"request_timeout" usage:"longest run of one online request"`
@@ -38,7 +38,8 @@
 	BatchBodyLimit   int64             `koanf:"batch_body_limit" unit:"bytes" usage:"largest body of a batch job"`
 }
 
-// DefaultConfig suits the target: a 72,000-item job is about 300 MB.
+// DefaultConfig returns settings for the target load, in which a job of 72,000 items
+// is about 300 MB.
 func DefaultConfig() Config {
 	return Config{
 		HTTP: httpserver.DefaultConfig(), RequestTimeout: 2 * time.Minute,
@@ -46,7 +47,7 @@
 	}
 }
 
-// Validate checks the settings; its errors name the key.
+// Validate checks the settings. Its errors name the invalid keys.
 func (c Config) Validate() error {
 	return errors.Join(
 		configcheck.Under("http", c.HTTP.Validate()),
@@ -59,36 +60,37 @@
 	)
 }
 
-// ModelLister names the models that engines hold.
+// ModelLister lists the models that engines have loaded.
 type ModelLister interface {
 	Models() []string
 }
 
-// Resumer is the part of dispatch.Batch that takes up a dead node's stream.
+// Resumer is the part of dispatch.Batch that resumes a dead node's stream.
 type Resumer interface {
 	Resume(ctx context.Context, intent dispatch.Intent, offset int, sink dispatch.Sink) outcome.Outcome
 }
 
-// Dependencies are the components that the gateway hands work to.
+// Dependencies are the components that the gateway uses.
 type Dependencies struct {
 	Auth   auth.Authenticator
 	Rows   rows.Source
 	Limits limits.Limiter
 	Online dispatch.Online
 	Jobs   jobs.Service
-	// Keys keeps the records of idempotency keys; nil refuses keyed requests.
+	// Keys stores the records of idempotency keys. If nil, keyed requests are refused.
 	Keys *idempotency.Store
-	// Resume joins the stream of an intent after its node died.
+	// Resume resumes the stream of an intent after its node died.
 	Resume Resumer
-	// Site is the other site; nil: every request runs here.
+	// Site is the other site. If nil, every request runs on this site.
 	Site backend.Site
-	// Models is what GET /v1/models shows beside the models that rows name; may be nil.
+	// Models lists further models for GET /v1/models, in addition to those that rows
+	// name. It may be nil.
 	Models ModelLister
-	// TableReady says whether Rows has been read since the start; nil: it has.
+	// TableReady returns whether Rows has been read since the start. If nil, it has.
 	TableReady func() bool
 }
 
-// Server is the callers' API of one node.
+// Server serves the callers' API of one node.
 type Server struct {
 	config   Config
 	deps     Dependencies
@@ -101,7 +103,7 @@
 	started  time.Time
 }
 
-// New makes a server.
+// New returns a server that does not listen before Run is called.
 func New(config Config, deps Dependencies, logger *zap.Logger, registerer prometheus.Registerer) *Server {
 	server := &Server{
 		config: config, deps: deps, logger: logger, metrics: newMetrics(registerer),
@@ -128,9 +130,9 @@
 	router.GET(batchesPath+"/:id/results", s.jobResults)
 }
 
-// Run serves until ctx is done or Drain was called, and returns when the
-// running requests have ended: those of clients within http.drain_time, and
-// keyed runs whose clients have gone within as long again.
+// Run serves until ctx is done or Drain is called, and returns when the running
+// requests have ended. Requests of connected clients may take http.drain_time, and
+// keyed runs whose clients have disconnected may take as long again.
 func (s *Server) Run(ctx context.Context) error {
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
@@ -143,27 +145,28 @@
 		stop()
 	}()
 	err := s.http.Run(serving)
-	s.keyed.finish(s.config.HTTP.DrainTime)
+	s.keyed.shutdown(s.config.HTTP.DrainTime)
 	return err
 }
 
-// Drain begins the planned stop: /readyz fails, answers ask their clients to
-// drop the connection, and for http.leave_time requests that come all the same
-// still run, since a refusal would be a cut. Run returns at its end.
+// Drain begins a planned stop: /readyz fails and answers ask their clients to close
+// the connection. Requests that still arrive within http.leave_time are run, because
+// a refusal would interrupt their callers. Run returns at the end of the stop.
 func (s *Server) Drain() {
 	if s.draining.CompareAndSwap(false, true) {
 		close(s.drain)
 	}
 }
 
-// ListenWith has Run open its listener by another function than TCP's. It is
-// called before Run.
+// ListenWith sets the function with which Run opens its listener in place of TCP's.
+// It must be called before Run.
 func (s *Server) ListenWith(open httpserver.ListenFunc) { s.http.ListenWith(open) }
 
-// Listening is closed when callers can connect.
+// Listening returns a channel that is closed once callers can connect.
 func (s *Server) Listening() <-chan struct{} { return s.http.Listening() }
 
-// Address is the address that callers connect to, once Listening is closed.
+// Address returns the address that callers connect to. It is valid once Listening
+// is closed.
 func (s *Server) Address() string { return s.http.Address() }
 
 func (s *Server) ready(c echo.Context) error {
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -20,47 +20,47 @@
 	"ringstream.example/ringstream/internal/idempotency"
 )
 
-// siteOf gives the site of a request by its row's share. A request that the
-// other site handed over runs here.
-func (s *Server) siteOf(taken *call) site.Site {
-	if s.deps.Site == nil || taken.hopped {
+// chooseSite returns the site of a request according to its row's NewSiteShare. A
+// request that the other site forwarded runs here.
+func (s *Server) chooseSite(request *onlineRequest) site.Site {
+	if s.deps.Site == nil || request.fromOtherSite {
 		return site.Here
 	}
-	return site.Choose(siteKey(taken), taken.row.NewSiteShare)
+	return site.Choose(siteKey(request), request.row.NewSiteShare)
 }
 
-// siteKey is what decides the site: the idempotency key, else the end user,
-// else the request itself.
-func siteKey(taken *call) string {
+// siteKey returns the key by which the site is chosen: the idempotency key, else the
+// end user, else the request id.
+func siteKey(request *onlineRequest) string {
 	switch {
-	case taken.key.Key != "":
-		return string(taken.tenant) + "/key/" + taken.key.Key
-	case taken.request.user != "":
-		return string(taken.tenant) + "/user/" + taken.request.user
+	case request.key.Key != "":
+		return string(request.tenant) + "/key/" + request.key.Key
+	case request.parsed.user != "":
+		return string(request.tenant) + "/user/" + request.parsed.user
 	default:
-		return string(taken.tenant) + "/request/" + taken.id
+		return string(request.tenant) + "/request/" + request.id
 	}
 }
 
-func (s *Server) forward(ctx context.Context, taken *call) (backend.SiteResponse, error) {
+func (s *Server) forward(ctx context.Context, request *onlineRequest) (backend.SiteResponse, error) {
 	response, err := s.deps.Site.Forward(ctx, backend.SiteRequest{
-		Path: taken.path, Body: taken.body, Authorization: taken.authorization, RequestID: taken.id, IdempotencyKey: taken.key.Key,
+		Path: request.path, Body: request.body, Authorization: request.authorization, RequestID: request.id, IdempotencyKey: request.key.Key,
 	})
 	label := "answered"
 	switch {
-	case notRun(err):
+	case provesNotRun(err):
 		label = "not_run"
-		events.SiteRefused.Log(s.logger, zap.String("request", taken.id), zap.Error(err))
+		events.SiteRefused.Log(s.logger, zap.String("request", request.id), zap.Error(err))
 	case err != nil:
 		label = "unknown"
-		events.SiteLost.Log(s.logger, zap.String("request", taken.id), zap.Error(err))
+		events.SiteLost.Log(s.logger, zap.String("request", request.id), zap.Error(err))
 	}
 	s.metrics.forwarded.WithLabelValues(label).Inc()
 	return response, err
 }
 
-// notRun says whether a forward provably did nothing.
-func notRun(err error) bool {
+// provesNotRun returns whether the error proves that a forward had no effect.
+func provesNotRun(err error) bool {
 	var failure *backend.Error
 	return errors.As(err, &failure) && failure.Effect == backend.EffectNone
 }
@@ -78,73 +78,74 @@
 	Message: "the other site answers for this Idempotency-Key and cannot be reached; send the request again with the same key",
 }
 
-// forwardUnkeyed hands a request to the other site. It gives false when the
-// request provably did not run there, and so runs here.
-func (s *Server) forwardUnkeyed(c echo.Context, taken *call) (done bool, err error) {
-	ctx, cancel := context.WithDeadline(c.Request().Context(), taken.deadline)
+// forwardUnkeyed forwards a request without a key to the other site. It returns false
+// when the request provably did not run there and may run here.
+func (s *Server) forwardUnkeyed(c echo.Context, request *onlineRequest) (done bool, err error) {
+	ctx, cancel := context.WithDeadline(c.Request().Context(), request.deadline)
 	defer cancel()
-	response, err := s.forward(ctx, taken)
+	response, err := s.forward(ctx, request)
 	switch {
 	case err == nil:
-		return true, passThrough(c, response, taken.deadline)
+		return true, passThrough(c, response, request.deadline)
 	case c.Request().Context().Err() != nil:
 		return true, errClientGone
-	case notRun(err):
+	case provesNotRun(err):
 		return false, nil
 	default:
-		if !taken.request.repeatable {
+		if !request.parsed.repeatable {
 			c.Response().Header().Set(headerShouldRetry, "false")
 		}
 		return true, errSiteLost
 	}
 }
 
-// forwardClaim hands a keyed request to the other site under this node's claim.
+// forwardClaim forwards a keyed request to the other site under this node's claim.
 func (s *Server) forwardClaim(ctx context.Context, run *keyedRun, decision idempotency.Decision) (used int) {
-	// The body is read by a client after this returns.
-	forwarding, cancel := context.WithDeadline(s.keyed.context, run.taken.deadline)
-	response, err := s.forward(forwarding, run.taken)
+	// A client reads the body after forwardClaim has returned, so the context ends
+	// only when the body is closed.
+	forwarding, cancel := context.WithDeadline(s.keyed.context, run.request.deadline)
+	response, err := s.forward(forwarding, run.request)
 	claim := decision.Claim
 	if err == nil {
 		response.Body = &cancelBody{ReadCloser: response.Body, cancel: cancel}
-		s.logUnrecorded(run, claim.Settle(ctx)) // unsettled, the key is forwarded again after the claim lapses
+		s.logRecordingError(run, claim.Settle(ctx)) // if this fails, the key is forwarded again after the claim expires
 		run.handover.put(response)
-		run.end(ending{elsewhere: true})
+		run.end(answerResult{answeredByOtherSite: true})
 		return 0
 	}
 	cancel()
-	if notRun(err) && decision.First {
+	if provesNotRun(err) && decision.First {
 		if err := claim.Redirect(ctx); err == nil {
 			return s.runClaim(ctx, run, claim)
 		}
 		run.fail(errSiteDown)
 		return 0
 	}
-	if notRun(err) {
+	if provesNotRun(err) {
 		run.fail(errSiteDown)
 	} else {
 		run.fail(errSiteLost)
 	}
-	s.logUnrecorded(run, claim.Settle(ctx))
+	s.logRecordingError(run, claim.Settle(ctx))
 	return 0
 }
 
-// passKeyed gives a client the other site's answer: the one that the run's
-// forward brought, for the first client, and one of its own for the others,
-// which the other site answers by the same key.
-func (s *Server) passKeyed(c echo.Context, taken *call, run *keyedRun) error {
+// passThroughKeyed gives a client the other site's answer. The first client gets the
+// response to the run's own forward. For any other client the request is forwarded
+// again, and the other site answers it by the same key.
+func (s *Server) passThroughKeyed(c echo.Context, request *onlineRequest, run *keyedRun) error {
 	if response, had := run.handover.take(); had {
-		return passThrough(c, response, taken.deadline)
+		return passThrough(c, response, request.deadline)
 	}
-	ctx, cancel := context.WithDeadline(c.Request().Context(), taken.deadline)
+	ctx, cancel := context.WithDeadline(c.Request().Context(), request.deadline)
 	defer cancel()
-	response, err := s.forward(ctx, taken)
+	response, err := s.forward(ctx, request)
 	switch {
 	case err == nil:
-		return passThrough(c, response, taken.deadline)
+		return passThrough(c, response, request.deadline)
 	case c.Request().Context().Err() != nil:
 		return errClientGone
-	case notRun(err):
+	case provesNotRun(err):
 		return errSiteDown
 	default:
 		return errSiteLost
@@ -158,16 +159,16 @@
 	expiry   *time.Timer
 }
 
-// handoverTime is how long an answer waits for its client.
-const handoverTime = time.Second
+// handoverTimeout is how long a response waits for its client before it is closed.
+const handoverTimeout = time.Second
 
 func (h *handover) put(response backend.SiteResponse) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.response = &response
-	h.expiry = time.AfterFunc(handoverTime, func() {
-		if late, had := h.take(); had {
-			_ = late.Body.Close() // its client has gone
+	h.expiry = time.AfterFunc(handoverTimeout, func() {
+		if unclaimed, had := h.take(); had {
+			_ = unclaimed.Body.Close() // its client has disconnected
 		}
 	})
 }
@@ -183,7 +184,7 @@
 	return response, true
 }
 
-// cancelBody ends its request's context when it is closed.
+// cancelBody is a response body that cancels its request's context when closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -195,32 +196,32 @@
 	return b.ReadCloser.Close()
 }
 
-// maxSiteBody bounds an answer that is not streamed.
-const maxSiteBody = 64 << 20
+// maxSiteBodyBytes bounds an answer of the other site that is not streamed.
+const maxSiteBodyBytes = 64 << 20
 
-// passThrough gives the other site's answer unchanged. One that breaks off is
-// an error: before its first byte as a status, in a stream as an error event.
+// passThrough writes the other site's answer unchanged. An answer that ends early is
+// reported as an error status if it is not streamed, and as an error event in a stream.
 func passThrough(c echo.Context, response backend.SiteResponse, deadline time.Time) error {
 	defer func() { _ = response.Body.Close() }()
-	_ = http.NewResponseController(c.Response()).SetWriteDeadline(deadline.Add(writeGrace)) // where it cannot be set, a caller that does not read holds its connection longer
+	_ = http.NewResponseController(c.Response()).SetWriteDeadline(deadline.Add(writeGrace)) // if it cannot be set, a caller that does not read keeps its connection longer
 	header := c.Response().Header()
 	if !strings.HasPrefix(response.ContentType, contentTypeEvents) {
-		body, err := io.ReadAll(io.LimitReader(response.Body, maxSiteBody+1))
-		if err != nil || len(body) > maxSiteBody {
+		body, err := io.ReadAll(io.LimitReader(response.Body, maxSiteBodyBytes+1))
+		if err != nil || len(body) > maxSiteBodyBytes {
 			return errSiteLost
 		}
-		setUnlessEmpty(header, echo.HeaderRetryAfter, response.RetryAfter)
+		setIfNotEmpty(header, echo.HeaderRetryAfter, response.RetryAfter)
 		return c.Blob(response.Status, response.ContentType, body)
 	}
-	setUnlessEmpty(header, echo.HeaderRetryAfter, response.RetryAfter)
+	setIfNotEmpty(header, echo.HeaderRetryAfter, response.RetryAfter)
 	header.Set(echo.HeaderContentType, response.ContentType)
 	header.Set(echo.HeaderCacheControl, "no-cache")
 	c.Response().WriteHeader(response.Status)
-	return passEvents(c, response.Body)
+	return passThroughEvents(c, response.Body)
 }
 
-func passEvents(c echo.Context, body io.Reader) error {
-	buffer := make([]byte, streamBuffer)
+func passThroughEvents(c echo.Context, body io.Reader) error {
+	buffer := make([]byte, streamBufferBytes)
 	for {
 		n, readErr := body.Read(buffer)
 		if n > 0 {
@@ -233,14 +234,14 @@
 			return nil
 		}
 		if readErr != nil {
-			// The break may lie in the middle of an event: end that first.
-			_, _ = c.Response().Write(appendErrorEvent([]byte(eventClose), c, errSiteLost)) // the caller may have left; readErr is told
+			// The stream may have ended in the middle of an event, so end that event first.
+			_, _ = c.Response().Write(appendErrorEvent([]byte(eventSuffix), c, errSiteLost)) // the caller may have disconnected; readErr is returned
 			return readErr
 		}
 	}
 }
 
-func setUnlessEmpty(header http.Header, name, value string) {
+func setIfNotEmpty(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -16,21 +16,21 @@
 	"ringstream.example/ringstream/internal/core/policy"
 )
 
-// otherSite answers with its own words, or fails as told.
-type otherSite struct {
-	mutex  sync.Mutex
-	fail   error
-	broken bool // its streams break off
-	hang   bool // a request arrives, and no answer comes
-	asked  []backend.SiteRequest
+// fakeOtherSite answers with its own text or fails as its fields say.
+type fakeOtherSite struct {
+	mutex     sync.Mutex
+	fail      error
+	broken    bool // its streams end early
+	hang      bool // requests arrive but are not answered
+	forwarded []backend.SiteRequest
 }
 
 const otherEvents = "data: {\"other\":1}\n\ndata: [DONE]\n\n"
 
-func (o *otherSite) Forward(ctx context.Context, request backend.SiteRequest) (backend.SiteResponse, error) {
+func (o *fakeOtherSite) Forward(ctx context.Context, request backend.SiteRequest) (backend.SiteResponse, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.asked = append(o.asked, request)
+	o.forwarded = append(o.forwarded, request)
 	if o.hang {
 		o.mutex.Unlock()
 		<-ctx.Done()
@@ -60,16 +60,17 @@
 	return &backend.Error{Code: backend.CodeUnavailable, Effect: effect, System: "site", Operation: "forward"}
 }
 
-// sitesWith gives gateways whose row puts a share of the keys here.
-func sitesWith(t *testing.T, share float64) (*nodes, *otherSite) {
-	other := &otherSite{}
-	n := newNodes(t)
+// newGatewaysWithOtherSite returns gateways whose row assigns a share of the keys to
+// this site.
+func newGatewaysWithOtherSite(t *testing.T, share float64) (*gateways, *fakeOtherSite) {
+	other := &fakeOtherSite{}
+	n := newGateways(t)
 	n.site = other
 	n.setShare(share)
 	return n, other
 }
 
-func (n *nodes) setShare(share float64) {
+func (n *gateways) setShare(share float64) {
 	n.rows = fixedRows{policy.NewTable(1, []policy.Row{{
 		ID: "all", Match: policy.Match{Tenant: policy.Any, Model: "scribe", Kind: policy.Any}, Weight: 1, NewSiteShare: share,
 	}})}
@@ -77,39 +78,39 @@
 
 func TestTheOtherSitesAnswerIsPassedUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, other := sitesWith(t, 0)
+		n, other := newGatewaysWithOtherSite(t, 0)
 		a := n.gateway("a")
-		whole := send(t.Context(), a, wholeBody)
+		whole := send(t.Context(), a, plainBody)
 		if whole.Code != http.StatusTooManyRequests || whole.Body.String() != `{"other":1}` || whole.Header().Get("Retry-After") != "7" {
 			t.Errorf("%d %v %s", whole.Code, whole.Header(), whole.Body)
 		}
 		if streamed := send(t.Context(), a, streamBody); streamed.Body.String() != otherEvents {
 			t.Errorf("%s", streamed.Body)
 		}
-		if other.asked[0].Authorization != "Bearer corrib" || string(other.asked[0].Body) != wholeBody {
-			t.Errorf("%+v", other.asked[0])
+		if other.forwarded[0].Authorization != "Bearer corrib" || string(other.forwarded[0].Body) != plainBody {
+			t.Errorf("%+v", other.forwarded[0])
 		}
 		other.broken = true
-		wantCode(t, send(t.Context(), a, streamBody), http.StatusOK, "event: error", `"run":"unknown"`)
+		wantResponse(t, send(t.Context(), a, streamBody), http.StatusOK, "event: error", `"run":"unknown"`)
 		other.broken = false
-		wantCode(t, send(t.Context(), a, wholeBody, backend.HopHeader, "1"), http.StatusOK, "run1-19")
-		if len(other.asked) != 3 {
-			t.Errorf("%d forwards", len(other.asked))
+		wantResponse(t, send(t.Context(), a, plainBody, backend.HopHeader, "1"), http.StatusOK, "run1-19")
+		if len(other.forwarded) != 3 {
+			t.Errorf("%d forwards", len(other.forwarded))
 		}
 	})
 }
 
 func TestWhatRunsWhereWhenTheOtherSiteFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, other := sitesWith(t, 0)
+		n, other := newGatewaysWithOtherSite(t, 0)
 		a := n.gateway("a")
 		other.fail = siteError(backend.EffectNone)
-		wantCode(t, send(t.Context(), a, onceBody), http.StatusOK, "run1-19") // unkeyed: provably not run there
-		wantCode(t, keyed(t, a, onceBody), http.StatusOK, "run2-19")          // keyed, first forward
+		wantResponse(t, send(t.Context(), a, nonRepeatableBody), http.StatusOK, "run1-19") // unkeyed; provably not run on the other site
+		wantResponse(t, sendKeyed(t, a, nonRepeatableBody), http.StatusOK, "run2-19")      // keyed, first forward
 		other.fail = siteError(backend.EffectUnknown)
-		wantCode(t, send(t.Context(), a, wholeBody), http.StatusBadGateway, `"run":"unknown"`)
+		wantResponse(t, send(t.Context(), a, plainBody), http.StatusBadGateway, `"run":"unknown"`)
 		other.fail = nil
-		wantCode(t, keyed(t, n.gateway("b"), onceBody), http.StatusOK, "run2-19") // recorded here
+		wantResponse(t, sendKeyed(t, n.gateway("b"), nonRepeatableBody), http.StatusOK, "run2-19") // recorded here
 		if n.engine.runs != 2 {
 			t.Errorf("%d runs", n.engine.runs)
 		}
@@ -118,11 +119,11 @@
 
 func TestASlowOtherSiteCostsNoSecondRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, other := sitesWith(t, 0)
+		n, other := newGatewaysWithOtherSite(t, 0)
 		other.hang = true
 		begun := time.Now()
-		answer := send(t.Context(), n.gateway("a"), onceBody, headerTimeout, "3s")
-		wantCode(t, answer, http.StatusBadGateway, `"run":"unknown"`)
+		answer := send(t.Context(), n.gateway("a"), nonRepeatableBody, headerTimeout, "3s")
+		wantResponse(t, answer, http.StatusBadGateway, `"run":"unknown"`)
 		if answer.Header().Get(headerShouldRetry) != "false" || time.Since(begun) != 3*time.Second || n.engine.runs != 0 {
 			t.Errorf("%v after %v, %d runs here", answer.Header(), time.Since(begun), n.engine.runs)
 		}
@@ -131,19 +132,19 @@
 
 func TestAKeyThatMayHaveRunThereNeverRunsHere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, other := sitesWith(t, 0)
+		n, other := newGatewaysWithOtherSite(t, 0)
 		other.fail = siteError(backend.EffectUnknown)
-		wantCode(t, keyed(t, n.gateway("a"), streamBody), http.StatusBadGateway, `"run":"unknown"`)
+		wantResponse(t, sendKeyed(t, n.gateway("a"), streamBody), http.StatusBadGateway, `"run":"unknown"`)
 		synctest.Wait()
 		n.setShare(1)
 		other.fail = siteError(backend.EffectNone)
-		wantCode(t, keyed(t, n.gateway("b"), streamBody), http.StatusServiceUnavailable, `"run":"unknown"`)
+		wantResponse(t, sendKeyed(t, n.gateway("b"), streamBody), http.StatusServiceUnavailable, `"run":"unknown"`)
 		other.fail = nil
-		if answer := keyed(t, n.gateway("c"), streamBody); answer.Body.String() != otherEvents {
+		if answer := sendKeyed(t, n.gateway("c"), streamBody); answer.Body.String() != otherEvents {
 			t.Errorf("%s", answer.Body)
 		}
 		hopped := send(t.Context(), n.gateway("d"), streamBody, headerIdempotencyKey, "k1", backend.HopHeader, "1")
-		wantCode(t, hopped, http.StatusConflict, `"run":"unknown"`)
+		wantResponse(t, hopped, http.StatusConflict, `"run":"unknown"`)
 		if n.engine.runs != 0 {
 			t.Errorf("%d runs here", n.engine.runs)
 		}
@@ -152,17 +153,17 @@
 
 func TestAForwardThatADeadNodeMadeNeverRunsHere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, other := sitesWith(t, 0)
+		n, other := newGatewaysWithOtherSite(t, 0)
 		other.hang = true
 		ctx, leave := context.WithCancel(t.Context())
 		defer leave()
 		go send(ctx, n.gateway("a"), streamBody, headerIdempotencyKey, "k1")
 		synctest.Wait()
-		n.die("a")
+		n.markDead("a")
 		other.mutex.Lock()
 		other.hang, other.fail = false, siteError(backend.EffectNone)
 		other.mutex.Unlock()
-		wantCode(t, keyed(t, n.gateway("b"), streamBody), http.StatusServiceUnavailable, `"run":"unknown"`)
+		wantResponse(t, sendKeyed(t, n.gateway("b"), streamBody), http.StatusServiceUnavailable, `"run":"unknown"`)
 		if n.engine.runs != 0 {
 			t.Errorf("%d runs here", n.engine.runs)
 		}
@@ -171,38 +172,38 @@
 
 func TestTheRecordedSiteAnswersAfterTheShareMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, other := sitesWith(t, 1)
-		here := keyed(t, n.gateway("a"), streamBody)
+		n, other := newGatewaysWithOtherSite(t, 1)
+		here := sendKeyed(t, n.gateway("a"), streamBody)
 		n.setShare(0)
-		if again := keyed(t, n.gateway("b"), streamBody); again.Body.String() != here.Body.String() || len(other.asked) != 0 {
-			t.Errorf("%d forwards: %s", len(other.asked), again.Body)
+		if again := sendKeyed(t, n.gateway("b"), streamBody); again.Body.String() != here.Body.String() || len(other.forwarded) != 0 {
+			t.Errorf("%d forwards: %s", len(other.forwarded), again.Body)
 		}
-		away := func(server *Server) *httptest.ResponseRecorder {
+		sendSecondKey := func(server *Server) *httptest.ResponseRecorder {
 			return send(t.Context(), server, streamBody, headerIdempotencyKey, "k2")
 		}
-		first := away(n.gateway("b"))
+		first := sendSecondKey(n.gateway("b"))
 		n.setShare(1)
-		if again := away(n.gateway("c")); again.Body.String() != first.Body.String() || len(other.asked) != 2 || other.asked[1].IdempotencyKey != "k2" {
-			t.Errorf("%+v: %s", other.asked, again.Body)
+		if again := sendSecondKey(n.gateway("c")); again.Body.String() != first.Body.String() || len(other.forwarded) != 2 || other.forwarded[1].IdempotencyKey != "k2" {
+			t.Errorf("%+v: %s", other.forwarded, again.Body)
 		}
 	})
 }
 
 func TestRacingForwardsOfOneKeyGoOnlyToTheOtherSite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, other := sitesWith(t, 0)
+		n, other := newGatewaysWithOtherSite(t, 0)
 		servers := []*Server{n.gateway("a"), n.gateway("b")}
 		var group sync.WaitGroup
 		for i := range 20 {
 			group.Go(func() {
-				if answer := keyed(t, servers[i%2], streamBody); answer.Body.String() != otherEvents {
+				if answer := sendKeyed(t, servers[i%2], streamBody); answer.Body.String() != otherEvents {
 					t.Errorf("%s", answer.Body)
 				}
 			})
 		}
 		group.Wait()
-		if n.engine.runs != 0 || len(other.asked) != 20 {
-			t.Errorf("%d runs here, %d forwards", n.engine.runs, len(other.asked))
+		if n.engine.runs != 0 || len(other.forwarded) != 20 {
+			t.Errorf("%d runs here, %d forwards", n.engine.runs, len(other.forwarded))
 		}
 	})
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// stopFilter ends an answer at the first of its stop sequences. Text that may
-// be the start of one is held back until the next token decides.
+// stopFilter ends an answer at the first of its stop sequences. Text that may be the
+// start of a sequence is held back until later tokens decide.
 type stopFilter struct {
 	sequences []string
 	held      string
 }
 
-// take gives the text that may go out, and whether a sequence was found. The
-// sequence itself, and all after it, never goes out.
-func (f *stopFilter) take(text string) (out string, found bool) {
+// filter returns the text that may be sent and whether a sequence was found. The
+// sequence itself and all text after it are never sent.
+func (f *stopFilter) filter(text string) (out string, found bool) {
 	if len(f.sequences) == 0 {
 		return text, false
 	}
@@ -26,20 +26,21 @@
 	if first >= 0 {
 		return text[:first], true
 	}
-	keep := f.partial(text)
+	keep := f.partialMatch(text)
 	f.held = text[len(text)-keep:]
 	return text[:len(text)-keep], false
 }
 
-// rest gives what was held back when the answer ended of itself.
-func (f *stopFilter) rest() string {
+// flush returns the text still held back when the answer ended without a stop sequence.
+func (f *stopFilter) flush() string {
 	held := f.held
 	f.held = ""
 	return held
 }
 
-// partial is the length of the longest end of text that starts a sequence.
-func (f *stopFilter) partial(text string) int {
+// partialMatch returns the length of the longest suffix of text that is a proper
+// prefix of a sequence.
+func (f *stopFilter) partialMatch(text string) int {
 	longest := 0
 	for _, sequence := range f.sequences {
 		for length := min(len(sequence)-1, len(text)); length > longest; length-- {
--- a/internal/gateway/write.go
+++ b/internal/gateway/write.go
@@ -14,31 +14,31 @@
 	"ringstream.example/ringstream/internal/httpserver"
 )
 
-// answerForm is how a client asked for its answer.
+// answerForm is the form in which a client requested its answer.
 type answerForm struct {
 	stream       bool
 	includeUsage bool
-	once         bool // neither repeatable nor keyed
-	// deadline is when this client stops waiting, whatever the run does.
+	mayRunOnce   bool // neither repeatable nor keyed
+	// deadline is when this client stops waiting, even if the run continues.
 	deadline time.Time
 }
 
 // writeGrace is how long after its deadline a client may still read.
 const writeGrace = 30 * time.Second
 
-// headerShouldRetry stops OpenAI's clients from sending a request again of
-// themselves: one that may run only once, and may have run.
+// headerShouldRetry stops OpenAI's clients from automatically retrying a request that
+// may run only once and may have run.
 const headerShouldRetry = "X-Should-Retry"
 
-// errElsewhere ends a wait for an answer that the other site gives.
-var errElsewhere = errors.New("the other site answers")
+// errAnsweredByOtherSite ends the wait for an answer that the other site provides.
+var errAnsweredByOtherSite = errors.New("the other site answers")
 
-// writeAnswer gives a run's answer to one client, streamed or whole, and
-// returns when the answer has ended or the client has gone.
+// writeAnswer writes a run's answer to one client, streamed or as one body. It returns
+// when the answer has ended, the client has disconnected or its deadline has passed.
 func writeAnswer(c echo.Context, run *answer, form answerForm) error {
-	changed := run.follow()
-	defer run.unfollow(changed)
-	// Without support for deadlines (a test's recorder) a write has none.
+	changed := run.subscribe()
+	defer run.unsubscribe(changed)
+	// A connection without support for deadlines, such as a test's recorder, has none.
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(form.deadline.Add(writeGrace))
 	writer := answerWriter{c: c, response: c.Response(), form: form}
 	ctx, cancel := context.WithDeadline(c.Request().Context(), form.deadline)
@@ -50,17 +50,17 @@
 			if c.Request().Context().Err() != nil {
 				return errClientGone
 			}
-			late := run.now()
+			late := run.snapshot()
 			if !late.ended {
-				late.ended, late.ending = true, ending{failure: errStillRunning}
+				late.ended, late.result = true, answerResult{failure: errStillRunning}
 			}
 			return writer.write(late)
 		}
-		now := run.now()
-		if now.ended && now.ending.elsewhere {
-			return errElsewhere
+		current := run.snapshot()
+		if current.ended && current.result.answeredByOtherSite {
+			return errAnsweredByOtherSite
 		}
-		if err := writer.write(now); err != nil || now.ended {
+		if err := writer.write(current); err != nil || current.ended {
 			return err
 		}
 	}
@@ -71,45 +71,45 @@
 	c        echo.Context
 	response *echo.Response
 	form     answerForm
-	events   *envelope
+	events   *eventEncoder
 	buffer   []byte
-	position int // texts written
+	written  int // texts written
 }
 
-// write gives the client what has come since the last write.
-func (w *answerWriter) write(now progress) error {
-	if now.ended && now.ending.failure != nil && !w.response.Committed && (!w.form.stream || len(now.texts) == 0) {
-		if w.form.once && now.ending.failure.Run != outcome.Refused {
+// write sends the client what was added since the last write.
+func (w *answerWriter) write(current progress) error {
+	if current.ended && current.result.failure != nil && !w.response.Committed && (!w.form.stream || len(current.texts) == 0) {
+		if w.form.mayRunOnce && current.result.failure.Run != outcome.Refused {
 			w.response.Header().Set(headerShouldRetry, "false")
 		}
-		return now.ending.failure
+		return current.result.failure
 	}
 	if w.form.stream {
-		return w.writeEvents(now)
+		return w.writeEvents(current)
 	}
-	if !now.ended {
+	if !current.ended {
 		return nil
 	}
-	body := appendWhole(nil, now.head, now.text(), now.ending.reason, now.ending.used)
+	body := appendFullAnswer(nil, current.head, current.text(), current.result.reason, current.result.used)
 	w.response.Header().Set(echo.HeaderContentType, echo.MIMEApplicationJSON)
 	w.response.WriteHeader(http.StatusOK)
 	_, err := w.response.Write(body)
 	return err
 }
 
-// writeEvents writes all that has come in one go, so that a client that keeps
-// up gets each token at once, and one that does not gets larger writes.
-func (w *answerWriter) writeEvents(now progress) error {
+// writeEvents sends all new texts in one write, so that a client that keeps up gets
+// each token at once and a slower client gets larger writes.
+func (w *answerWriter) writeEvents(current progress) error {
 	w.buffer = w.buffer[:0]
 	if w.events == nil {
-		w.begin(now.head)
+		w.begin(current.head)
 	}
-	for _, text := range now.texts[w.position:] {
+	for _, text := range current.texts[w.written:] {
 		w.buffer = w.events.appendToken(w.buffer, text)
 	}
-	w.position = len(now.texts)
-	if now.ended {
-		w.appendEnding(now.ending)
+	w.written = len(current.texts)
+	if current.ended {
+		w.appendEnd(current.result)
 	}
 	if _, err := w.response.Write(w.buffer); err != nil {
 		return err
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// streamBuffer fits a few events; a client that keeps up needs no more.
-const streamBuffer = 2048
+// streamBufferBytes fits a few events; a client that keeps up needs no more.
+const streamBufferBytes = 2048
 
 func (w *answerWriter) begin(head answerHead) {
-	w.events = newEnvelope(head)
-	w.buffer = make([]byte, 0, streamBuffer)
+	w.events = newEventEncoder(head)
+	w.buffer = make([]byte, 0, streamBufferBytes)
 	header := w.response.Header()
 	header.Set(echo.HeaderContentType, contentTypeEvents)
 	header.Set(echo.HeaderCacheControl, "no-cache")
@@ -136,16 +136,16 @@
 
 const contentTypeEvents = "text/event-stream"
 
-// appendEnding appends the last events: the finish reason and [DONE], or an
-// error event. A stream without [DONE] is not a whole answer.
-func (w *answerWriter) appendEnding(with ending) {
-	if with.failure != nil {
-		w.buffer = appendErrorEvent(w.buffer, w.c, with.failure)
+// appendEnd appends the last events: the finish reason and [DONE], or an error event.
+// A stream without [DONE] is an incomplete answer.
+func (w *answerWriter) appendEnd(result answerResult) {
+	if result.failure != nil {
+		w.buffer = appendErrorEvent(w.buffer, w.c, result.failure)
 		return
 	}
-	w.buffer = w.events.appendFinish(w.buffer, with.reason)
+	w.buffer = w.events.appendFinish(w.buffer, result.reason)
 	if w.form.includeUsage {
-		w.buffer = w.events.appendUsage(w.buffer, with.used)
+		w.buffer = w.events.appendUsage(w.buffer, result.used)
 	}
 	w.buffer = append(w.buffer, streamDone...)
 }
@@ -153,9 +153,9 @@
 func appendErrorEvent(buffer []byte, c echo.Context, failure *apierror.Error) []byte {
 	encoded, err := json.Marshal(httpserver.NewErrorBody(c, failure))
 	if err != nil {
-		panic(err) // every part of the body can be encoded
+		panic(err) // every field of the body can be encoded
 	}
-	buffer = append(buffer, "event: error\n"+eventOpen...)
+	buffer = append(buffer, "event: error\n"+eventPrefix...)
 	buffer = append(buffer, encoded...)
-	return append(buffer, eventClose...)
+	return append(buffer, eventSuffix...)
 }
