--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config sets how a node watches the fleet.
+// Config holds the settings for watching the engine fleet.
 type Config struct {
 	MachineListInterval time.Duration `koanf:"machine_list_interval" usage:"pause between two readings of the machine list"`
 	LoadInterval        time.Duration `koanf:"load_interval" usage:"shortest pause between two load reports of one engine"`
@@ -17,7 +17,7 @@
 	PrefixIndexSize     int           `koanf:"prefix_index_size" usage:"prompt blocks remembered for prefix reuse"`
 }
 
-// DefaultConfig suits fleets of any size.
+// DefaultConfig returns settings that suit fleets of any size.
 func DefaultConfig() Config {
 	return Config{
 		MachineListInterval: 500 * time.Millisecond,
@@ -31,7 +31,7 @@
 	}
 }
 
-// Validate names the first key that is wrong.
+// Validate returns an error that names the first invalid key.
 func (c Config) Validate() error {
 	durations := []struct {
 		key   string
--- a/internal/fleet/engine.go
+++ b/internal/fleet/engine.go
@@ -11,29 +11,29 @@
 	"ringstream.example/ringstream/internal/core/routing"
 )
 
-// Engine is this node's handle of one engine: its client, its last report and
-// what this node has running on it. Reading it takes no lock.
+// Engine is this node's handle of one engine. It holds the engine's client, its
+// last load report and the work of this node on it. Reads take no lock.
 type Engine struct {
 	ID     identity.EngineID
 	Client backend.Engine
-	// Dispatchers names the nodes that send to this engine, this one included.
+	// dispatchers holds the nodes that send work to this engine, including this one.
 	dispatchers atomic.Pointer[[]identity.NodeID]
 
 	machine  atomic.Pointer[backend.Machine]
 	distance routing.Distance
-	order    atomic.Int32 // place in the order that all nodes share
+	order    atomic.Int32 // position in the order that all nodes share
 	slot     int
 	report   atomic.Pointer[report]
 	online   atomic.Int32
 	batch    atomic.Int32
-	prefill  atomic.Int64  // prompt tokens of own online work without a first token
+	prefill  atomic.Int64  // prompt tokens of this node's online work without a first token
 	state    atomic.Uint32 // health.State
-	leaving  atomic.Bool   // by its own report; sticks until it reports otherwise
-	// lastOnline is when online work was last seen on it, in Unix nanoseconds.
+	leaving  atomic.Bool   // set by the engine's own report or refusal until a report clears it
+	// lastOnline is when online work was last seen on the engine, in Unix nanoseconds.
 	lastOnline atomic.Int64
 
-	// mutex guards what follows; it is held for a few instructions, and no
-	// other lock is taken under it.
+	// mutex guards the fields below. It is held for a few instructions, and no
+	// other lock is acquired while it is held.
 	mutex      sync.Mutex
 	inFlight   routing.InFlight
 	health     health.Machine
@@ -42,18 +42,19 @@
 	nextEvents time.Time
 }
 
-// report is a load report and this node's part in it.
+// report is a load report with this node's share of the reported work.
 type report struct {
 	load     backend.EngineLoad
 	variants []routing.Variant
-	// ownOnline and ownBatch are what this node had running when it was measured.
+	// ownOnline and ownBatch count this node's sequences on the engine when the
+	// report was measured.
 	ownOnline, ownBatch int
 }
 
-// Machine is the engine's latest entry in the machine list.
+// Machine returns the engine's latest entry in the machine list.
 func (e *Engine) Machine() backend.Machine { return *e.machine.Load() }
 
-// Dispatchers names the nodes that send work to this engine.
+// Dispatchers returns the nodes that send work to this engine.
 func (e *Engine) Dispatchers() []identity.NodeID {
 	if nodes := e.dispatchers.Load(); nodes != nil {
 		return *nodes
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Load is the engine's last report; false before the first.
+// Load returns the engine's last load report, or false before the first one.
 func (e *Engine) Load() (backend.EngineLoad, bool) {
 	if last := e.report.Load(); last != nil {
 		return last.load, true
@@ -87,14 +88,14 @@
 	e.mutex.Unlock()
 }
 
-// AddPrefill counts prompt tokens that the engine must compute before a first
-// token; a negative count takes them off.
+// AddPrefill adds prompt tokens that the engine must compute before a first
+// token. A negative count subtracts them.
 func (e *Engine) AddPrefill(tokens int) { e.prefill.Add(int64(tokens)) }
 
-// Own gives this node's sequences on the engine.
+// Own returns the number of this node's sequences on the engine.
 func (e *Engine) Own() (online, batch int) { return int(e.online.Load()), int(e.batch.Load()) }
 
-// Candidate gives the engine as a routing decision sees it now.
+// Candidate returns the engine's present state as input for a routing decision.
 func (e *Engine) Candidate() routing.Candidate {
 	machine := e.machine.Load()
 	state := health.State(e.state.Load())
@@ -114,15 +115,15 @@
 	candidate.MaxRunning = load.MaxRunning
 	reportedOnline, reportedBatch := load.RunningOnline, load.RunningBatch
 	if load.RunningBatch > 0 {
-		reportedBatch += load.Waiting // online work would have taken a place of batch's
+		reportedBatch += load.Waiting // waiting online work would have preempted batch work
 	} else {
 		reportedOnline += load.Waiting
 	}
 	candidate.Online = max(reportedOnline+online-last.ownOnline, online)
 	dispatchers := max(len(e.Dispatchers()), 1)
-	alike := (online - last.ownOnline) * dispatchers
+	onlineGrowth := (online - last.ownOnline) * dispatchers
 	candidate.Prefill = int(e.prefill.Load()) * dispatchers
-	candidate.Expected = max(reportedOnline+alike, online)
+	candidate.Expected = max(reportedOnline+onlineGrowth, online)
 	candidate.Batch = max(reportedBatch+batch-last.ownBatch, batch)
 	if load.KVCapacity > 0 {
 		candidate.KVUsed = float64(load.KVUsed) / float64(load.KVCapacity)
@@ -130,16 +131,17 @@
 	return candidate
 }
 
-// oldestReport bounds how far back a report's own time is believed.
-const oldestReport = 10 * time.Second
+// maxReportAge bounds the age of a report by its own time; an earlier time is
+// raised to this bound.
+const maxReportAge = 10 * time.Second
 
-// take stores a load report that arrived now.
-func (e *Engine) take(now time.Time, load backend.EngineLoad) {
+// applyReport stores a load report that arrived at now.
+func (e *Engine) applyReport(now time.Time, load backend.EngineLoad) {
 	measured := load.ReportedAt
 	if measured.After(now) {
 		measured = now
 	}
-	if oldest := now.Add(-oldestReport); measured.Before(oldest) {
+	if oldest := now.Add(-maxReportAge); measured.Before(oldest) {
 		measured = oldest
 	}
 	next := &report{load: load, variants: make([]routing.Variant, len(load.Models))}
@@ -156,8 +158,9 @@
 	e.mutex.Unlock()
 }
 
-// step runs one transition of the health machine and says what it was before.
-func (e *Engine) step(transition func(*health.Machine) health.State) (before, after health.State) {
+// applyTransition runs one transition of the health machine and returns the
+// states before and after it.
+func (e *Engine) applyTransition(transition func(*health.Machine) health.State) (before, after health.State) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	before = e.health.State()
@@ -166,8 +169,8 @@
 	return before, after
 }
 
-// OnlineIdle is for how long no online work has been seen on the engine; zero
-// until a report measured since then has confirmed that none is there.
+// OnlineIdle returns how long no online work has been seen on the engine. It is
+// zero until a report measured after the last sighting has arrived.
 func (e *Engine) OnlineIdle(now time.Time) time.Duration {
 	seen := time.Unix(0, e.lastOnline.Load())
 	if last := e.report.Load(); last == nil || last.load.ReportedAt.Before(seen) {
@@ -176,15 +179,15 @@
 	return now.Sub(seen)
 }
 
-// sawOnline records that another node has sent online work to the engine, and
-// has it asked for its load soon.
-func (e *Engine) sawOnline(now time.Time, reportWithin time.Duration) {
+// recordOnline records that another node has sent online work to the engine and
+// schedules the next load report within reportWithin.
+func (e *Engine) recordOnline(now time.Time, reportWithin time.Duration) {
 	e.lastOnline.Store(now.UnixNano())
-	e.pollBy(now.Add(reportWithin))
+	e.advancePoll(now.Add(reportWithin))
 }
 
-// pollBy has the engine asked for its load no later than due.
-func (e *Engine) pollBy(due time.Time) {
+// advancePoll schedules the next load report no later than due.
+func (e *Engine) advancePoll(due time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.nextPoll.After(due) {
@@ -192,10 +195,10 @@
 	}
 }
 
-// BatchShareSpent says whether this node has taken its part of the capacity that the
-// last report showed idle. Several nodes grant batch work on one engine without asking
-// each other; each takes an even part of what was idle until the next report, so that
-// together they do not overfill it.
+// BatchShareSpent reports whether this node has used its share of the capacity that
+// the last report showed idle. Several nodes grant batch work on one engine without
+// coordination. Until the next report, each uses an even share of the idle capacity,
+// so that together they do not overload the engine.
 func (e *Engine) BatchShareSpent(allowed int) bool {
 	last := e.report.Load()
 	if last == nil {
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -9,7 +9,7 @@
 	ejections    prometheus.Counter
 }
 
-// newMetrics makes the metrics and registers them when there is a registerer.
+// newMetrics creates the metrics and registers them if registerer is not nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Namespace: "ringstream", Subsystem: "fleet", Name: name, Help: help})
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -11,10 +11,10 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// scheduleInterval is how often due polls are looked for.
+// scheduleInterval is the interval of the search for due polls.
 const scheduleInterval = 20 * time.Millisecond
 
-// schedulePolls hands engines whose report is due to the poll workers.
+// schedulePolls passes engines whose load report is due to the poll workers.
 func (s *Service) schedulePolls(ctx context.Context) {
 	ticker := time.NewTicker(scheduleInterval)
 	defer ticker.Stop()
@@ -25,7 +25,7 @@
 				continue
 			}
 			select {
-			case s.due <- engine:
+			case s.duePolls <- engine:
 			case <-ctx.Done():
 				return
 			}
@@ -38,7 +38,8 @@
 	}
 }
 
-// claimPoll marks the engine as being polled when its report is due.
+// claimPoll marks the engine as being polled if its report is due, and reports
+// whether it did.
 func (e *Engine) claimPoll(now time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -54,13 +55,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case engine := <-s.due:
+		case engine := <-s.duePolls:
 			s.poll(ctx, engine)
 		}
 	}
 }
 
-// poll asks one engine for its load and, when due, its cache events.
+// poll requests the load report of one engine and, when due, its cache events.
 func (s *Service) poll(ctx context.Context, engine *Engine) {
 	callCtx, cancel := context.WithTimeout(ctx, s.config.PollTimeout)
 	defer cancel()
@@ -72,34 +73,35 @@
 	if err != nil {
 		s.metrics.pollFailures.Inc()
 		s.transition(engine, "no load report: "+err.Error(), func(m *health.Machine) health.State { return m.Unreachable(now) })
-		engine.donePoll(now, s.interval(engine))
+		engine.finishPoll(now, s.pollInterval(engine))
 		return
 	}
 	s.metrics.polls.Inc()
 	if load.Leaving && !engine.leaving.Load() {
 		events.EngineLeaving.Log(s.logger, zap.String("engine", string(engine.ID)), zap.String("source", "load report"))
 	}
-	engine.take(now, load)
+	engine.applyReport(now, load)
 	before := health.State(engine.state.Load())
 	s.transition(engine, "", func(m *health.Machine) health.State { return m.Answered(now) })
 	if before == health.Ejected {
-		s.resetPrefixes(engine) // it may have restarted: its cache and its event numbers begin anew
+		s.resetPrefixes(engine) // a restarted engine has an empty cache and new event numbers
 	}
 	s.readCacheEvents(callCtx, engine, now)
-	engine.donePoll(now, s.interval(engine))
+	engine.finishPoll(now, s.pollInterval(engine))
 	s.Notify()
 }
 
-func (e *Engine) donePoll(now time.Time, interval time.Duration) {
+func (e *Engine) finishPoll(now time.Time, interval time.Duration) {
 	e.mutex.Lock()
 	e.polling = false
 	e.nextPoll = now.Add(interval)
 	e.mutex.Unlock()
 }
 
-// interval gives the pause until an engine's next report: short while this
-// node has work on it, and never so short that the budget of polls is passed.
-func (s *Service) interval(engine *Engine) time.Duration {
+// pollInterval returns the pause until an engine's next load report. It is short
+// while this node has work on the engine or online work was seen there recently,
+// and never so short that the polls exceed PollsPerSecond.
+func (s *Service) pollInterval(engine *Engine) time.Duration {
 	wanted := s.config.IdleLoadInterval
 	seen := time.Unix(0, engine.lastOnline.Load())
 	if online, batch := engine.Own(); online+batch > 0 || time.Since(seen) < s.config.IdleLoadInterval {
@@ -120,7 +122,7 @@
 	s.prefixMutex.RUnlock()
 	published, err := engine.Client.CacheEvents(ctx, since)
 	if err != nil {
-		return // hints only: the next reading has them
+		return // the events are only hints, and the next call returns them
 	}
 	s.prefixMutex.Lock()
 	defer s.prefixMutex.Unlock()
@@ -138,21 +140,21 @@
 	s.prefixMutex.Unlock()
 }
 
-// WithPrefixes runs a routing decision with the prefix index.
+// WithPrefixes calls decide with the prefix index, under its read lock.
 func (s *Service) WithPrefixes(decide func(*routing.PrefixIndex)) {
 	s.prefixMutex.RLock()
 	defer s.prefixMutex.RUnlock()
 	decide(s.prefixes)
 }
 
-// Sent records that a prompt went to an engine, whose cache will hold it.
+// Sent records that a prompt was sent to an engine, whose cache will hold it.
 func (s *Service) Sent(engine *Engine, prefix []uint64) {
 	s.prefixMutex.Lock()
 	s.prefixes.Expect(engine.slot, prefix)
 	s.prefixMutex.Unlock()
 }
 
-// Worked records a first token: the engine does its work.
+// Worked records a first token, which shows that the engine makes progress.
 func (s *Service) Worked(engine *Engine) {
 	if health.State(engine.state.Load()) == health.Healthy {
 		return
@@ -160,19 +162,19 @@
 	s.transition(engine, "", func(m *health.Machine) health.State { return m.Worked() })
 }
 
-// Hung records that a stream stood still for longer than its limit.
+// Hung records that a stream stalled for longer than its limit.
 func (s *Service) Hung(engine *Engine, cause string) {
 	s.transition(engine, cause, func(m *health.Machine) health.State { return m.Hung(time.Now()) })
 }
 
-// Unreachable records a call that got no answer.
+// Unreachable records a call without a response.
 func (s *Service) Unreachable(engine *Engine, cause string) {
 	s.transition(engine, cause, func(m *health.Machine) health.State { return m.Unreachable(time.Now()) })
 }
 
 // OnlineArrived records that another node has sent online work to the engine.
 func (s *Service) OnlineArrived(engine *Engine) {
-	engine.sawOnline(time.Now(), s.config.LoadInterval)
+	engine.recordOnline(time.Now(), s.config.LoadInterval)
 	s.Notify()
 }
 
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -1,12 +1,14 @@
-// Package fleet is this node's picture of the engines: which there are, which
-// of them this node dispatches to, how loaded they are, what their prefix caches
-// hold, and which do not answer. It sends no requests of callers.
+// Package fleet tracks the engines: which exist, which of them this node
+// dispatches to, their load, the contents of their prefix caches, and which do
+// not respond. It sends no caller requests.
 //
-// It holds no lease: while nodes disagree on the member list, an engine has a
-// dispatcher more or fewer for a moment, and its load is estimated less well.
+// It holds no lease. While nodes disagree on the member list, an engine may
+// briefly have too many or too few dispatchers, and its load estimate is less
+// accurate.
 //
-// Lock order: Service.mutex before Engine.mutex; Service.prefixMutex is taken
-// alone. Reading a Snapshot takes no lock.
+// Lock order: Service.mutex before Engine.mutex. Service.prefixMutex is
+// acquired last, and no other lock is acquired while it is held. Reading a Snapshot
+// takes no lock.
 package fleet
 
 import (
@@ -32,20 +34,21 @@
 	"ringstream.example/ringstream/internal/peer"
 )
 
-// Snapshot is the engines that this node dispatches to. It never changes; the
-// engines' own state does.
+// Snapshot holds the engines that this node dispatches to. The set is immutable;
+// the state of each engine is not.
 type Snapshot struct {
 	pools map[string][]*Engine
 	byID  map[identity.EngineID]*Engine
 }
 
-// Pool gives a pool's engines; the caller must not change the slice.
+// Pool returns a pool's engines. The caller must not modify the slice.
 func (s *Snapshot) Pool(name string) []*Engine { return s.pools[name] }
 
-// Engines gives all engines of the subset by id; the caller must not change it.
+// Engines returns all engines of the subset by ID. The caller must not modify
+// the map.
 func (s *Snapshot) Engines() map[identity.EngineID]*Engine { return s.byID }
 
-// Service keeps the picture up to date.
+// Service keeps the snapshot of the engines up to date.
 type Service struct {
 	config   Config
 	machines backend.MachineList
@@ -55,47 +58,47 @@
 	metrics  *metrics
 
 	snapshot atomic.Pointer[Snapshot]
-	changed  chan struct{} // signalled, at most once pending, when capacity may have changed
+	changed  chan struct{} // signals a possible change of capacity; holds at most one pending signal
 
-	mutex   sync.Mutex
-	version uint64
-	list    map[identity.EngineID]backend.Machine
-	engines map[identity.EngineID]*Engine // the subset
-	slots   [routing.MaxSlots]bool
-	chooser *subset.Chooser
-	// elsewhere is the engines of each pool that only other nodes dispatch to.
-	elsewhere map[string][]identity.EngineID
-	due       chan *Engine
+	mutex       sync.Mutex
+	version     uint64
+	machineList map[identity.EngineID]backend.Machine
+	engines     map[identity.EngineID]*Engine // the subset that this node dispatches to
+	slots       [routing.MaxSlots]bool
+	chooser     *subset.Chooser
+	// remoteEngines lists the engines of each pool that only other nodes dispatch to.
+	remoteEngines map[string][]identity.EngineID
+	duePolls      chan *Engine
 
 	prefixMutex sync.RWMutex
 	prefixes    *routing.PrefixIndex
 }
 
-// New makes a service; it does nothing before Run.
+// New creates a service, which is idle until Run is called.
 func New(config Config, machines backend.MachineList, engines backend.Engines, bus peer.Bus, logger *zap.Logger, registerer prometheus.Registerer) *Service {
 	service := &Service{
 		config: config, machines: machines, clients: engines, bus: bus, logger: logger,
-		metrics: newMetrics(registerer),
-		changed: make(chan struct{}, 1),
-		list:    make(map[identity.EngineID]backend.Machine),
-		engines: make(map[identity.EngineID]*Engine),
+		metrics:     newMetrics(registerer),
+		changed:     make(chan struct{}, 1),
+		machineList: make(map[identity.EngineID]backend.Machine),
+		engines:     make(map[identity.EngineID]*Engine),
 
-		elsewhere: make(map[string][]identity.EngineID),
-		due:       make(chan *Engine),
-		prefixes:  routing.NewPrefixIndex(config.PrefixIndexSize),
+		remoteEngines: make(map[string][]identity.EngineID),
+		duePolls:      make(chan *Engine),
+		prefixes:      routing.NewPrefixIndex(config.PrefixIndexSize),
 	}
 	service.snapshot.Store(&Snapshot{})
 	return service
 }
 
-// Snapshot is the present picture; it is cheap and never blocks.
+// Snapshot returns the current snapshot. It is cheap and never blocks.
 func (s *Service) Snapshot() *Snapshot { return s.snapshot.Load() }
 
-// Changed signals that engines came, went, reported or freed capacity. It has
-// one reader.
+// Changed returns a channel that signals that engines were added or removed,
+// reported, or freed capacity. It supports one reader.
 func (s *Service) Changed() <-chan struct{} { return s.changed }
 
-// Notify signals Changed.
+// Notify sends a signal on the Changed channel unless one is pending.
 func (s *Service) Notify() {
 	select {
 	case s.changed <- struct{}{}:
@@ -103,14 +106,14 @@
 	}
 }
 
-// Client opens any engine of the machine list, also one outside the subset;
-// false when the list does not have it.
+// Client returns a client for any engine of the machine list, including engines
+// outside the subset. It returns false if the engine is not listed.
 func (s *Service) Client(id identity.EngineID) (backend.Engine, bool) {
 	if engine, ok := s.Snapshot().byID[id]; ok {
 		return engine.Client, true
 	}
 	s.mutex.Lock()
-	machine, ok := s.list[id]
+	machine, ok := s.machineList[id]
 	s.mutex.Unlock()
 	if !ok {
 		return nil, false
@@ -118,17 +121,17 @@
 	return s.clients.Engine(machine), true
 }
 
-// Elsewhere gives a node that dispatches to an engine of the pool outside this
-// node's subset, drawn at random; false when there is none. Every node computes
-// it from the machine list and the member list, so that no message is needed.
+// Elsewhere returns a random node that dispatches to an engine of the pool
+// outside this node's subset, or false if there is none. Every node computes the
+// dispatchers from the machine list and the member list, so no message is needed.
 func (s *Service) Elsewhere(pool string, random routing.Random) (identity.NodeID, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	others := s.elsewhere[pool]
+	others := s.remoteEngines[pool]
 	if len(others) == 0 {
 		return "", false
 	}
-	machine := s.list[others[random.Uint64()%uint64(len(others))]]
+	machine := s.machineList[others[random.Uint64()%uint64(len(others))]]
 	nodes := s.chooser.Dispatchers(machine.EngineID(), machine.Zone, machine.Region)
 	if len(nodes) == 0 {
 		return "", false
@@ -136,7 +139,7 @@
 	return nodes[random.Uint64()%uint64(len(nodes))], true
 }
 
-// Run watches the fleet until the context ends.
+// Run watches the fleet until ctx is done. Its error is always nil.
 func (s *Service) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
 	for range s.config.PollWorkers {
@@ -148,8 +151,8 @@
 	return nil
 }
 
-// watchMachines reads the machine list at its pace and recomputes the subset
-// when the list or the members change.
+// watchMachines reads the machine list every MachineListInterval and recomputes
+// the subset when the list or the members change.
 func (s *Service) watchMachines(ctx context.Context) {
 	pause := time.NewTimer(s.config.MachineListInterval)
 	defer pause.Stop()
@@ -163,10 +166,10 @@
 		}
 		failing = err != nil
 		if listChanged || membersChanged {
-			s.choose(s.bus.View())
+			s.updateSubset(s.bus.View())
 		}
 		membersChanged = false
-		pause.Reset(s.config.MachineListInterval) // a slow list is not asked for again at once
+		pause.Reset(s.config.MachineListInterval) // avoids an immediate second read after a slow one
 		select {
 		case <-ctx.Done():
 			return
@@ -174,7 +177,7 @@
 		case <-changed:
 		}
 		select {
-		case <-changed: // also when the pause was over first
+		case <-changed: // also checked when the timer fired first
 			changed = s.bus.Changed()
 			membersChanged = true
 		default:
@@ -182,8 +185,8 @@
 	}
 }
 
-// readMachines takes the list's changes. The list lags and can be down: what
-// was known stays in force until it answers again.
+// readMachines reads changes of the machine list. The list lags and can be
+// unavailable; the last known list stays in use until it responds again.
 func (s *Service) readMachines(ctx context.Context) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.PollTimeout)
 	defer cancel()
@@ -197,17 +200,17 @@
 		return false, nil
 	}
 	s.version = reading.Version
-	clear(s.list)
+	clear(s.machineList)
 	for _, machine := range reading.Machines {
 		if machine.Kind == backend.MachineEngine {
-			s.list[machine.EngineID()] = machine
+			s.machineList[machine.EngineID()] = machine
 		}
 	}
 	return true, nil
 }
 
-// choose recomputes this node's subset and publishes a snapshot when it changed.
-func (s *Service) choose(view membership.View) {
+// updateSubset recomputes this node's subset and publishes a snapshot if it changed.
+func (s *Service) updateSubset(view membership.View) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	self, known := view.Member(view.Self)
@@ -215,21 +218,21 @@
 	if known && self.State == membership.Leaving {
 		live = append(live, self) // a draining node still resumes its streams
 	}
-	chooser := subset.NewChooser(live, len(s.list))
+	chooser := subset.NewChooser(live, len(s.machineList))
 	next := make(map[identity.EngineID]*Engine)
 	s.chooser = chooser
-	clear(s.elsewhere)
-	for id, machine := range s.list {
+	clear(s.remoteEngines)
+	for id, machine := range s.machineList {
 		dispatchers := chooser.Dispatchers(id, machine.Zone, machine.Region)
 		if len(live) > 0 && !slices.Contains(dispatchers, view.Self) {
 			if !machine.Leaving {
-				s.elsewhere[machine.Pool] = append(s.elsewhere[machine.Pool], id)
+				s.remoteEngines[machine.Pool] = append(s.remoteEngines[machine.Pool], id)
 			}
 			continue
 		}
 		engine, known := s.engines[id]
 		if !known || engine.Machine().Address != machine.Address {
-			engine = s.open(machine, self)
+			engine = s.newEngine(machine, self)
 		}
 		if machine.Leaving && !engine.Machine().Leaving {
 			events.EngineLeaving.Log(s.logger, zap.String("engine", machine.ID), zap.String("source", "machine list"))
@@ -241,8 +244,9 @@
 	s.publish(next)
 }
 
-// open makes the handle of an engine that is new to the subset.
-func (s *Service) open(machine backend.Machine, self membership.Member) *Engine {
+// newEngine creates the handle of an engine that is new to the subset or has a
+// new address.
+func (s *Service) newEngine(machine backend.Machine, self membership.Member) *Engine {
 	engine := &Engine{ID: machine.EngineID(), Client: s.clients.Engine(machine), slot: s.takeSlot()}
 	switch {
 	case machine.Zone == self.Zone:
@@ -257,7 +261,7 @@
 	return engine
 }
 
-// publish replaces the subset when it changed.
+// publish replaces the subset and the snapshot if the subset changed.
 func (s *Service) publish(next map[identity.EngineID]*Engine) {
 	if maps.Equal(next, s.engines) {
 		return
@@ -269,29 +273,30 @@
 		}
 	}
 	s.engines = next
-	number(next)
+	assignOrder(next)
 	snapshot := &Snapshot{pools: make(map[string][]*Engine), byID: next}
 	for _, engine := range next {
 		pool := engine.Machine().Pool
 		snapshot.pools[pool] = append(snapshot.pools[pool], engine)
 	}
 	s.snapshot.Store(snapshot)
-	s.planPolls(next)
+	s.advancePolls(next)
 	s.metrics.engines.Set(float64(len(next)))
 	s.Notify()
 }
 
-// planPolls brings forward what was planned for a larger subset: a node that
-// starts knows only itself and has all engines of the list in its subset.
-func (s *Service) planPolls(engines map[identity.EngineID]*Engine) {
+// advancePolls reschedules polls that were planned for a larger subset. A node
+// that starts knows only itself, so its subset holds all engines of the list.
+func (s *Service) advancePolls(engines map[identity.EngineID]*Engine) {
 	now := time.Now()
 	for _, engine := range engines {
-		engine.pollBy(now.Add(s.interval(engine)))
+		engine.advancePoll(now.Add(s.pollInterval(engine)))
 	}
 }
 
-// number gives the engines their places in the order that all nodes share.
-func number(engines map[identity.EngineID]*Engine) {
+// assignOrder sets each engine's position in its pool, in the order that all
+// nodes share.
+func assignOrder(engines map[identity.EngineID]*Engine) {
 	ordered := slices.SortedFunc(maps.Values(engines), func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(string(a.ID)), xxhash.Sum64String(string(b.ID))), cmp.Compare(a.ID, b.ID))
 	})
@@ -323,9 +328,10 @@
 	s.prefixMutex.Unlock()
 }
 
-// transition runs one step of an engine's health and logs what changed.
+// transition runs one transition of an engine's health machine and logs a change
+// of state.
 func (s *Service) transition(engine *Engine, cause string, step func(*health.Machine) health.State) {
-	before, after := engine.step(step)
+	before, after := engine.applyTransition(step)
 	if before == after {
 		return
 	}
--- a/internal/fleet/service_test.go
+++ b/internal/fleet/service_test.go
@@ -18,7 +18,7 @@
 	"ringstream.example/ringstream/internal/peer/peertest"
 )
 
-// countingEngine counts the load reports that it is asked for.
+// countingEngine counts the requests for its load report.
 type countingEngine struct {
 	backend.Engine
 	polls atomic.Int64
@@ -33,7 +33,7 @@
 	return nil, nil
 }
 
-// countingPlatform is a machine list and its engines.
+// countingPlatform is a fixed machine list with its engines.
 type countingPlatform struct {
 	machines []backend.Machine
 	engines  map[string]*countingEngine
@@ -50,9 +50,9 @@
 	return p.engines[machine.ID]
 }
 
-// A node that starts knows only itself, takes every engine into its subset and
-// plans their polls minutes ahead; once it knows the others, the engines that
-// it keeps are asked at the pace of the smaller subset.
+// A node that starts knows only itself, so its subset holds every engine and
+// their polls are scheduled minutes ahead. Once it knows the other nodes, the
+// remaining engines must be polled at the rate of the smaller subset.
 func TestPollsFollowTheSubsetWhenItShrinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const engines, nodes = 6000, 170
@@ -80,7 +80,7 @@
 		time.Sleep(10 * time.Second)
 		for id := range subset {
 			if target.engines[string(id)].polls.Load() == before[id] {
-				t.Fatalf("engine %s of a subset of %d was not asked for its load for 10 s", id, len(subset))
+				t.Fatalf("engine %s of a subset of %d was not polled for 10 s", id, len(subset))
 			}
 		}
 		cancel()
@@ -88,22 +88,23 @@
 	})
 }
 
-// slowList is a machine list that answers late.
+// slowList is a machine list with a slow response.
 type slowList struct {
 	*countingPlatform
-	takes time.Duration
+	delay time.Duration
 }
 
 func (l *slowList) Machines(ctx context.Context, since uint64) (backend.MachineSnapshot, error) {
-	time.Sleep(l.takes)
+	time.Sleep(l.delay)
 	return l.countingPlatform.Machines(ctx, since)
 }
 
-// TestMembersThatChangeWithTheTickerAreHeard has members come while the list
-// is read, so that the ticker and the change wait together: whichever is taken
-// first, the other must not be lost. A change was forgotten when the ticker was
-// taken, which TestPollsFollowTheSubsetWhenItShrinks showed once in CI.
-func TestMembersThatChangeWithTheTickerAreHeard(t *testing.T) {
+// TestMemberChangesDuringSlowListReadAreApplied adds members while the list
+// is read, so that the timer and the member change are pending together. Neither
+// may be lost, whichever is received first. An earlier version lost the change
+// when it received the timer first; TestPollsFollowTheSubsetWhenItShrinks failed
+// once in CI for this reason.
+func TestMemberChangesDuringSlowListReadAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const engines, rounds = 400, 12
 		target := &slowList{countingPlatform: &countingPlatform{engines: map[string]*countingEngine{}}}
@@ -113,7 +114,7 @@
 			target.engines[id] = &countingEngine{}
 		}
 		config := DefaultConfig()
-		target.takes = config.MachineListInterval * 3 / 2
+		target.delay = config.MachineListInterval * 3 / 2
 		network := peertest.New(peertest.Options{})
 		bus := network.Add(membership.Member{ID: "node-0", Zone: "z", Region: "r"})
 		service := New(config, target, target, bus, zap.NewNop(), nil)
@@ -121,11 +122,11 @@
 		done := make(chan error, 1)
 		go func() { done <- service.Run(ctx) }()
 		for round := range rounds {
-			time.Sleep(target.takes * 5 / 2) // into the middle of a reading
+			time.Sleep(target.delay * 5 / 2) // into the middle of a read
 			for i := range 20 {
 				network.Add(membership.Member{ID: identity.NodeID(fmt.Sprintf("node-%d-%d", round, i)), Zone: "z", Region: "r"})
 			}
-			time.Sleep(target.takes * 4)
+			time.Sleep(target.delay * 4)
 			live := bus.View().Live()
 			chooser := subset.NewChooser(live, engines)
 			want := 0
