--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -1,10 +1,10 @@
 // Package idempotency keeps the records of idempotency keys in the platform's
-// table service, and large results in its object store. It carries out what
-// core/idempotency decides; it never runs a request.
+// table service, and large results in its object store. It applies the decisions
+// of core/idempotency and never runs a request.
 //
-// A key costs two transactions: its claim and its result. A claim is not
-// renewed: its expiry lies behind the request's deadline, and a dead owner's
-// claim is taken over as soon as membership knows of the death.
+// A key costs two transactions: its claim and its result. A claim is not renewed,
+// because its expiry is later than the request's deadline. The claim of a dead
+// owner is taken over once membership reports the owner dead.
 package idempotency
 
 import (
@@ -28,31 +28,31 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// Config sets how long keys count and what they may cost.
+// Config holds the settings for the retention and the storage of keys.
 type Config struct {
 	Retention     time.Duration `koanf:"retention" usage:"how long a key gives the same answer, from its last claim"`
 	InlineLimit   int           `koanf:"inline_limit" unit:"bytes" usage:"largest result kept in the table; larger ones go to the object store"`
 	SweepInterval time.Duration `koanf:"sweep_interval" usage:"pause between two pages of the search for expired keys"`
 }
 
-// DefaultConfig keeps keys for a day.
+// DefaultConfig returns settings that retain keys for a day.
 func DefaultConfig() Config {
 	return Config{Retention: 24 * time.Hour, InlineLimit: 8 << 10, SweepInterval: 30 * time.Second}
 }
 
-// Validate checks the settings; its errors name the key.
+// Validate checks the settings. Its errors name the invalid keys.
 func (c Config) Validate() error {
 	return errors.Join(
-		configcheck.AtLeast("retention", c.Retention, leastRetention),
+		configcheck.AtLeast("retention", c.Retention, minRetention),
 		configcheck.AtLeast("inline_limit", c.InlineLimit, 0),
 		configcheck.Positive("sweep_interval", c.SweepInterval),
 	)
 }
 
-// leastRetention is longer than any run, so that none outlives its record.
-const leastRetention = time.Hour
+// minRetention exceeds the duration of any run, so that no run outlives its record.
+const minRetention = time.Hour
 
-// Members is what the store needs of peer.Bus.
+// Members is the part of peer.Bus that the store uses.
 type Members interface {
 	Self() identity.NodeID
 	View() membership.View
@@ -67,12 +67,12 @@
 	logger  *zap.Logger
 }
 
-// New makes a store; Run sweeps expired keys.
+// New creates a store. Run must be called to delete expired keys.
 func New(config Config, client *store.Client, objects backend.Objects, members Members, logger *zap.Logger) *Store {
 	return &Store{config: config, client: client, objects: objects, members: members, logger: logger}
 }
 
-// Key is a caller's key; tenants do not share keys.
+// Key is an idempotency key in the namespace of its tenant.
 type Key struct {
 	Tenant identity.TenantID
 	Key    string
@@ -80,8 +80,9 @@
 
 const recordPrefix = "idempotency/"
 
-// name gives the key's record; its first digits are its sweep shard.
-func (k Key) name() string {
+// recordName returns the name of the key's record. The first two hex digits after
+// recordPrefix are its sweep shard.
+func (k Key) recordName() string {
 	digest := sha256.Sum256([]byte(string(k.Tenant) + "\x00" + k.Key))
 	return recordPrefix + hex.EncodeToString(digest[:])
 }
@@ -90,14 +91,14 @@
 type Ask struct {
 	Key    Key
 	Digest string
-	// Site is where the row's share puts a new key.
+	// Site is the site that the row's share selects for a new key.
 	Site   site.Site
 	Hopped bool
-	// Expiry is when a claim made now may be taken over.
+	// Expiry is the time from which a claim made now may be taken over.
 	Expiry time.Time
 }
 
-// Decision is what the request does next.
+// Decision is the next action for a request.
 type Decision struct {
 	Action core.Action
 	Result []byte      // for Read
@@ -106,35 +107,36 @@
 	Claim  *Claim      // for Run, Resume and Forward
 }
 
-// ErrUnreadable is a stored record that this version cannot read.
+// ErrUnreadable is returned for a stored record that this version cannot decode.
 var ErrUnreadable = errors.New("unreadable idempotency record")
 
-// maxRaces bounds the claims that one Ask loses before it gives up.
-const maxRaces = 8
+// maxClaimConflicts bounds the claim attempts of one Ask. After that many
+// conflicts, Ask returns the Wait action.
+const maxClaimConflicts = 8
 
-// Ask decides, and commits the claim that the decision needs. An error means
-// that the store did not answer and that nothing runs on behalf of this ask.
+// Ask decides the next action for a request and commits the claim that the
+// decision needs. After an error, nothing may run on behalf of the request.
 func (s *Store) Ask(ctx context.Context, ask Ask) (Decision, error) {
-	name := ask.Key.name()
-	stored := current{} // most keys are new: try the claim before any read
-	for range maxRaces {
-		decided := core.Decide(stored.record, s.coreAsk(ask, stored.record.Owner))
+	name := ask.Key.recordName()
+	stored := storedRecord{} // most keys are new, so the first claim is attempted without a read
+	for range maxClaimConflicts {
+		decided := core.Decide(stored.record, s.coreRequest(ask, stored.record.Owner))
 		switch decided.Action {
 		case core.Run, core.Resume, core.Forward:
 		case core.Read:
-			result, err := s.result(ctx, stored.record)
+			result, err := s.loadResult(ctx, stored.record)
 			return Decision{Action: core.Read, Result: result}, err
 		default:
 			return Decision{Action: decided.Action}, nil
 		}
 		next, err := s.commit(ctx, name, stored.version, decided.Record)
-		var lost *conflict
+		var conflicted *conflictError
 		switch {
 		case err == nil:
 			claim := &Claim{store: s, name: name, record: decided.Record, version: next}
 			return Decision{Action: decided.Action, Intent: decided.Record.Intent, First: decided.First, Claim: claim}, nil
-		case errors.As(err, &lost):
-			stored = lost.current
+		case errors.As(err, &conflicted):
+			stored = conflicted.stored
 		default:
 			var uncertain *UncertainError
 			if errors.As(err, &uncertain) {
@@ -146,42 +148,44 @@
 	return Decision{Action: core.Wait}, nil
 }
 
-func (s *Store) coreAsk(ask Ask, owner identity.NodeID) core.Ask {
+func (s *Store) coreRequest(ask Ask, owner identity.NodeID) core.Ask {
 	now := time.Now()
 	return core.Ask{
-		Node: s.members.Self(), Digest: ask.Digest, Site: ask.Site, Hopped: ask.Hopped, OwnerDead: s.dead(owner),
+		Node: s.members.Self(), Digest: ask.Digest, Site: ask.Site, Hopped: ask.Hopped, OwnerDead: s.ownerDead(owner),
 		Now: now, Expiry: ask.Expiry, KeepUntil: now.Add(s.config.Retention),
 	}
 }
 
-func (s *Store) dead(node identity.NodeID) bool {
+func (s *Store) ownerDead(node identity.NodeID) bool {
 	member, known := s.members.View().Member(node)
 	return known && member.State == membership.Dead
 }
 
-func (s *Store) result(ctx context.Context, record core.Record) ([]byte, error) {
+func (s *Store) loadResult(ctx context.Context, record core.Record) ([]byte, error) {
 	if record.ResultObject == "" {
 		return record.Result, nil
 	}
 	return s.objects.Get(ctx, record.ResultObject)
 }
 
-// current is a stored record and its version.
-type current struct {
+// storedRecord is a stored record with its version.
+type storedRecord struct {
 	record  core.Record
 	version uint64
 }
 
-// conflict says that the record is not the one that was compared.
-type conflict struct{ current current }
+// conflictError is returned when the stored record does not have the version that
+// the transaction compared.
+type conflictError struct{ stored storedRecord }
 
 // Error implements error.
-func (c *conflict) Error() string {
-	return fmt.Sprintf("idempotency record is at epoch %d", c.current.record.Epoch)
+func (c *conflictError) Error() string {
+	return fmt.Sprintf("idempotency record is at epoch %d", c.stored.record.Epoch)
 }
 
-// commit writes a record against a version, and gives the new version. A lost
-// answer is settled by the transaction's id, across repeats.
+// commit writes a record if the stored one has the given version, and returns the
+// new version. The transaction ID identifies the write across retries after a
+// lost response.
 func (s *Store) commit(ctx context.Context, name string, version uint64, record core.Record) (uint64, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -198,11 +202,11 @@
 		if len(result.Versions) == 1 {
 			return result.Versions[0], nil
 		}
-		return s.settle(ctx, name, id)
+		return s.findVersion(ctx, name, id)
 	case store.Conflict:
 		for _, stored := range result.Conflicts {
 			if stored.Key == name {
-				return 0, conflictWith(stored)
+				return 0, newConflict(stored)
 			}
 		}
 	}
@@ -212,8 +216,9 @@
 	return 0, fmt.Errorf("idempotency record not written: %w", result.Cause)
 }
 
-// settle finds the version of a write that was seen to have taken effect.
-func (s *Store) settle(ctx context.Context, name, id string) (uint64, error) {
+// findVersion reads the version of a write that is known to have taken effect. It
+// returns a conflict if the record has been overwritten since.
+func (s *Store) findVersion(ctx context.Context, name, id string) (uint64, error) {
 	stored, err := s.client.Get(ctx, name)
 	if err != nil {
 		return 0, err
@@ -221,15 +226,15 @@
 	if stored.TransactionID == id {
 		return stored.Version, nil
 	}
-	return 0, conflictWith(stored)
+	return 0, newConflict(stored)
 }
 
-func conflictWith(stored backend.Record) error {
-	found := current{version: stored.Version}
+func newConflict(stored backend.Record) error {
+	found := storedRecord{version: stored.Version}
 	if stored.Version != 0 {
 		if err := json.Unmarshal(stored.Value, &found.record); err != nil {
 			return fmt.Errorf("%w %s: %w", ErrUnreadable, stored.Key, err)
 		}
 	}
-	return &conflict{current: found}
+	return &conflictError{stored: found}
 }
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -20,56 +20,57 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// members is a Members whose list is fixed.
-type members struct {
+// staticMembers is a Members with a fixed list.
+type staticMembers struct {
 	self identity.NodeID
 	list []membership.Member
 }
 
-func (m members) Self() identity.NodeID { return m.self }
-func (m members) View() membership.View { return membership.View{Self: m.self, Members: m.list} }
+func (m staticMembers) Self() identity.NodeID { return m.self }
+func (m staticMembers) View() membership.View { return membership.View{Self: m.self, Members: m.list} }
 
-// fleet is stores of many nodes over one table and one object store.
-type fleet struct {
+// testCluster creates the stores of several nodes over one table and one object
+// store.
+type testCluster struct {
 	table   *backendtest.Table
 	objects *backendtest.Objects
 	dead    identity.NodeID
 }
 
-func newFleet() *fleet {
-	return &fleet{table: backendtest.NewTable(), objects: backendtest.NewObjects()}
+func newTestCluster() *testCluster {
+	return &testCluster{table: backendtest.NewTable(), objects: backendtest.NewObjects()}
 }
 
-func (f *fleet) node(id identity.NodeID) *Store {
+func (f *testCluster) node(id identity.NodeID) *Store {
 	list := []membership.Member{{ID: id}}
 	if f.dead != "" {
 		list = append(list, membership.Member{ID: f.dead, State: membership.Dead})
 	}
-	return New(DefaultConfig(), store.New(f.table), f.objects, members{id, list}, zap.NewNop())
+	return New(DefaultConfig(), store.New(f.table), f.objects, staticMembers{id, list}, zap.NewNop())
 }
 
-func ask(digest string) Ask {
+func newRequest(digest string) Ask {
 	return Ask{Key: Key{"corrib", "k"}, Digest: digest, Expiry: time.Now().Add(time.Minute)}
 }
 
-func must(t *testing.T, s *Store, asked Ask, want core.Action) Decision {
+func decide(t *testing.T, s *Store, request Ask, want core.Action) Decision {
 	t.Helper()
-	decision, err := s.Ask(t.Context(), asked)
+	decision, err := s.Ask(t.Context(), request)
 	if err != nil || decision.Action != want {
-		t.Fatalf("action %d, %v; want %d", decision.Action, err, want)
+		t.Fatalf("action %d, error %v; want action %d", decision.Action, err, want)
 	}
 	return decision
 }
 
 func TestOneOfFiftyRacingFirstWritersRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestCluster()
 		var group sync.WaitGroup
 		var mutex sync.Mutex
 		actions := map[core.Action]int{}
 		for i := range 50 {
 			group.Go(func() {
-				decision, err := f.node(identity.NodeID(fmt.Sprint("n", i))).Ask(t.Context(), ask("d"))
+				decision, err := f.node(identity.NodeID(fmt.Sprint("n", i))).Ask(t.Context(), newRequest("d"))
 				mutex.Lock()
 				defer mutex.Unlock()
 				if actions[decision.Action]++; err != nil {
@@ -79,7 +80,7 @@
 		}
 		group.Wait()
 		if actions[core.Run] != 1 || actions[core.Wait] != 49 {
-			t.Errorf("%v", actions)
+			t.Errorf("actions %v; want 1 Run and 49 Wait", actions)
 		}
 	})
 }
@@ -87,37 +88,37 @@
 func TestTheResultIsReadEverywhereAndAnotherBodyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, size := range []int{10, 100 << 10} {
-			f := newFleet()
+			f := newTestCluster()
 			result := strings.Repeat("x", size)
-			claim := must(t, f.node("a"), ask("d"), core.Run).Claim
-			must(t, f.node("b"), ask("d"), core.Wait)
+			claim := decide(t, f.node("a"), newRequest("d"), core.Run).Claim
+			decide(t, f.node("b"), newRequest("d"), core.Wait)
 			if err := claim.Complete(t.Context(), []byte(result)); err != nil {
 				t.Fatal(err)
 			}
-			if read := must(t, f.node("b"), ask("d"), core.Read); string(read.Result) != result {
+			if read := decide(t, f.node("b"), newRequest("d"), core.Read); string(read.Result) != result {
 				t.Errorf("read %d bytes, want %d", len(read.Result), size)
 			}
-			must(t, f.node("c"), ask("other"), core.Reuse)
+			decide(t, f.node("c"), newRequest("other"), core.Reuse)
 		}
 	})
 }
 
 func TestTakeOverFencesThePausedOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
-		paused := must(t, f.node("a"), ask("d"), core.Run).Claim
+		f := newTestCluster()
+		paused := decide(t, f.node("a"), newRequest("d"), core.Run).Claim
 		time.Sleep(2 * time.Minute)
-		successor := must(t, f.node("b"), ask("d"), core.Run).Claim
+		successor := decide(t, f.node("b"), newRequest("d"), core.Run).Claim
 		if err := paused.RecordIntent(t.Context(), core.Intent{Attempt: "a1"}); !errors.Is(err, ErrSuperseded) {
-			t.Errorf("the paused owner's intent: %v", err)
+			t.Errorf("RecordIntent by the paused owner: %v, want ErrSuperseded", err)
 		}
 		if err := successor.Complete(t.Context(), []byte("b's")); err != nil {
 			t.Fatal(err)
 		}
 		if err := paused.Complete(t.Context(), []byte("a's")); !errors.Is(err, ErrSuperseded) {
-			t.Errorf("the paused owner's result: %v", err)
+			t.Errorf("Complete by the paused owner: %v, want ErrSuperseded", err)
 		}
-		if read := must(t, f.node("c"), ask("d"), core.Read); string(read.Result) != "b's" {
+		if read := decide(t, f.node("c"), newRequest("d"), core.Read); string(read.Result) != "b's" {
 			t.Errorf("read %q", read.Result)
 		}
 	})
@@ -125,18 +126,18 @@
 
 func TestADeadOwnersIntentIsResumedBeforeItsExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
-		claim := must(t, f.node("a"), ask("d"), core.Run).Claim
+		f := newTestCluster()
+		claim := decide(t, f.node("a"), newRequest("d"), core.Run).Claim
 		intent := core.Intent{Attempt: "a1", Engine: "e"}
 		if err := claim.RecordIntent(t.Context(), intent); err != nil {
 			t.Fatal(err)
 		}
-		must(t, f.node("b"), ask("d"), core.Wait)
+		decide(t, f.node("b"), newRequest("d"), core.Wait)
 		f.dead = "a"
 		time.Sleep(2*time.Second - time.Nanosecond)
-		must(t, f.node("b"), ask("d"), core.Wait)
+		decide(t, f.node("b"), newRequest("d"), core.Wait)
 		time.Sleep(time.Nanosecond)
-		if decision := must(t, f.node("b"), ask("d"), core.Resume); decision.Intent != intent {
+		if decision := decide(t, f.node("b"), newRequest("d"), core.Resume); decision.Intent != intent {
 			t.Errorf("intent %+v", decision.Intent)
 		}
 	})
@@ -144,52 +145,52 @@
 
 func TestLostAnswersAreSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestCluster()
 		f.table.SetFaults(backendtest.Faults{LoseAnswers: 1})
-		claim := must(t, f.node("a"), ask("d"), core.Run).Claim
-		// Every answer of one whole call is lost: the claim learns it later.
+		claim := decide(t, f.node("a"), newRequest("d"), core.Run).Claim
+		// All responses of one call are lost; the claim finds the write later.
 		f.table.SetFaults(backendtest.Faults{LoseAnswers: store.DefaultRetry.Attempts})
 		if err := claim.RecordIntent(t.Context(), core.Intent{Attempt: "a1"}); err == nil {
-			t.Fatal("an intent whose write is not known was taken for written")
+			t.Fatal("RecordIntent succeeded although all responses were lost")
 		}
 		f.objects.SetFaults(backendtest.Faults{LoseAnswers: 1})
 		result := []byte(strings.Repeat("y", 10<<10))
 		if err := claim.Complete(t.Context(), result); err == nil {
-			t.Fatal("a lost put was taken for done")
+			t.Fatal("Complete succeeded although the response of the put was lost")
 		}
 		if err := claim.Complete(t.Context(), result); err != nil {
 			t.Fatal(err)
 		}
-		if read := must(t, f.node("b"), ask("d"), core.Read); len(read.Result) != len(result) {
-			t.Errorf("read %d bytes", len(read.Result))
+		if read := decide(t, f.node("b"), newRequest("d"), core.Read); len(read.Result) != len(result) {
+			t.Errorf("read %d bytes, want the completed result", len(read.Result))
 		}
 	})
 }
 
 func TestAClaimWhoseAnswersWereLostIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, released := range []bool{false, true} { // over nothing, over an earlier record
-			f := newFleet()
+		for _, released := range []bool{false, true} { // without and with an earlier record
+			f := newTestCluster()
 			faults := backendtest.Faults{LoseAnswers: store.DefaultRetry.Attempts}
 			if released {
-				faults.Spare = 1 // the conflict that brings the earlier record along
-				if err := must(t, f.node("a"), ask("d"), core.Run).Claim.Release(t.Context()); err != nil {
+				faults.Spare = 1 // the conflict that returns the earlier record
+				if err := decide(t, f.node("a"), newRequest("d"), core.Run).Claim.Release(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 			}
 			f.table.SetFaults(faults)
 			a := f.node("a")
-			_, err := a.Ask(t.Context(), ask("d"))
+			_, err := a.Ask(t.Context(), newRequest("d"))
 			var uncertain *UncertainError
 			if !errors.As(err, &uncertain) {
-				t.Fatalf("the ask ended with %v", err)
+				t.Fatalf("Ask returned %v, want an UncertainError", err)
 			}
-			must(t, f.node("b"), ask("d"), core.Wait)
+			decide(t, f.node("b"), newRequest("d"), core.Wait)
 			if err := a.Withdraw(t.Context(), uncertain); err != nil {
 				t.Fatal(err)
 			}
-			claim := must(t, f.node("b"), ask("d"), core.Run).Claim
-			if err := a.Withdraw(t.Context(), uncertain); err != nil { // too late: b has the key
+			claim := decide(t, f.node("b"), newRequest("d"), core.Run).Claim
+			if err := a.Withdraw(t.Context(), uncertain); err != nil { // no effect: b has claimed the key
 				t.Fatal(err)
 			}
 			if err := claim.Complete(t.Context(), []byte("b's")); err != nil {
@@ -201,45 +202,45 @@
 
 func TestAStoreThatIsDownRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestCluster()
 		f.table.SetFaults(backendtest.Faults{Down: true})
-		if _, err := f.node("a").Ask(t.Context(), ask("d")); err == nil {
-			t.Error("an ask without a store gave a decision")
+		if _, err := f.node("a").Ask(t.Context(), newRequest("d")); err == nil {
+			t.Error("Ask returned a decision while the store was down")
 		}
 	})
 }
 
 func TestTheRecordedSiteAnswersAfterTheShareMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
-		away := ask("d")
+		f := newTestCluster()
+		away := newRequest("d")
 		away.Site = site.Other
-		claim := must(t, f.node("a"), away, core.Forward).Claim
+		claim := decide(t, f.node("a"), away, core.Forward).Claim
 		if err := claim.Settle(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		must(t, f.node("b"), ask("d"), core.Pass)
-		back := ask("d")
+		decide(t, f.node("b"), newRequest("d"), core.Pass)
+		back := newRequest("d")
 		back.Hopped = true
-		must(t, f.node("b"), back, core.Elsewhere)
+		decide(t, f.node("b"), back, core.Elsewhere)
 	})
 }
 
 func TestExpiredKeysAreSweptWithTheirObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestCluster()
 		large := []byte(strings.Repeat("z", 100<<10))
 		for i := range 20 {
-			asked := ask("d")
+			asked := newRequest("d")
 			asked.Key.Key = fmt.Sprint("k", i)
-			if err := must(t, f.node("a"), asked, core.Run).Claim.Complete(t.Context(), large[:i*1000]); err != nil {
+			if err := decide(t, f.node("a"), asked, core.Run).Claim.Complete(t.Context(), large[:i*1000]); err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(DefaultConfig().Retention)
-		kept := ask("d")
+		kept := newRequest("d")
 		kept.Key.Key = "new"
-		must(t, f.node("a"), kept, core.Run)
+		decide(t, f.node("a"), kept, core.Run)
 		ctx, stop := context.WithTimeout(t.Context(), (sweepShards+1)*DefaultConfig().SweepInterval)
 		defer stop()
 		if err := f.node("a").Run(ctx); err != nil {
@@ -248,7 +249,7 @@
 		records, _ := f.table.List(t.Context(), recordPrefix, "", 100)
 		objects, _ := f.objects.List(t.Context(), recordPrefix, "", 100)
 		if len(records) != 1 || len(objects) != 0 {
-			t.Errorf("%d records and %d objects are left", len(records), len(objects))
+			t.Errorf("%d records and %d objects remain, want 1 and 0", len(records), len(objects))
 		}
 	})
 }
--- a/internal/idempotency/sweep.go
+++ b/internal/idempotency/sweep.go
@@ -18,24 +18,25 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// The sweep divides the keys into shards by the first two digits of their
-// name. Each shard belongs to one live node by rendezvous; two owners during a
-// change of membership cost a page read twice, and their deletes are compared.
+// The sweep divides the keys into shards by the first two hex digits of their
+// name. Rendezvous hashing assigns each shard to one live node. Two owners during
+// a membership change only read a page twice, because each delete compares the
+// record's version.
 const (
-	sweepShards = 256
-	sweepPage   = 500
+	sweepShards   = 256
+	sweepPageSize = 500
 )
 
-// sweeper is the place in a search for expired keys.
-type sweeper struct {
+// sweepCursor is the position of the search for expired keys.
+type sweepCursor struct {
 	shard int
 	after string
 }
 
-// Run deletes expired keys with their results, one page each interval, until
-// ctx is done. A store that is down costs nothing but a later sweep.
+// Run deletes expired keys with their results, one page per SweepInterval, until
+// ctx is done. An unavailable store only delays the sweep.
 func (s *Store) Run(ctx context.Context) error {
-	place := sweeper{shard: rand.IntN(sweepShards)} //nolint:gosec // spreads the start, not a secret
+	cursor := sweepCursor{shard: rand.IntN(sweepShards)} //nolint:gosec // spreads the start, not a secret
 	ticker := time.NewTicker(s.config.SweepInterval)
 	defer ticker.Stop()
 	for {
@@ -43,33 +44,33 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			s.sweep(ctx, &place)
+			s.sweep(ctx, &cursor)
 		}
 	}
 }
 
-// sweep searches the next page of this node's shards.
-func (s *Store) sweep(ctx context.Context, place *sweeper) {
+// sweep searches the next page of the shards that this node owns.
+func (s *Store) sweep(ctx context.Context, cursor *sweepCursor) {
 	for range sweepShards {
-		if place.after != "" || s.owns(place.shard) {
+		if cursor.after != "" || s.ownsShard(cursor.shard) {
 			break
 		}
-		place.shard = (place.shard + 1) % sweepShards
+		cursor.shard = (cursor.shard + 1) % sweepShards
 	}
-	prefix := fmt.Sprintf("%s%02x", recordPrefix, place.shard)
-	records, err := s.client.Table.List(ctx, prefix, place.after, sweepPage)
+	prefix := fmt.Sprintf("%s%02x", recordPrefix, cursor.shard)
+	records, err := s.client.Table.List(ctx, prefix, cursor.after, sweepPageSize)
 	if err != nil {
 		return
 	}
-	if len(records) < sweepPage {
-		place.shard, place.after = (place.shard+1)%sweepShards, ""
+	if len(records) < sweepPageSize {
+		cursor.shard, cursor.after = (cursor.shard+1)%sweepShards, ""
 	} else {
-		place.after = records[len(records)-1].Key
+		cursor.after = records[len(records)-1].Key
 	}
-	s.collect(ctx, expired(records, time.Now()))
+	s.deleteExpired(ctx, expiredRecords(records, time.Now()))
 }
 
-func (s *Store) owns(shard int) bool {
+func (s *Store) ownsShard(shard int) bool {
 	view := s.members.View()
 	live := view.Live()
 	nodes := make([]identity.NodeID, len(live))
@@ -80,13 +81,13 @@
 	return !found || owner == s.members.Self()
 }
 
-// expiredRecord is a record whose retention has ended.
+// expiredRecord is a record whose retention has expired.
 type expiredRecord struct {
 	stored backend.Record
 	record core.Record
 }
 
-func expired(records []backend.Record, now time.Time) []expiredRecord {
+func expiredRecords(records []backend.Record, now time.Time) []expiredRecord {
 	var old []expiredRecord
 	for _, stored := range records {
 		var record core.Record
@@ -97,10 +98,11 @@
 	return old
 }
 
-// collect deletes expired records, their objects first, so that no object is
-// left without a record that leads to it. A record that was claimed again
-// meanwhile makes the whole delete fail; the next sweep finds the rest.
-func (s *Store) collect(ctx context.Context, old []expiredRecord) {
+// deleteExpired deletes expired records and their objects. It deletes the objects
+// first, so that no object remains without a record that refers to it. If one of
+// the records was claimed again meanwhile, the whole transaction fails, and a
+// later sweep deletes the rest.
+func (s *Store) deleteExpired(ctx context.Context, old []expiredRecord) {
 	if len(old) == 0 {
 		return
 	}
@@ -117,13 +119,13 @@
 	}
 }
 
-// deleteObjects deletes the results of a record's claims up to its epoch; a
-// later claim's are left alone. It gives false when the store does not answer.
+// deleteObjects deletes the results of a record's claims up to its epoch and keeps
+// those of later claims. It returns false if the store fails.
 func (s *Store) deleteObjects(ctx context.Context, name string, record core.Record) bool {
 	if record.ResultObject == "" && record.Phase == core.Done && record.Epoch == 1 {
-		return true // the only claim there was kept its result in the record
+		return true // the only claim stored its result in the record
 	}
-	objects, err := s.objects.List(ctx, name+"/", "", sweepPage)
+	objects, err := s.objects.List(ctx, name+"/", "", sweepPageSize)
 	if err != nil {
 		return false
 	}
--- a/internal/idempotency/withdraw.go
+++ b/internal/idempotency/withdraw.go
@@ -13,14 +13,14 @@
 	"ringstream.example/ringstream/internal/store"
 )
 
-// UncertainError is a write whose answers were all lost: it may have taken
-// effect, or may yet.
+// UncertainError is returned for a write with an unknown outcome: a response was
+// lost, and the write may have taken effect or may still do so.
 type UncertainError struct {
 	Cause error
 
 	name        string
 	transaction string
-	before      core.Record // what the write replaces; zero: nothing
+	before      core.Record // the record that the write replaces; zero if there is none
 }
 
 // Error implements error.
@@ -28,19 +28,19 @@
 	return fmt.Sprintf("idempotency record perhaps written: %v", e.Cause)
 }
 
-// Unwrap gives the last error of the store.
+// Unwrap returns the last error of the store.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// Withdraw undoes a claim of an Ask that failed with an UncertainError, when
-// it took effect: nothing ran under it, and others would wait for its expiry.
-// A claim that takes effect after this has looked stays until then.
+// Withdraw undoes the claim of an Ask that failed with an UncertainError, if the
+// claim took effect. Nothing ran under it, and others would wait until it expires.
+// A claim that takes effect after Withdraw has read the record stays until then.
 func (s *Store) Withdraw(ctx context.Context, claim *UncertainError) error {
 	stored, err := s.client.Get(ctx, claim.name)
 	if err != nil {
 		return err
 	}
 	if stored.TransactionID != claim.transaction {
-		return nil // it had no effect, or was taken over
+		return nil // the claim had no effect or was taken over
 	}
 	undo := backend.Write{Key: claim.name, Delete: claim.before.Phase == 0}
 	if !undo.Delete {
