--- a/internal/node/compose.go
+++ b/internal/node/compose.go
@@ -25,7 +25,7 @@
 // compose builds the components in the order of their dependencies.
 func (n *Node) compose() error {
 	n.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	if err := n.composeEdges(); err != nil {
+	if err := n.composeExternal(); err != nil {
 		return err
 	}
 	config := &n.settings
@@ -53,12 +53,13 @@
 	n.gateway.ListenWith(n.network.Listen)
 	n.admin.ListenWith(n.network.Listen)
 	peer.Register(drainTaken{})
-	n.bus.Handle(drainOrder{}, n.takeDrainOrder)
+	n.bus.Handle(drainOrder{}, n.handleDrainOrder)
 	return nil
 }
 
-// composeEdges builds what speaks to the outside: keys, platform, peers.
-func (n *Node) composeEdges() error {
+// composeExternal builds the components with external dependencies: the keys, the
+// platform clients and the peer bus.
+func (n *Node) composeExternal() error {
 	var err error
 	if n.auth, err = auth.NewKeys(n.settings.Auth, n.logger); err != nil {
 		return fmt.Errorf("auth: %w", err)
@@ -79,7 +80,8 @@
 	return err
 }
 
-// peerTLS gives the mutual TLS between nodes, or nil when none is configured.
+// peerTLS returns the mutual TLS configuration between nodes, or nil if none is
+// configured.
 func (n *Node) peerTLS() (*peer.TLS, error) {
 	if !n.settings.PeerTLS.Enabled() {
 		return nil, nil
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,10 +8,10 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// drainOrder asks another node to begin its planned stop.
+// drainOrder requests that another node begin its planned stop.
 type drainOrder struct{ By identity.NodeID }
 
-// drainTaken is the answer to a drainOrder.
+// drainTaken acknowledges a drainOrder.
 type drainTaken struct{ Node identity.NodeID }
 
 // Drain implements admin.Drainer.
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func (n *Node) takeDrainOrder(identity.NodeID, any) any {
+func (n *Node) handleDrainOrder(identity.NodeID, any) any {
 	n.Stop()
 	return drainTaken{Node: n.id}
 }
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -10,32 +10,33 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// phase orders the planned stop: actors of a phase are told to stop when all
-// those of earlier phases have returned.
+// phase orders the planned stop. The actors of a phase are interrupted once all
+// actors of earlier phases have returned.
 type phase int
 
-// The phases. What serves callers and jobs ends first, then what it runs on,
-// and last what others know this node by.
+// The phases of the planned stop. Components that serve callers and jobs stop
+// first, then the components that they depend on, and last the components through
+// which other nodes and operators reach this node.
 const (
 	phaseServing phase = iota
 	phaseSupport
 	phaseFleet
-	phases
+	phaseCount
 )
 
-// group is one run.Group whose actors stop in phases.
+// group is a run.Group whose actors stop in phases.
 type group struct {
 	group   run.Group
 	logger  *zap.Logger
-	running [phases]sync.WaitGroup
+	running [phaseCount]sync.WaitGroup
 }
 
-// add adds a long-running component.
-func (g *group) add(name string, when phase, work func(ctx context.Context) error) {
+// add adds a long-running component that stops in stopPhase.
+func (g *group) add(name string, stopPhase phase, work func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g.running[when].Add(1)
+	g.running[stopPhase].Add(1)
 	execute := func() error {
-		defer g.running[when].Done()
+		defer g.running[stopPhase].Done()
 		err := work(ctx)
 		if err != nil {
 			events.ComponentFailed.Log(g.logger, zap.String("component", name), zap.Error(err))
@@ -43,7 +44,7 @@
 		return err
 	}
 	interrupt := func(error) {
-		for earlier := range when {
+		for earlier := range stopPhase {
 			g.running[earlier].Wait()
 		}
 		cancel()
@@ -51,5 +52,6 @@
 	g.group.Add(execute, interrupt)
 }
 
-// run runs all actors until the first returns, and gives its error.
+// run starts all actors. When the first returns, it interrupts the others, waits
+// for them and returns the error of the first.
 func (g *group) run() error { return g.group.Run() }
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -8,7 +8,7 @@
 	"ringstream.example/ringstream/internal/fleet"
 )
 
-// engineList shows the node's engines to operators.
+// engineList lists the node's engines for operators.
 type engineList struct{ fleet *fleet.Service }
 
 // Engines implements admin.Engines, sorted by id.
@@ -42,7 +42,7 @@
 	return status
 }
 
-// modelList names the models that this node's engines have loaded.
+// modelList lists the models that this node's engines have loaded.
 type modelList struct{ fleet *fleet.Service }
 
 // Models implements gateway.ModelLister, sorted.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node composes one production node from its components, and owns
-// their start order and the planned stop: one run.Group for everything. It
-// decides nothing else.
+// Package node builds a production node from its components and runs them in one
+// run.Group. It controls their start order and the planned stop, and contains no
+// other logic.
 package node
 
 import (
@@ -38,7 +38,7 @@
 	logger   *zap.Logger
 	registry *prometheus.Registry
 	network  peer.Network
-	// suspensions is nil where none is noticed.
+	// suspensions is nil if suspensions are not detected.
 	suspensions *suspension.Watch
 
 	platform    *httpclient.Clients
@@ -62,20 +62,20 @@
 // Option changes a node from its defaults.
 type Option func(*Node)
 
-// WithNetwork makes every listener and every outgoing connection of the node
-// use a network other than the machine's TCP.
+// WithNetwork sets the network for the node's listeners and outgoing connections
+// in place of the machine's TCP.
 func WithNetwork(network peer.Network) Option {
 	return func(n *Node) { n.network = network }
 }
 
-// WithSuspensions makes the node notice by a clock that its machine was suspended; without it
-// the node takes the machine for one that never is.
+// WithSuspensions makes the node detect suspensions of its machine with a clock. Without
+// it, the node assumes that the machine is never suspended.
 func WithSuspensions(clock suspension.Clock) Option {
 	return func(n *Node) { n.suspensions = suspension.NewWatch(clock) }
 }
 
-// New builds a node from checked settings. It opens no socket; errors are
-// settings that cannot work together or files that cannot be read.
+// New builds a node from validated settings. It opens no socket. It fails if
+// settings are incompatible or a file cannot be read.
 func New(config settings.Settings, logger *zap.Logger, options ...Option) (*Node, error) {
 	id := identity.NodeID(config.Node.ID)
 	if id == "" {
@@ -104,11 +104,12 @@
 	return node.Run(ctx)
 }
 
-// ID names the node in the member list.
+// ID returns the node's ID in the member list.
 func (n *Node) ID() identity.NodeID { return n.id }
 
-// Run runs the node until ctx is done, Stop is called or a component fails;
-// then it stops without cutting a request and returns the failure, if any.
+// Run runs the node until ctx is done, Stop is called or a component fails. It
+// then drains the node without interrupting requests and returns the failure, if
+// any.
 func (n *Node) Run(ctx context.Context) error {
 	events.NodeStarting.Log(n.logger, zap.String("zone", n.settings.Node.Zone), zap.String("version", version.Version))
 	actors := &group{logger: n.logger}
@@ -119,7 +120,7 @@
 		case <-n.draining:
 		case <-interrupted.Done():
 		}
-		n.leave()
+		n.beginDrain()
 		return nil
 	})
 	err := actors.run()
@@ -131,21 +132,21 @@
 	return nil
 }
 
-// Stop begins the planned stop; Run returns at its end.
+// Stop begins the planned stop. Run returns when the stop is complete.
 func (n *Node) Stop() { n.drainOnce.Do(func() { close(n.draining) }) }
 
-// leave announces the planned stop before anything ends.
-func (n *Node) leave() {
+// beginDrain announces the planned stop before any component stops.
+func (n *Node) beginDrain() {
 	n.Stop()
 	events.NodeDraining.Log(n.logger)
 	n.bus.Leave()
 	n.gateway.Drain()
 }
 
-// The reasons for which a node is not ready.
+// The errors that Ready returns.
 var (
-	errDraining = errors.New("the node is draining")
-	errNoTable  = errors.New("the class table is not loaded")
+	errDraining       = errors.New("the node is draining")
+	errTableNotLoaded = errors.New("the class table is not loaded")
 )
 
 // Ready implements admin.Readiness.
@@ -156,7 +157,7 @@
 	default:
 	}
 	if !n.rows.Ready() {
-		return errNoTable
+		return errTableNotLoaded
 	}
 	return nil
 }
--- a/internal/node/openai_test.go
+++ b/internal/node/openai_test.go
@@ -16,16 +16,17 @@
 	"ringstream.example/ringstream/internal/tlsconfig"
 )
 
-// The official client gets from a whole node, before engine stand-ins, exactly
-// the engine's answer to its own prompt, whole and streamed.
+// TestOfficialClientAgainstANode checks that the official OpenAI client receives
+// exactly the tokens of the emulated engine through a complete node, both in one
+// response and as a stream.
 func TestOfficialClientAgainstANode(t *testing.T) {
 	platform, err := emulator.StartFleet(emulator.DefaultFleetConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer platform.Close()
-	network := &openNetwork{listeners: make(map[string]net.Listener)}
-	config := secured(t, network, platform, "n1", tlsconfig.Config{})
+	network := &listeningNetwork{listeners: make(map[string]net.Listener)}
+	config := testSettings(t, network, platform, "n1", tlsconfig.Config{})
 	made, err := New(config, zap.NewNop(), WithNetwork(network))
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +39,7 @@
 		t.Fatal(err)
 	}
 	defer operator.Close()
-	await(t, "a row", func() error {
+	retryUntilOK(t, "a row", func() error {
 		_, err := operator.PutRow(ctx, policy.Row{
 			ID: "all", Match: policy.Match{Tenant: policy.Any, Model: policy.Any, Kind: policy.Any},
 			Weight: 1, DeadlineClass: policy.DeadlineInteractive, NewSiteShare: 1, Pool: "fleetlink",
@@ -52,10 +53,10 @@
 		Model: model, MaxTokens: openai.Int(tokens), Temperature: openai.Float(0.2),
 		Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String(prompt)},
 	}
-	await(t, "a whole answer", func() error {
+	retryUntilOK(t, "a whole answer", func() error {
 		whole, err := client.Completions.New(ctx, request)
 		if err == nil && whole.Choices[0].Text != want {
-			t.Errorf("whole: %q, want %q", whole.Choices[0].Text, want)
+			t.Errorf("complete response: %q, want %q", whole.Choices[0].Text, want)
 		}
 		return err
 	})
@@ -67,7 +68,7 @@
 		}
 	}
 	if err := stream.Err(); err != nil || streamed.String() != want {
-		t.Errorf("streamed: %q, %v; want %q", streamed.String(), err, want)
+		t.Errorf("streamed response: %q, error %v; want %q", streamed.String(), err, want)
 	}
 	cancel()
 	if err := <-done; err != nil {
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -26,14 +26,14 @@
 	"ringstream.example/ringstream/internal/tlsconfig/tlstest"
 )
 
-// openNetwork is the machine's TCP with listeners that are open already, so
-// that each address is known and free.
-type openNetwork struct {
+// listeningNetwork is the machine's TCP with listeners that were opened in
+// advance, so that each address is known and free.
+type listeningNetwork struct {
 	peer.TCP
 	listeners map[string]net.Listener
 }
 
-func (o *openNetwork) open(t *testing.T) string {
+func (o *listeningNetwork) open(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,7 +44,7 @@
 	return listener.Addr().String()
 }
 
-func (o *openNetwork) Listen(address string) (net.Listener, error) {
+func (o *listeningNetwork) Listen(address string) (net.Listener, error) {
 	if listener, ok := o.listeners[address]; ok {
 		return listener, nil
 	}
@@ -56,8 +56,8 @@
 	return []string{hex.EncodeToString(sum[:])}
 }
 
-// secured is a node's settings with TLS on each of its listeners.
-func secured(t *testing.T, network *openNetwork, platform *emulator.Fleet, name string, certificate tlsconfig.Config) settings.Settings {
+// testSettings returns a node's settings that use certificate on each listener.
+func testSettings(t *testing.T, network *listeningNetwork, platform *emulator.Fleet, name string, certificate tlsconfig.Config) settings.Settings {
 	t.Helper()
 	config := settings.Default()
 	config.Node = settings.Node{ID: name, Zone: "galway-hall", Region: "ie-west"}
@@ -73,8 +73,8 @@
 	return config
 }
 
-// await repeats a call until it succeeds or the test's time is over.
-func await(t *testing.T, what string, call func() error) {
+// retryUntilOK repeats a call until it succeeds, and fails the test after 30 s.
+func retryUntilOK(t *testing.T, what string, call func() error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
@@ -100,9 +100,9 @@
 	}
 	defer platform.Close()
 	certificate := tlstest.NewAuthority(t).Issue(t, t.TempDir(), 2)
-	network := &openNetwork{listeners: make(map[string]net.Listener)}
-	first := secured(t, network, platform, "n1", certificate)
-	second := secured(t, network, platform, "n2", certificate)
+	network := &listeningNetwork{listeners: make(map[string]net.Listener)}
+	first := testSettings(t, network, platform, "n1", certificate)
+	second := testSettings(t, network, platform, "n2", certificate)
 	second.Peer.Seeds = []string{first.Peer.ListenAddress}
 	ended := make(map[identity.NodeID]chan error)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -123,28 +123,28 @@
 		t.Fatal(err)
 	}
 	defer operator.Close()
-	await(t, "a row", func() error {
+	retryUntilOK(t, "a row", func() error {
 		_, err := operator.PutRow(ctx, policy.Row{
 			ID: "all", Match: policy.Match{Tenant: policy.Any, Model: policy.Any, Kind: policy.Any},
 			Weight: 1, DeadlineClass: policy.DeadlineInteractive, NewSiteShare: 1, Pool: "fleetlink",
 		})
 		return err
 	})
-	await(t, "the row on both nodes", func() error { return bothHold(ctx, operator) })
-	await(t, "an answer of the other node", func() error { return complete(second.Gateway.HTTP.Address, certificate) })
+	retryUntilOK(t, "the row on both nodes", func() error { return checkBothCurrent(ctx, operator) })
+	retryUntilOK(t, "an answer of the other node", func() error { return complete(second.Gateway.HTTP.Address, certificate) })
 	if _, err := operator.Drain(ctx, "n2"); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-ended["n2"]; err != nil {
-		t.Errorf("the drained node: %v", err)
+		t.Errorf("the drained node stopped with %v", err)
 	}
 	cancel()
 	if err := <-ended["n1"]; err != nil {
-		t.Errorf("the node told to stop: %v", err)
+		t.Errorf("the node stopped by its context failed with %v", err)
 	}
 }
 
-func bothHold(ctx context.Context, operator *adminclient.Client) error {
+func checkBothCurrent(ctx context.Context, operator *adminclient.Client) error {
 	status, err := operator.RowStatus(ctx)
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// complete asks a node for an answer of five tokens.
+// complete requests a completion of five tokens from a node.
 func complete(address string, certificate tlsconfig.Config) error {
 	reloader, err := tlsconfig.New(certificate, zap.NewNop())
 	if err != nil {
