--- a/internal/admin/costly.go
+++ b/internal/admin/costly.go
@@ -10,39 +10,40 @@
 	"ringstream.example/ringstream/internal/rows"
 )
 
-// costlyAge is how old the costly parts of the page may be.
-const costlyAge = 5 * time.Second
+// expensiveDataMaxAge bounds the age of the page's expensive data.
+const expensiveDataMaxAge = 5 * time.Second
 
-// costlyParts are the parts of the page that ask other nodes or the store.
-type costlyParts struct {
+// expensiveData is the data of the page that needs calls to other nodes or the
+// store.
+type expensiveData struct {
 	revisions map[identity.NodeID]rows.NodeRevision
 	jobs      []jobs.Job
 	jobsError error
 }
 
-// costlyCache keeps the last costly parts, so that many readers of the page
-// cost no more than one. Its mutex is held while the parts are asked for.
-type costlyCache struct {
-	mutex sync.Mutex
-	at    time.Time
-	parts costlyParts
+// expensiveDataCache caches the last expensive data, so that many readers of the
+// page cause no more calls than one. Its mutex is held during the calls.
+type expensiveDataCache struct {
+	mutex     sync.Mutex
+	fetchedAt time.Time
+	data      expensiveData
 }
 
-func (c *costlyCache) get(ctx context.Context, dependencies Dependencies) costlyParts {
+func (c *expensiveDataCache) get(ctx context.Context, dependencies Dependencies) expensiveData {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.at.IsZero() && time.Since(c.at) < costlyAge {
-		return c.parts
+	if !c.fetchedAt.IsZero() && time.Since(c.fetchedAt) < expensiveDataMaxAge {
+		return c.data
 	}
-	c.parts = askCostly(ctx, dependencies)
-	c.at = time.Now()
-	return c.parts
+	c.data = fetchExpensiveData(ctx, dependencies)
+	c.fetchedAt = time.Now()
+	return c.data
 }
 
-func askCostly(ctx context.Context, dependencies Dependencies) costlyParts {
-	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), costlyAge) // a reader who leaves spoils nothing for the others
+func fetchExpensiveData(ctx context.Context, dependencies Dependencies) expensiveData {
+	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), expensiveDataMaxAge) // a reader that disconnects does not cancel the calls for the others
 	defer cancel()
-	var parts costlyParts
+	var parts expensiveData
 	if dependencies.Revisions != nil {
 		parts.revisions = make(map[identity.NodeID]rows.NodeRevision)
 		for _, held := range dependencies.Revisions.Revisions(limited) {
@@ -50,7 +51,7 @@
 		}
 	}
 	if dependencies.Jobs != nil {
-		parts.jobs, parts.jobsError = dependencies.Jobs.List(limited, "", "", pageJobs)
+		parts.jobs, parts.jobsError = dependencies.Jobs.List(limited, "", "", maxPageJobs)
 	}
 	return parts
 }
--- a/internal/admin/dependencies.go
+++ b/internal/admin/dependencies.go
@@ -13,8 +13,8 @@
 	"ringstream.example/ringstream/internal/rows"
 )
 
-// Dependencies are the components that the API asks. The paths of one that is
-// nil do not exist, except Authenticator and Fleet, which are required.
+// Dependencies holds the components that the API calls. Authenticator and Fleet
+// are required. The paths of any other component do not exist if it is nil.
 type Dependencies struct {
 	Authenticator auth.Authenticator
 	Fleet         Fleet
@@ -29,29 +29,29 @@
 	Gatherer      prometheus.Gatherer
 }
 
-// Fleet is the member list.
+// Fleet provides the member list.
 type Fleet interface {
 	View() membership.View
 }
 
-// Readiness says whether the node should be sent requests.
+// Readiness reports whether the node should receive requests.
 type Readiness interface {
-	// Ready gives nil, or an error that says what is missing.
+	// Ready returns nil, or an error that states why the node is not ready.
 	Ready() error
 }
 
-// Revisions tells which node holds which revision of the table.
+// Revisions reports the revision of the table that each node holds.
 type Revisions interface {
 	Revisions(ctx context.Context) []rows.NodeRevision
 }
 
-// Audit reads the record of accepted edits.
+// Audit reads the audit log of accepted edits.
 type Audit interface {
-	// Audit gives up to limit edits after a revision, oldest first.
+	// Audit returns up to limit edits after a revision, oldest first.
 	Audit(ctx context.Context, after uint64, limit int) ([]rows.AuditEntry, error)
 }
 
-// Jobs is jobs.Operators: an empty tenant means any tenant.
+// Jobs is the interface of jobs.Operators. An empty tenant means any tenant.
 type Jobs interface {
 	Get(ctx context.Context, tenant identity.TenantID, id identity.JobID) (jobs.Job, error)
 	List(ctx context.Context, tenant identity.TenantID, after identity.JobID, limit int) ([]jobs.Job, error)
@@ -64,7 +64,7 @@
 	Engines() []EngineStatus
 }
 
-// EngineStatus is what this node knows of an engine.
+// EngineStatus is this node's view of an engine.
 type EngineStatus struct {
 	ID            identity.EngineID `json:"id"`
 	Pool          string            `json:"pool"`
@@ -83,9 +83,9 @@
 	ReportedAt    time.Time         `json:"reported_at,omitzero"`
 }
 
-// Drainer stops nodes without cutting a request.
+// Drainer stops nodes without interrupting requests.
 type Drainer interface {
-	// Drain starts the planned stop of a node, this one or another, and
-	// returns when that node has taken the order.
+	// Drain starts the planned stop of this node or another one, and returns
+	// when that node has accepted the order.
 	Drain(ctx context.Context, node identity.NodeID) error
 }
--- a/internal/admin/fuzz_test.go
+++ b/internal/admin/fuzz_test.go
@@ -15,8 +15,8 @@
 	"ringstream.example/ringstream/internal/httpserver"
 )
 
-// FuzzRow holds that any body is a 4xx with a message or a row that survives
-// being written and read again.
+// FuzzRow checks that any body is either rejected with a 4xx status and a message
+// or decodes to a row that survives a JSON round trip.
 func FuzzRow(f *testing.F) {
 	f.Add(`{"id":"alerts","match":{"tenant":"*","model":"*","kind":"online"},"weight":3,"pool":"p","deadline_class":"window"}`)
 	f.Add(`{"weight":1e400}`)
@@ -29,7 +29,7 @@
 		if err := httpserver.DecodeJSON(c, &row); err != nil {
 			var failure *apierror.Error
 			if !errors.As(err, &failure) || failure.Status/100 != 4 || failure.Message == "" {
-				t.Errorf("%q gives %v", body, err)
+				t.Errorf("body %q: error %v, want a 4xx error with a message", body, err)
 			}
 			return
 		}
@@ -42,7 +42,7 @@
 		}
 		var again policy.Row
 		if err := json.Unmarshal(text, &again); err != nil || again != row {
-			t.Errorf("%+v reads again as %+v, %v", row, again, err)
+			t.Errorf("row %+v decodes as %+v after encoding, error %v", row, again, err)
 		}
 	})
 }
--- a/internal/admin/jobs.go
+++ b/internal/admin/jobs.go
@@ -25,12 +25,12 @@
 func jobID(c echo.Context) identity.JobID { return identity.JobID(c.Param("id")) }
 
 func (s *Server) listJobs(c echo.Context) error {
-	limit, err := queryNumber(c, "limit", defaultPage)
+	limit, err := queryNumber(c, "limit", defaultPageSize)
 	if err != nil {
 		return err
 	}
 	after := identity.JobID(c.QueryParam("after"))
-	page, err := s.dependencies.Jobs.List(c.Request().Context(), tenant(c), after, int(min(limit, largestPage)))
+	page, err := s.dependencies.Jobs.List(c.Request().Context(), tenant(c), after, int(min(limit, maxPageSize)))
 	if err != nil {
 		return err
 	}
@@ -61,12 +61,12 @@
 	if err != nil {
 		return err
 	}
-	to, err := queryNumber(c, "to", from+defaultPage)
+	to, err := queryNumber(c, "to", from+defaultPageSize)
 	if err != nil {
 		return err
 	}
-	if to < from || to-from > largestPage {
-		return apierror.Invalid("to: %d is not from %d to %d", to, from, from+largestPage)
+	if to < from || to-from > maxPageSize {
+		return apierror.Invalid("to: %d is not from %d to %d", to, from, from+maxPageSize)
 	}
 	results, err := s.dependencies.Jobs.Results(c.Request().Context(), tenant(c), jobID(c), int(from), int(to))
 	if err != nil {
--- a/internal/admin/nodes.go
+++ b/internal/admin/nodes.go
@@ -72,7 +72,7 @@
 	return c.JSON(http.StatusAccepted, DrainAnswer{Node: id, State: stateName(membership.Leaving)})
 }
 
-// DrainAnswer says that a node has taken the order to stop.
+// DrainAnswer is the response when a node has accepted the order to stop.
 type DrainAnswer struct {
 	Node  identity.NodeID `json:"node"`
 	State string          `json:"state"`
--- a/internal/admin/page.go
+++ b/internal/admin/page.go
@@ -21,8 +21,8 @@
 
 const (
 	refreshSeconds = 15
-	pageRows       = 100 // rows shown
-	pageJobs       = 10  // jobs shown; each costs reads of the store
+	maxPageRows    = 100 // table rows shown
+	maxPageJobs    = 10  // jobs shown; each requires reads from the store
 )
 
 //go:embed page.html
@@ -30,7 +30,7 @@
 
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{"limit": limitText}).Parse(pageText))
 
-// page is what the template shows.
+// page is the input of the page template, which refers to its fields by name.
 type page struct {
 	Self           identity.NodeID
 	Version        string
@@ -49,24 +49,25 @@
 	JobLimit       int
 	Jobs           []pageJob
 	JobsError      string
-	Tails          []tail
+	Tails          []latencySummary
 }
 
 type pageNode struct {
 	Node
-	Class    string // of the style sheet
+	Class    string // CSS class
 	Revision string
 	Behind   string
 	IsBehind bool
 }
 
-// load is what runs on a set of engines.
+// load is the work and the capacity of a set of engines, in sequences.
 type load struct{ Online, Batch, Waiting, Places int }
 
-// OnlinePercent is online work's part of the places.
+// OnlinePercent returns the share of the capacity that online work uses.
 func (l load) OnlinePercent() int { return percent(l.Online, l.Places) }
 
-// BatchPercent is batch work's part of the places, as far as there is room.
+// BatchPercent returns the share of the capacity that batch work uses, limited to
+// the share that online work leaves free.
 func (l load) BatchPercent() int { return min(percent(l.Batch, l.Places), 100-l.OnlinePercent()) }
 
 func percent(part, whole int) int {
@@ -102,7 +103,7 @@
 	Late             bool
 }
 
-// statusPage is the read-only page for people.
+// statusPage renders the read-only HTML status page.
 func (s *Server) statusPage(c echo.Context) error {
 	var rendered bytes.Buffer
 	if err := pageTemplate.Execute(&rendered, s.buildPage(c.Request().Context(), time.Now().UTC())); err != nil {
@@ -115,7 +116,7 @@
 }
 
 func (s *Server) buildPage(ctx context.Context, now time.Time) *page {
-	built := &page{Version: version.Version, At: now, RefreshSeconds: refreshSeconds, JobLimit: pageJobs}
+	built := &page{Version: version.Version, At: now, RefreshSeconds: refreshSeconds, JobLimit: maxPageJobs}
 	if s.dependencies.Readiness != nil {
 		if err := s.dependencies.Readiness.Ready(); err != nil {
 			built.NotReady = err.Error()
@@ -128,13 +129,13 @@
 		built.HasEngines = true
 		built.addEngines(s.dependencies.Engines.Engines(), now)
 	}
-	costly := s.costly.get(ctx, s.dependencies)
+	costly := s.expensive.get(ctx, s.dependencies)
 	built.addNodes(s.nodes(), costly)
 	built.addZones()
 	built.HasJobs = s.dependencies.Jobs != nil
 	built.addJobs(costly, now)
 	if s.dependencies.Gatherer != nil {
-		built.Tails = tails(s.dependencies.Gatherer)
+		built.Tails = latencySummaries(s.dependencies.Gatherer)
 	}
 	return built
 }
@@ -142,10 +143,10 @@
 func (p *page) addRows(table *policy.Table) {
 	all := sortedRows(table)
 	p.TableRevision, p.RowCount = table.Revision(), len(all)
-	p.Rows = all[:min(len(all), pageRows)]
+	p.Rows = all[:min(len(all), maxPageRows)]
 }
 
-func (p *page) addNodes(list NodeList, costly costlyParts) {
+func (p *page) addNodes(list NodeList, costly expensiveData) {
 	p.Self = list.Self
 	latest := p.TableRevision
 	for _, held := range costly.revisions {
@@ -199,7 +200,8 @@
 	}
 }
 
-// addZones sums nodes and engines up; it comes after both.
+// addZones aggregates nodes and engines by zone. It must be called after addNodes
+// and addEngines.
 func (p *page) addZones() {
 	zones := make(map[string]*pageZone)
 	zone := func(name string) *pageZone {
@@ -238,7 +240,7 @@
 	})
 }
 
-func (p *page) addJobs(costly costlyParts, now time.Time) {
+func (p *page) addJobs(costly expensiveData, now time.Time) {
 	if costly.jobsError != nil {
 		p.JobsError = costly.jobsError.Error()
 		return
@@ -250,18 +252,18 @@
 			Percent: percent(job.Completed+job.Failed+job.Unknown, job.Total),
 		}
 		if !job.Deadline.IsZero() {
-			shown.Deadline = fromNow(job.Deadline, now)
+			shown.Deadline = relativeTime(job.Deadline, now)
 			shown.Late = job.ExpectedFinish.After(job.Deadline)
 		}
 		if !job.ExpectedFinish.IsZero() {
-			shown.Expected = fromNow(job.ExpectedFinish, now)
+			shown.Expected = relativeTime(job.ExpectedFinish, now)
 		}
 		p.Jobs = append(p.Jobs, shown)
 	}
 }
 
-// fromNow gives a time as people read it.
-func fromNow(at, now time.Time) string {
+// relativeTime formats a time relative to now.
+func relativeTime(at, now time.Time) string {
 	distance := at.Sub(now).Round(time.Second)
 	if distance < 0 {
 		return fmt.Sprintf("%s ago", -distance)
@@ -269,7 +271,7 @@
 	return fmt.Sprintf("in %s", distance)
 }
 
-// limitText shows a limit; zero is none.
+// limitText formats a limit. Zero means none.
 func limitText(value any) string {
 	text := fmt.Sprint(value)
 	if text == "0" {
--- a/internal/admin/page_test.go
+++ b/internal/admin/page_test.go
@@ -18,14 +18,15 @@
 	"ringstream.example/ringstream/internal/rows"
 )
 
-// shownFleet is a fleet with one node of each kind of trouble.
-type shownFleet struct {
+// faultyFleet provides the dependencies of the page for a fleet with unhealthy
+// nodes and engines.
+type faultyFleet struct {
 	Jobs
-	asked   int
-	failure error
+	revisionCalls int
+	failure       error
 }
 
-func (*shownFleet) View() membership.View {
+func (*faultyFleet) View() membership.View {
 	return membership.View{Self: "n1", Members: []membership.Member{
 		{ID: "n1", Zone: "a", Region: "r"},
 		{ID: "n2", Zone: "b", Region: "r", State: membership.Suspect},
@@ -33,16 +34,16 @@
 	}}
 }
 
-func (*shownFleet) Table() *policy.Table {
+func (*faultyFleet) Table() *policy.Table {
 	var list []policy.Row
-	for i := range pageRows + 5 {
+	for i := range maxPageRows + 5 {
 		id := fmt.Sprintf("row-%03d", i)
 		list = append(list, policy.Row{ID: identity.RowID(id), Match: policy.Match{Tenant: id, Model: "<script>alert(1)</script>"}, Weight: 1, Revision: uint64(i + 1)})
 	}
 	return policy.NewTable(uint64(len(list)), list)
 }
 
-func (*shownFleet) Engines() []EngineStatus {
+func (*faultyFleet) Engines() []EngineStatus {
 	return []EngineStatus{
 		{ID: "e1", Zone: "a", Reachable: true, RunningOnline: 8, RunningBatch: 16, MaxRunning: 32, KVUsed: 1, KVCapacity: 4},
 		{ID: "e2", Zone: "b", Reachable: true, Leaving: true},
@@ -50,26 +51,26 @@
 	}
 }
 
-func (f *shownFleet) Revisions(context.Context) []rows.NodeRevision {
-	f.asked++
-	return []rows.NodeRevision{{Node: "n1", Known: true, Revision: pageRows + 5}, {Node: "n2", Known: true, Revision: pageRows + 3}, {Node: "n3"}}
+func (f *faultyFleet) Revisions(context.Context) []rows.NodeRevision {
+	f.revisionCalls++
+	return []rows.NodeRevision{{Node: "n1", Known: true, Revision: maxPageRows + 5}, {Node: "n2", Known: true, Revision: maxPageRows + 3}, {Node: "n3"}}
 }
 
-func (f *shownFleet) List(context.Context, identity.TenantID, identity.JobID, int) ([]jobs.Job, error) {
+func (f *faultyFleet) List(context.Context, identity.TenantID, identity.JobID, int) ([]jobs.Job, error) {
 	now := time.Now()
 	return []jobs.Job{{ID: "j1", State: jobs.StateRunning, Total: 4, Completed: 1, Deadline: now.Add(time.Minute), ExpectedFinish: now.Add(time.Hour)}}, f.failure
 }
 
-func (f *shownFleet) Ready() error { return f.failure }
+func (f *faultyFleet) Ready() error { return f.failure }
 
-func shownPage(t *testing.T, fleet *shownFleet, server *Server) string {
+func renderPage(t *testing.T, fleet *faultyFleet, server *Server) string {
 	t.Helper()
 	var text bytes.Buffer
 	if err := pageTemplate.Execute(&text, server.buildPage(t.Context(), time.Now())); err != nil {
 		t.Fatal(err)
 	}
-	if fleet.asked != 1 {
-		t.Errorf("the other nodes were asked %d times", fleet.asked)
+	if fleet.revisionCalls != 1 {
+		t.Errorf("Revisions was called %d times, want 1", fleet.revisionCalls)
 	}
 	return text.String()
 }
@@ -82,25 +83,25 @@
 		tokens.Observe(0.05)
 		tokens.Observe(0.15)
 	}
-	fleet := &shownFleet{failure: errors.New("the store is down")}
+	fleet := &faultyFleet{failure: errors.New("the store is down")}
 	server := &Server{dependencies: Dependencies{Fleet: fleet, Rows: fleet, Engines: fleet, Revisions: fleet, Jobs: fleet, Readiness: fleet, Gatherer: registry}}
-	text := shownPage(t, fleet, server)
+	text := renderPage(t, fleet, server)
 	for _, want := range []string{
 		"not ready: the store is down", "the first 100 of 105", `<td class="warn">suspect</td>`, `<td class="bad">dead</td>`, "no answer",
 		`<td class="n warn">2</td>`, `<td class="bad">not reachable</td>`, `<td class="warn">leaving</td>`, "25 %",
 		`<i style="width:25%"></i><i class="batch" style="width:50%"></i>`, `<td class="n">190ms</td>`, "&lt;script&gt;",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%s is not on the page", want)
+			t.Errorf("the page lacks %s", want)
 		}
 	}
 	if strings.Contains(text, "<script>") || strings.Contains(text, "http://") || strings.Contains(text, "https://") {
-		t.Error("the page has unescaped text or outside references")
+		t.Error("the page has unescaped text or external references")
 	}
 	fleet.failure = nil
-	server.costly.parts.jobsError = nil
-	server.costly.parts.jobs, _ = fleet.List(t.Context(), "", "", 1)
-	if text := shownPage(t, fleet, server); !strings.Contains(text, `<td class="bad">in 1h0m`) || !strings.Contains(text, ">ready<") {
+	server.expensive.data.jobsError = nil
+	server.expensive.data.jobs, _ = fleet.List(t.Context(), "", "", 1)
+	if text := renderPage(t, fleet, server); !strings.Contains(text, `<td class="bad">in 1h0m`) || !strings.Contains(text, ">ready<") {
 		t.Error("a late job is not marked")
 	}
 }
@@ -110,7 +111,7 @@
 	slow := prometheus.NewHistogram(prometheus.HistogramOpts{Name: "ringstream_gateway_next_token_seconds", Buckets: []float64{0.1}})
 	registry.MustRegister(slow)
 	slow.Observe(3)
-	if found := tails(registry); len(found) != 1 || found[0].P50 != "over 100ms" {
+	if found := latencySummaries(registry); len(found) != 1 || found[0].P50 != "over 100ms" {
 		t.Errorf("got %+v", found)
 	}
 }
--- a/internal/admin/profile.go
+++ b/internal/admin/profile.go
@@ -7,8 +7,9 @@
 	"github.com/labstack/echo/v4"
 )
 
-// profileRoutes serves Go's profiles of the running process to operators:
-// /debug/pprof/profile?seconds=10 for processor time, /debug/pprof/heap for memory.
+// profileRoutes registers the pprof profiles of the running process for operators,
+// such as /debug/pprof/profile?seconds=10 for CPU time and /debug/pprof/heap for
+// memory.
 func (s *Server) profileRoutes(root *echo.Echo) {
 	group := root.Group("/debug/pprof", s.authenticate)
 	group.GET("/profile", echo.WrapHandler(http.HandlerFunc(pprof.Profile)))
--- a/internal/admin/rows.go
+++ b/internal/admin/rows.go
@@ -24,31 +24,31 @@
 	headerIfMatch        = "If-Match"
 	headerETag           = "ETag"
 	headerIdempotencyKey = "Idempotency-Key"
-	defaultPage          = 100
-	largestPage          = 1000
-	storeRetry           = 2 * time.Second
+	defaultPageSize      = 100
+	maxPageSize          = 1000
+	storeRetryAfter      = 2 * time.Second
 )
 
-// RowList is the answer to a list of rows.
+// RowList is the response to a list of rows.
 type RowList struct {
 	Revision uint64       `json:"revision" yaml:"revision"`
 	Rows     []policy.Row `json:"rows" yaml:"rows"`
 }
 
-// RowChange is the answer to an accepted edit.
+// RowChange is the response to an accepted edit.
 type RowChange struct {
 	Row policy.Row `json:"row"`
-	// Revision is the table's revision from which the edit is in force.
+	// Revision is the table revision from which the edit is in effect.
 	Revision uint64 `json:"revision"`
 }
 
-// ImportRequest holds rows as they were exported, each with the revision that
-// it was changed against (0: the row is new).
+// ImportRequest holds rows in the exported form. Each row has the revision that it
+// was changed against, or 0 if it is new.
 type ImportRequest struct {
 	Rows []policy.Row `json:"rows" yaml:"rows"`
 }
 
-// ImportResult tells for each row whether it was taken.
+// ImportResult reports for each row whether it was accepted.
 type ImportResult struct {
 	Accepted int         `json:"accepted"`
 	Failed   int         `json:"failed"`
@@ -65,9 +65,9 @@
 	Current  any            `json:"current,omitempty"`
 }
 
-// RowStatus tells how far the table's latest revision has come.
+// RowStatus reports which nodes hold the table's latest revision.
 type RowStatus struct {
-	Revision uint64              `json:"revision"` // the highest known
+	Revision uint64              `json:"revision"` // the highest known revision
 	Nodes    []rows.NodeRevision `json:"nodes"`
 	Behind   int                 `json:"behind"`  // nodes that answered and are below Revision
 	Unknown  int                 `json:"unknown"` // nodes that did not answer in time
@@ -115,10 +115,10 @@
 	if row.ID != rowID(c) {
 		return apierror.Invalid("id: the body says %q and the path says %q", row.ID, rowID(c))
 	}
-	if err := matchRevision(c, &row.Revision); err != nil {
+	if err := parseIfMatch(c, &row.Revision); err != nil {
 		return err
 	}
-	return s.answerEdit(c, rows.Edit{ID: editID(c), By: operator(c), Row: row})
+	return s.respondToEdit(c, rows.Edit{ID: editID(c), By: operator(c), Row: row})
 }
 
 func (s *Server) deleteRow(c echo.Context) error {
@@ -126,14 +126,14 @@
 	if c.Request().Header.Get(headerIfMatch) == "" {
 		return apierror.Invalid("send the row's revision in the header If-Match: a delete is compared like any edit")
 	}
-	if err := matchRevision(c, &row.Revision); err != nil {
+	if err := parseIfMatch(c, &row.Revision); err != nil {
 		return err
 	}
-	return s.answerEdit(c, rows.Edit{ID: editID(c), By: operator(c), Row: row, Delete: true})
+	return s.respondToEdit(c, rows.Edit{ID: editID(c), By: operator(c), Row: row, Delete: true})
 }
 
-// matchRevision takes the revision to compare from If-Match, when given.
-func matchRevision(c echo.Context, revision *uint64) error {
+// parseIfMatch sets revision from the If-Match header if the header is present.
+func parseIfMatch(c echo.Context, revision *uint64) error {
 	header := c.Request().Header.Get(headerIfMatch)
 	if header == "" {
 		return nil
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// editID is the caller's Idempotency-Key, so that an edit can be asked again.
+// editID returns the caller's Idempotency-Key, which makes an edit safe to retry,
+// or a new ID if the header is missing.
 func editID(c echo.Context) string {
 	if key := c.Request().Header.Get(headerIdempotencyKey); key != "" {
 		return key
@@ -154,7 +155,7 @@
 	return ulid.Make().String()
 }
 
-func (s *Server) answerEdit(c echo.Context, edit rows.Edit) error {
+func (s *Server) respondToEdit(c echo.Context, edit rows.Edit) error {
 	change, err := s.edit(c, edit)
 	if err != nil {
 		return err
@@ -162,11 +163,11 @@
 	return c.JSON(http.StatusOK, change)
 }
 
-// edit makes one edit; its errors are *apierror.Error.
+// edit makes one edit. Its errors are *apierror.Error.
 func (s *Server) edit(c echo.Context, edit rows.Edit) (RowChange, error) {
 	result, err := s.dependencies.Editor.Edit(c.Request().Context(), edit)
 	if result.Status == rows.Conflict {
-		return RowChange{}, conflict(edit, result.Row)
+		return RowChange{}, conflictError(edit, result.Row)
 	}
 	if err != nil {
 		return RowChange{}, err
@@ -174,8 +175,8 @@
 	return RowChange{Row: result.Row, Revision: result.Revision}, nil
 }
 
-// conflict tells the loser of a race what the row is now.
-func conflict(edit rows.Edit, current policy.Row) error {
+// conflictError returns the error for an edit that lost a race, with the current row.
+func conflictError(edit rows.Edit, current policy.Row) error {
 	failure := &apierror.Error{Status: http.StatusConflict, Code: apierror.CodeConflict, Run: outcome.Refused}
 	switch {
 	case current.ID == "":
@@ -191,7 +192,7 @@
 	return failure
 }
 
-// importRows makes one edit for each row; each stands for itself.
+// importRows makes one independent edit for each row.
 func (s *Server) importRows(c echo.Context) error {
 	var request ImportRequest
 	if err := httpserver.DecodeJSON(c, &request); err != nil {
@@ -239,13 +240,13 @@
 	return c.JSON(http.StatusOK, status)
 }
 
-// audit gives the edits after a revision; without one, the latest.
+// audit returns the edits after a revision, or the latest edits if none is given.
 func (s *Server) audit(c echo.Context) error {
-	limit, err := queryNumber(c, "limit", defaultPage)
+	limit, err := queryNumber(c, "limit", defaultPageSize)
 	if err != nil {
 		return err
 	}
-	limit = min(limit, largestPage)
+	limit = min(limit, maxPageSize)
 	revision := s.dependencies.Rows.Table().Revision()
 	after, err := queryNumber(c, "after", revision-min(revision, limit))
 	if err != nil {
@@ -253,15 +254,15 @@
 	}
 	entries, err := s.dependencies.Audit.Audit(c.Request().Context(), after, int(limit))
 	if err != nil {
-		return apierror.Unavailable(storeRetry, "the record of edits cannot be read now: %v", err)
+		return apierror.Unavailable(storeRetryAfter, "the record of edits cannot be read now: %v", err)
 	}
 	return c.JSON(http.StatusOK, AuditList{Entries: entries})
 }
 
-func queryNumber(c echo.Context, name string, otherwise uint64) (uint64, error) {
+func queryNumber(c echo.Context, name string, defaultValue uint64) (uint64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	number, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -24,10 +24,10 @@
 	dependencies Dependencies
 	logger       *zap.Logger
 	requests     *prometheus.CounterVec
-	costly       costlyCache
+	expensive    expensiveDataCache
 }
 
-// New makes the server with its routes; registerer may be nil.
+// New creates the server with its routes. registerer may be nil.
 func New(config Config, dependencies Dependencies, logger *zap.Logger, registerer prometheus.Registerer) *Server {
 	server := &Server{
 		http:         httpserver.New("admin", config.Config, logger),
@@ -44,17 +44,17 @@
 	return server
 }
 
-// ListenWith has Run open its listener by another function than TCP's. It is
-// called before Run.
+// ListenWith sets the function with which Run opens its listener, in place of TCP.
+// It must be called before Run.
 func (s *Server) ListenWith(open httpserver.ListenFunc) { s.http.ListenWith(open) }
 
 // Run serves until ctx is done.
 func (s *Server) Run(ctx context.Context) error { return s.http.Run(ctx) }
 
-// Listening is closed when the listener is open.
+// Listening returns a channel that is closed when the listener is open.
 func (s *Server) Listening() <-chan struct{} { return s.http.Listening() }
 
-// Address is the address listened on, once Listening is closed.
+// Address returns the listener's address once Listening is closed.
 func (s *Server) Address() string { return s.http.Address() }
 
 func (s *Server) routes() {
@@ -142,12 +142,13 @@
 	return name
 }
 
-// health is 200 as long as the process answers.
+// health responds with status 200 while the process runs.
 func (s *Server) health(c echo.Context) error {
 	return c.JSON(http.StatusOK, healthBody{Status: "alive"})
 }
 
-// ready is 200 when the node should be sent requests.
+// ready responds with status 200 if the node should receive requests, and 503
+// otherwise.
 func (s *Server) ready(c echo.Context) error {
 	if s.dependencies.Readiness == nil {
 		return c.JSON(http.StatusOK, healthBody{Status: "ready"})
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -33,15 +33,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeRows is a table in memory, changed under the compare of revisions.
+// fakeRows is an in-memory table whose edits compare revisions.
 type fakeRows struct {
-	mutex    sync.Mutex
-	revision uint64
-	rows     map[identity.RowID]policy.Row
-	audit    []rows.AuditEntry
-	down     error // what Edit fails with
-	ids      []string
-	lost     int // accepted edits whose answer is still to be lost
+	mutex         sync.Mutex
+	revision      uint64
+	rows          map[identity.RowID]policy.Row
+	audit         []rows.AuditEntry
+	editError     error // the error that Edit returns, if set
+	editIDs       []string
+	lostResponses int // number of accepted edits whose response is still to be lost
 }
 
 func (f *fakeRows) Table() *policy.Table {
@@ -57,14 +57,14 @@
 func (f *fakeRows) Edit(_ context.Context, edit rows.Edit) (rows.EditResult, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.ids = append(f.ids, edit.ID)
+	f.editIDs = append(f.editIDs, edit.ID)
 	for _, entry := range f.audit {
 		if entry.EditID == edit.ID {
 			return rows.EditResult{Status: rows.Accepted, Row: *entry.After, Revision: entry.Revision}, nil
 		}
 	}
-	if f.down != nil {
-		return rows.EditResult{Status: rows.Uncertain}, f.down
+	if f.editError != nil {
+		return rows.EditResult{Status: rows.Uncertain}, f.editError
 	}
 	if edit.Row.Weight < 1 && !edit.Delete {
 		return rows.EditResult{Status: rows.Invalid}, apierror.Invalid("weight: %d is below 1", edit.Row.Weight)
@@ -87,8 +87,8 @@
 		entry.After = &row
 	}
 	f.audit = append(f.audit, entry)
-	if f.lost > 0 {
-		f.lost--
+	if f.lostResponses > 0 {
+		f.lostResponses--
 		return rows.EditResult{Status: rows.Uncertain}, &apierror.Error{Status: 503, Code: apierror.CodeStoreDown, Message: "lost"}
 	}
 	return rows.EditResult{Status: rows.Accepted, Row: row, Revision: f.revision}, nil
@@ -134,7 +134,7 @@
 	tenantKey   = "caller"
 )
 
-// fixture is an admin server on a loopback port.
+// fixture is an admin server on a loopback port with its fake dependencies.
 type fixture struct {
 	rows      *fakeRows
 	drainer   *fakeDrainer
@@ -227,20 +227,20 @@
 	_, err = f.client.PutRow(ctx, mine)
 	var failure *adminclient.APIError
 	if !errors.As(err, &failure) || failure.Status != http.StatusConflict || failure.Run != "not_run" {
-		t.Fatalf("the lost race gave %v", err)
+		t.Fatalf("an edit with a stale revision returned %v, want a conflict", err)
 	}
 	var current policy.Row
 	if err := json.Unmarshal(failure.Current, &current); err != nil || current.Weight != 4 || current.Revision != 2 {
 		t.Errorf("the current row is %+v, %v", current, err)
 	}
 	if _, err := f.client.DeleteRow(ctx, "alerts", 1); !errors.As(err, &failure) || failure.Status != http.StatusConflict {
-		t.Errorf("an old delete gave %v", err)
+		t.Errorf("a delete with a stale revision returned %v, want a conflict", err)
 	}
 	if _, err := f.client.DeleteRow(ctx, "alerts", 2); err != nil {
 		t.Error(err)
 	}
 	if _, err := f.client.Row(ctx, "alerts"); !errors.As(err, &failure) || failure.Status != http.StatusNotFound {
-		t.Errorf("a deleted row gave %v", err)
+		t.Errorf("Row returned %v for a deleted row, want status 404", err)
 	}
 	if list, err := f.client.Audit(ctx, nil, 2); err != nil || len(list.Entries) != 2 || list.Entries[1].By != "alice" || list.Entries[1].After != nil {
 		t.Errorf("audit: %+v, %v", list, err)
@@ -305,13 +305,13 @@
 		})
 	}
 	if f.rows.revision != 0 {
-		t.Error("a refused request changed the table")
+		t.Error("a rejected request changed the table")
 	}
 }
 
 func TestUncertainEditIsPassedOn(t *testing.T) {
 	f := start(t)
-	f.rows.down = &apierror.Error{Status: 503, Code: apierror.CodeStoreDown, Message: "lost", RetryAfter: 1500 * time.Millisecond}
+	f.rows.editError = &apierror.Error{Status: 503, Code: apierror.CodeStoreDown, Message: "lost", RetryAfter: 1500 * time.Millisecond}
 	status, text := f.raw(t, "PUT", "/api/v1/rows/a", operatorKey, `{"weight":1}`)
 	if status != 503 || !strings.Contains(text, `"run":"unknown"`) {
 		t.Errorf("got %d %s", status, text)
@@ -320,10 +320,10 @@
 
 func TestLostAnswerIsAskedAgainUnderTheSameID(t *testing.T) {
 	f := start(t)
-	f.rows.lost = 1
+	f.rows.lostResponses = 1
 	change, err := f.client.PutRow(t.Context(), policy.Row{ID: "a", Weight: 1})
-	if err != nil || change.Revision != 1 || f.rows.revision != 1 || len(f.rows.ids) != 2 || f.rows.ids[0] != f.rows.ids[1] {
-		t.Errorf("%+v, %v, ids %v", change, err, f.rows.ids)
+	if err != nil || change.Revision != 1 || f.rows.revision != 1 || len(f.rows.editIDs) != 2 || f.rows.editIDs[0] != f.rows.editIDs[1] {
+		t.Errorf("%+v, %v, ids %v", change, err, f.rows.editIDs)
 	}
 }
 
