--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -1,7 +1,8 @@
-// Package suspension notices that the machine was suspended. The steady clock, by which
-// a node measures how old its beliefs are, does not count that time, and timers sleep
-// through it: a node that wakes takes what it knew before for fresh. Parts of a node
-// register what they correct then, and whoever is about to act on a belief looks first.
+// Package suspension detects that the machine was suspended. The monotonic clock, with
+// which a node measures the age of its state, does not advance during a suspension, and
+// timers do not run. After resuming, a node would therefore treat old state as fresh.
+// Components register corrections of their state, and code that is about to act on such
+// state calls Look first.
 package suspension
 
 import (
@@ -15,102 +16,107 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Clock gives how long the machine has been suspended in all, since any moment.
+// Clock measures the total time for which the machine has been suspended since an
+// arbitrary fixed moment.
 type Clock interface {
 	Suspended() time.Duration
 }
 
 // SystemClock reads the machine's clocks. A reading takes 0.4 us.
-type SystemClock struct{ began time.Time }
+type SystemClock struct{ started time.Time }
 
-// NewSystemClock makes a clock that counts from now on.
-func NewSystemClock() SystemClock { return SystemClock{began: time.Now()} }
+// NewSystemClock creates a clock that counts suspensions from now on.
+func NewSystemClock() SystemClock { return SystemClock{started: time.Now()} }
 
-// readWithin is how long the readings of the two clocks may take to belong together: a
-// process that is held up between them would else see a suspension.
-const readWithin = time.Millisecond
+// maxReadDuration bounds the time to read both clocks in one attempt. A process that is
+// delayed between the reads would otherwise detect a suspension that did not happen.
+const maxReadDuration = time.Millisecond
 
-// readTries is how often they are read again.
-const readTries = 5
+// readAttempts is the number of attempts to read both clocks within maxReadDuration.
+const readAttempts = 5
 
-// Suspended implements Clock: by how much CLOCK_BOOTTIME, which goes on through a
-// suspension, is ahead of the steady clock. A step of the time of day moves neither.
+// Suspended implements Clock. It returns how far CLOCK_BOOTTIME, which advances during a
+// suspension, is ahead of the monotonic clock. A step of the wall clock affects neither.
 func (c SystemClock) Suspended() time.Duration {
 	var ahead time.Duration
-	for range readTries {
-		before := time.Since(c.began)
+	for range readAttempts {
+		before := time.Since(c.started)
 		var now unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
-			return 0 // a kernel without this clock has no suspension that it counts
+			return 0 // a kernel without this clock does not count suspensions
 		}
-		after := time.Since(c.began)
+		after := time.Since(c.started)
 		ahead = time.Duration(now.Nano()) - after
-		if after-before <= readWithin {
+		if after-before <= maxReadDuration {
 			break
 		}
 	}
 	return ahead
 }
 
-// Least is the shortest suspension that is noticed: well over the clocks' noise, and under
-// the shortest time by which nodes judge each other (grant.DispatcherConfig.UnusedAfter).
+// Least is the shortest suspension that is detected. It is well above the noise of the
+// clocks and below the shortest timeout that nodes apply to each other
+// (grant.DispatcherConfig.UnusedAfter).
 const Least = 50 * time.Millisecond
 
-// Watch notices suspensions. A nil Watch notices none.
+// Watch detects suspensions and runs the registered corrections. A nil Watch detects none.
 type Watch struct {
-	clock   Clock
-	known   atomic.Int64  // nanoseconds suspended, as far as has been corrected
-	total   atomic.Int64  // the same, from the moment on at which the correcting begins
-	noticed atomic.Uint64 // suspensions
+	clock     Clock
+	corrected atomic.Int64  // nanoseconds of suspension for which all corrections have run
+	total     atomic.Int64  // nanoseconds of suspension detected; set before the corrections run
+	noticed   atomic.Uint64 // number of suspensions detected
 
-	correcting sync.Mutex
-	correct    []func(gap time.Duration)
+	correctMutex sync.Mutex
+	corrections  []func(gap time.Duration)
 }
 
-// NewWatch makes a watch.
+// NewWatch creates a watch for suspensions from now on.
 func NewWatch(clock Clock) *Watch {
 	watch := &Watch{clock: clock}
-	watch.known.Store(int64(clock.Suspended()))
-	watch.total.Store(watch.known.Load())
+	watch.corrected.Store(int64(clock.Suspended()))
+	watch.total.Store(watch.corrected.Load())
 	return watch
 }
 
-// OnWake adds a function that corrects a part's beliefs by the length of a suspension. It
-// must not call Look. Called before the watch is used.
+// OnWake registers a function that corrects a component's state by the length of a
+// suspension. The function must not call Look. OnWake must be called before the watch is
+// used.
 func (w *Watch) OnWake(correct func(gap time.Duration)) {
 	if w != nil {
-		w.correct = append(w.correct, correct)
+		w.corrections = append(w.corrections, correct)
 	}
 }
 
-// Look has all beliefs corrected if the machine was suspended since the last look, and
-// returns when they are. The caller holds no lock.
+// Look checks whether the machine was suspended since the last correction. If so, it runs
+// all corrections and returns when they are complete. The caller must hold no lock.
 func (w *Watch) Look() {
-	if w == nil || !w.apart() {
+	if w == nil || !w.clocksDiverged() {
 		return
 	}
-	w.correcting.Lock()
-	defer w.correcting.Unlock()
+	w.correctMutex.Lock()
+	defer w.correctMutex.Unlock()
 	suspended := w.clock.Suspended()
-	gap := suspended - time.Duration(w.known.Load())
+	gap := suspended - time.Duration(w.corrected.Load())
 	if gap < Least {
-		return // another caller has corrected
+		return // another caller has run the corrections
 	}
 	w.noticed.Add(1)
 	w.total.Store(int64(suspended))
-	for _, correct := range w.correct {
+	for _, correct := range w.corrections {
 		correct(gap)
 	}
-	w.known.Store(int64(suspended))
+	w.corrected.Store(int64(suspended))
 }
 
-// apart says whether the clocks went apart since the last correction.
-func (w *Watch) apart() bool {
-	return w.clock.Suspended()-time.Duration(w.known.Load()) >= Least
+// clocksDiverged reports whether the clocks have diverged by Least or more since the last
+// correction.
+func (w *Watch) clocksDiverged() bool {
+	return w.clock.Suspended()-time.Duration(w.corrected.Load()) >= Least
 }
 
-// Total gives how long the machine was suspended in all, as far as was noticed: for what is
-// not known yet to a function of OnWake when it is called.
+// Total returns the total suspension time detected so far, including a suspension whose
+// corrections are still running. It serves state that an OnWake function cannot know yet
+// when it runs.
 func (w *Watch) Total() time.Duration {
 	if w == nil {
 		return 0
@@ -118,12 +124,11 @@
 	return time.Duration(w.total.Load())
 }
 
-// Corrected gives how long the machine was suspended in all, as far as all beliefs are
-// corrected by.
-func (w *Watch) Corrected() time.Duration { return time.Duration(w.known.Load()) }
+// Corrected returns the total suspension time for which all corrections have run.
+func (w *Watch) Corrected() time.Duration { return time.Duration(w.corrected.Load()) }
 
-// Count gives the suspensions noticed so far. What was asked before one and is answered
-// after it may be older than it seems.
+// Count returns the number of suspensions detected so far. If it changes between a request
+// and its response, the response may be older than it appears.
 func (w *Watch) Count() uint64 {
 	if w == nil {
 		return 0
@@ -132,13 +137,13 @@
 	return w.noticed.Load()
 }
 
-// lookEvery is the pause between two looks while nothing else looks: so late are requests
-// ended whose time was up during a suspension.
-const lookEvery = 250 * time.Millisecond
+// lookInterval is the interval of Look calls by Run. It bounds the delay until requests
+// whose deadline passed during a suspension are ended.
+const lookInterval = 250 * time.Millisecond
 
-// Run looks now and then until ctx ends.
+// Run calls Look every lookInterval until ctx is done.
 func (w *Watch) Run(ctx context.Context) error {
-	for wait.For(ctx, lookEvery) {
+	for wait.For(ctx, lookInterval) {
 		w.Look()
 	}
 	return nil
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -16,12 +16,12 @@
 	watch := suspension.NewWatch(clock)
 	var corrected atomic.Int64
 	watch.OnWake(func(gap time.Duration) {
-		time.Sleep(5 * time.Millisecond) // others look meanwhile
+		time.Sleep(5 * time.Millisecond) // other goroutines call Look meanwhile
 		corrected.Add(int64(gap))
 	})
 	watch.Look()
 	if corrected.Load() != 0 {
-		t.Error("a suspension from before the start is corrected")
+		t.Error("a suspension before the start was corrected")
 	}
 	clock.Suspend(3 * time.Second)
 	var group sync.WaitGroup
@@ -29,13 +29,13 @@
 		group.Go(func() {
 			watch.Look()
 			if got := time.Duration(corrected.Load()); got != 3*time.Second {
-				t.Errorf("somebody acts after a correction of %v", got)
+				t.Errorf("Look returned after a correction of %v, want 3s", got)
 			}
 		})
 	}
 	group.Wait()
 	if count := watch.Count(); count != 1 {
-		t.Errorf("%d suspensions were noticed", count)
+		t.Errorf("%d suspensions were detected, want 1", count)
 	}
 }
 
@@ -49,7 +49,7 @@
 		watch.Look()
 	}
 	if corrected != 2*suspension.Least {
-		t.Errorf("corrected %v", corrected)
+		t.Errorf("corrected %v, want twice Least", corrected)
 	}
 }
 
@@ -58,16 +58,16 @@
 	before := clock.Suspended()
 	time.Sleep(30 * time.Millisecond)
 	if drift := (clock.Suspended() - before).Abs(); drift >= suspension.Least {
-		t.Errorf("the clocks went apart by %v", drift)
+		t.Errorf("the clocks diverged by %v", drift)
 	}
 }
 
 func TestNilWatch(t *testing.T) {
 	var watch *suspension.Watch
-	watch.OnWake(func(time.Duration) { t.Error("called") })
+	watch.OnWake(func(time.Duration) { t.Error("a nil Watch called a correction") })
 	watch.Look()
 	if watch.Count() != 0 {
-		t.Error("a suspension was noticed")
+		t.Error("a nil Watch detected a suspension")
 	}
 }
 
--- a/internal/suspension/suspensiontest/clock.go
+++ b/internal/suspension/suspensiontest/clock.go
@@ -1,4 +1,4 @@
-// Package suspensiontest gives tests a clock of suspensions that is moved by hand.
+// Package suspensiontest provides a suspension clock that tests control.
 package suspensiontest
 
 import (
@@ -8,7 +8,7 @@
 	"ringstream.example/ringstream/internal/suspension"
 )
 
-// Clock tells of suspensions by hand. It is safe for concurrent use.
+// Clock is a suspension.Clock that tests advance with Suspend. It is safe for concurrent use.
 type Clock struct{ suspended atomic.Int64 }
 
 var _ suspension.Clock = (*Clock)(nil)
@@ -16,5 +16,5 @@
 // Suspended implements suspension.Clock.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// Suspend has the machine have been suspended for so long.
+// Suspend adds a suspension of the given length.
 func (c *Clock) Suspend(length time.Duration) { c.suspended.Add(int64(length)) }
