--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
 // Package store commits transactions to the platform's table service so that
-// every write can be asked again: failed calls are retried within a budget,
-// and a lost answer is settled by the transaction's id.
+// every write can be retried. Failed calls are retried a bounded number of times,
+// and the transaction's ID shows whether a write with a lost response took effect.
 package store
 
 import (
@@ -12,95 +12,99 @@
 	"ringstream.example/ringstream/internal/backend"
 )
 
-// Status is what is known of a transaction.
+// Status is the known outcome of a transaction.
 type Status uint8
 
-// The ends of a commit.
+// The outcomes of a commit.
 const (
-	// Applied: it took effect, exactly once.
+	// Applied means that the transaction took effect exactly once.
 	Applied Status = iota + 1
-	// Conflict: a compare failed; nothing was written.
+	// Conflict means that a compare failed and nothing was written.
 	Conflict
-	// NotApplied: the store could not be reached; nothing was written and
-	// nothing of it is on its way.
+	// NotApplied means that the store could not be reached. Nothing was written,
+	// and no call is still in flight.
 	NotApplied
-	// Uncertain: an answer was lost and the deadline came before it was settled.
+	// Uncertain means that a response was lost and the retries ended before the
+	// outcome was known.
 	Uncertain
 )
 
-// Result is the end of a commit.
+// Result is the outcome of a commit.
 type Result struct {
 	Status Status
-	// Conflicts holds the current records whose compares failed.
+	// Conflicts holds the current records of the failed compares.
 	Conflicts []backend.Record
-	// Versions of the writes, in order; empty when Applied was settled by reading.
+	// Versions holds the new versions of the writes, in order. It is empty if
+	// Applied was concluded from a conflict after a lost response.
 	Versions []uint64
-	// Cause is the last error, when NotApplied or Uncertain.
+	// Cause is the last error if Status is NotApplied or Uncertain.
 	Cause error
 }
 
-// Retry bounds the repeats of one call.
+// Retry bounds the attempts of one call and the pauses between them.
 type Retry struct {
-	Attempts int           // calls in all
-	First    time.Duration // the pause before the second call; doubles, with full jitter
-	Longest  time.Duration // the longest pause
+	Attempts int           // number of attempts, including the first
+	First    time.Duration // bound of the pause before the second attempt; doubles, with full jitter
+	Longest  time.Duration // upper bound of each pause, without the service's RetryAfter
 }
 
-// DefaultRetry suits a caller that waits: about two seconds in all.
+// DefaultRetry suits a caller that can wait for about two seconds in all.
 var DefaultRetry = Retry{Attempts: 6, First: 50 * time.Millisecond, Longest: time.Second}
 
-// Client commits and reads. It is safe for concurrent use.
+// Client commits transactions and reads records. It is safe for concurrent use.
 type Client struct {
 	Table backend.Table
 	Retry Retry
 }
 
-// New makes a client with the default retry.
+// New creates a client with DefaultRetry.
 func New(table backend.Table) *Client {
 	return &Client{Table: table, Retry: DefaultRetry}
 }
 
-// Patient gives a client of the same table for work that comes round again by
-// itself: it asks at most twice, so that an outage is not met by many calls.
+// Patient returns a client of the same table for periodic work. It makes at most two
+// attempts per call, because the work is repeated anyway and an outage should not
+// cause many calls.
 func (c *Client) Patient() *Client {
 	patient := *c
 	patient.Retry.Attempts = min(2, c.Retry.Attempts)
 	return &patient
 }
 
-// Commit applies a transaction and settles lost answers. At least one compare
-// must be on a key that the transaction also writes: repeats are then safe,
-// since the second application fails that compare. When others may overwrite
-// that key soon, the transaction also writes a marker key of its own.
+// Commit applies a transaction and resolves lost responses. At least one compare
+// must be on a key that the transaction also writes. Retries are then safe, because
+// a second application fails that compare. If others may overwrite that key soon,
+// the transaction must also write a marker key of its own.
 func (c *Client) Commit(ctx context.Context, transaction backend.Transaction) Result {
-	lost := false
+	responseLost := false
 	var cause error
 	for attempt := 1; attempt <= c.Retry.Attempts; attempt++ {
 		result, err := c.Table.Commit(ctx, transaction)
 		if err == nil {
-			return settle(transaction, result, lost)
+			return resolve(transaction, result, responseLost)
 		}
 		cause = err
 		if effectUnknown(err) {
-			lost = true
+			responseLost = true
 		}
 		if !Retryable(err) || !c.pause(ctx, attempt, err) {
 			break
 		}
 	}
-	if lost {
+	if responseLost {
 		return Result{Status: Uncertain, Cause: cause}
 	}
 	return Result{Status: NotApplied, Cause: cause}
 }
 
-// settle reads a definite answer; after a lost one, a conflict with a record
-// that this transaction wrote itself means that it had taken effect.
-func settle(transaction backend.Transaction, answer backend.CommitResult, lost bool) Result {
+// resolve converts a response of the table service to a Result. After a lost
+// response, a conflict with a record that this transaction wrote means that the
+// transaction took effect.
+func resolve(transaction backend.Transaction, answer backend.CommitResult, responseLost bool) Result {
 	if answer.Applied {
 		return Result{Status: Applied, Versions: answer.Versions}
 	}
-	if lost {
+	if responseLost {
 		for _, record := range answer.Conflicts {
 			if record.TransactionID == transaction.ID {
 				return Result{Status: Applied}
@@ -110,29 +114,29 @@
 	return Result{Status: Conflict, Conflicts: answer.Conflicts}
 }
 
-// Get reads a record, with retries.
+// Get reads a record with retries.
 func (c *Client) Get(ctx context.Context, key string) (backend.Record, error) {
 	return retry(ctx, c, func() (backend.Record, error) { return c.Table.Get(ctx, key) })
 }
 
-// List reads all records with a prefix, page by page, with retries.
+// List reads all records with a prefix after the given key, page by page, with retries.
 func (c *Client) List(ctx context.Context, prefix, after string) ([]backend.Record, error) {
-	const page = 500
+	const pageSize = 500
 	var all []backend.Record
 	for {
-		records, err := retry(ctx, c, func() ([]backend.Record, error) { return c.Table.List(ctx, prefix, after, page) })
+		records, err := retry(ctx, c, func() ([]backend.Record, error) { return c.Table.List(ctx, prefix, after, pageSize) })
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, records...)
-		if len(records) < page {
+		if len(records) < pageSize {
 			return all, nil
 		}
 		after = records[len(records)-1].Key
 	}
 }
 
-// Page reads up to limit records with a prefix after the key given, with retries.
+// Page reads up to limit records with a prefix after the given key, with retries.
 func (c *Client) Page(ctx context.Context, prefix, after string, limit int) ([]backend.Record, error) {
 	return retry(ctx, c, func() ([]backend.Record, error) { return c.Table.List(ctx, prefix, after, limit) })
 }
@@ -146,7 +150,7 @@
 	}
 }
 
-// pause waits before the next call; false when the context ends first.
+// pause waits before the next attempt. It returns false if ctx ends first.
 func (c *Client) pause(ctx context.Context, attempt int, err error) bool {
 	longest := min(c.Retry.First<<(attempt-1), c.Retry.Longest)
 	wait := rand.N(longest + 1) //nolint:gosec // jitter, not a secret
@@ -164,7 +168,7 @@
 	}
 }
 
-// Retryable says whether asking again can help.
+// Retryable reports whether a retry can succeed.
 func Retryable(err error) bool {
 	var failure *backend.Error
 	if !errors.As(err, &failure) {
