--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine for a time or until its context ends.
+// Package wait pauses a goroutine for a duration or until its context ends.
 package wait
 
 import (
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// For waits; false when the context ends first. A time that is not positive
-// only asks whether the context has ended.
-func For(ctx context.Context, length time.Duration) bool {
-	if length <= 0 {
+// For waits for a duration. It returns false if ctx ends first. If the duration is
+// not positive, it only reports whether ctx is still active.
+func For(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -22,5 +22,5 @@
 	}
 }
 
-// Until waits for a point in time; false when the context ends first.
-func Until(ctx context.Context, due time.Time) bool { return For(ctx, time.Until(due)) }
+// Until waits until a point in time. It returns false if ctx ends first.
+func Until(ctx context.Context, deadline time.Time) bool { return For(ctx, time.Until(deadline)) }
