--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,9 +1,9 @@
-// Package backend declares, as one narrow interface each, the outside systems
-// that ringstream runs on. No other package knows a URL or a wire field of
-// theirs; the HTTP adapters live in package backend/httpclient.
+// Package backend declares one narrow interface for each external system that
+// ringstream depends on. No other package knows their URLs or wire fields. The HTTP
+// adapters are in package backend/httpclient.
 //
-// Every method honours its context's deadline. A failed call returns *Error,
-// whose Effect says what is known of the call.
+// Every method honors its context's deadline. A failed call returns *Error, whose
+// Effect says whether the call can have taken effect.
 package backend
 
 import (
@@ -13,30 +13,31 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// Effect says whether a failed call can have taken effect.
+// Effect states whether a failed call can have taken effect.
 type Effect uint8
 
 // The effects of a failed call.
 const (
-	// EffectUnknown: the call was sent and its answer did not come.
+	// EffectUnknown means that the call may have been sent and no definite response
+	// was received.
 	EffectUnknown Effect = iota
-	// EffectNone: the call provably did nothing.
+	// EffectNone means that the call provably had no effect.
 	EffectNone
 )
 
 // ErrorCode classifies a failed call.
 type ErrorCode string
 
-// The codes that callers of this package decide by.
+// The codes by which callers of this package distinguish failures.
 const (
 	CodeUnavailable ErrorCode = "unavailable"  // down, refused, or timed out
-	CodeRateLimited ErrorCode = "rate_limited" // RetryAfter says when to ask again
+	CodeRateLimited ErrorCode = "rate_limited" // RetryAfter holds the time until a retry
 	CodeNotFound    ErrorCode = "not_found"
-	CodeFenced      ErrorCode = "fenced"     // an order or write of an older epoch
-	CodeSaturated   ErrorCode = "saturated"  // the engine has no room
+	CodeFenced      ErrorCode = "fenced"     // an order or write of an older epoch, or a request for another incarnation
+	CodeSaturated   ErrorCode = "saturated"  // the engine has no free capacity
 	CodeNotLoaded   ErrorCode = "not_loaded" // model, version or adapter not on this engine
-	CodeLeaving     ErrorCode = "leaving"    // the engine takes no new work
-	CodeInvalid     ErrorCode = "invalid"    // the call itself is wrong; never retried
+	CodeLeaving     ErrorCode = "leaving"    // the engine accepts no new work
+	CodeInvalid     ErrorCode = "invalid"    // the call itself is invalid; never retried
 	CodeBroken      ErrorCode = "broken"     // a stream ended before its last token
 )
 
@@ -45,7 +46,7 @@
 	Code       ErrorCode
 	Effect     Effect
 	RetryAfter time.Duration
-	// System and Operation name what failed ("table", "commit").
+	// System and Operation name the failed call, such as "table" and "commit".
 	System, Operation string
 	Cause             error
 }
@@ -58,10 +59,10 @@
 	return fmt.Sprintf("%s %s: %s: %v", e.System, e.Operation, e.Code, e.Cause)
 }
 
-// Unwrap gives the transport's error.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// MachineKind tells engines from ringstream nodes in the machine list.
+// MachineKind distinguishes engines from ringstream nodes in the machine list.
 type MachineKind string
 
 // The machine kinds.
@@ -70,11 +71,11 @@
 	MachineNode   MachineKind = "node"
 )
 
-// Machine is one entry of the machine list. The list lags: it is a hint.
+// Machine is one entry of the machine list. The list lags, so an entry is only a hint.
 type Machine struct {
 	ID      string
 	Kind    MachineKind
-	Address string // host:port, the host an IP number
+	Address string // host:port, where host is an IP address
 	Zone    string
 	Region  string
 	Pool    string // engines only: the pool they serve
@@ -83,11 +84,11 @@
 	Leaving  bool
 }
 
-// EngineID gives the machine's identifier as an engine.
+// EngineID returns the machine's ID as an engine ID.
 func (m Machine) EngineID() identity.EngineID { return identity.EngineID(m.ID) }
 
-// HopHeader marks a request that one site has already handed to the other. A
-// request that carries it is never forwarded again.
+// HopHeader marks a request that one site has forwarded to the other. A request
+// that carries it is never forwarded again.
 const HopHeader = "Ringstream-Hop"
 
 // bytesPerToken is the mean length of a token in bytes of text.
--- a/internal/backend/backendtest/storage.go
+++ b/internal/backend/backendtest/storage.go
@@ -1,6 +1,6 @@
-// Package backendtest is the table service and the object store in memory,
-// for tests: outages, lost answers and pauses on demand. One lock a store; no
-// goroutine, so it works in testing/synctest bubbles.
+// Package backendtest provides an in-memory table service and object store for tests,
+// with outages, lost responses and hanging calls on demand. Each store has one lock and
+// starts no goroutine, so it works in testing/synctest bubbles.
 package backendtest
 
 import (
@@ -12,18 +12,19 @@
 	"ringstream.example/ringstream/internal/backend"
 )
 
-// Faults say what a store does to the calls that come.
+// Faults configures the failures of a store's calls.
 type Faults struct {
-	Down bool // calls fail and do nothing
-	// LoseAnswers is the number of coming commits or puts that take effect
-	// and whose answers are lost.
+	Down bool // calls fail without effect
+	// LoseAnswers is the number of further commits or puts that are executed but
+	// whose responses are lost.
 	LoseAnswers int
-	// Spare is the number of answers still given before the first is lost.
+	// Spare is the number of commits that still get a response before the first
+	// response is lost.
 	Spare int
-	Hang  bool // calls do nothing and return when their context ends
+	Hang  bool // calls block without effect until their context is done
 }
 
-// Table is a backend.Table.
+// Table is an in-memory backend.Table.
 type Table struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -32,7 +33,7 @@
 	commits int
 }
 
-// NewTable makes an empty table.
+// NewTable creates an empty table.
 func NewTable() *Table { return &Table{records: map[string]backend.Record{}} }
 
 // SetFaults replaces the faults.
@@ -53,7 +54,7 @@
 	return &backend.Error{Code: backend.CodeUnavailable, Effect: effect, System: system, Operation: operation}
 }
 
-// hang waits for the context's end when the table is told to hang.
+// hang blocks until ctx is done if Faults.Hang is set, and returns an error then.
 func (t *Table) hang(ctx context.Context) error {
 	t.mu.Lock()
 	hangs := t.faults.Hang
@@ -94,7 +95,7 @@
 	return page, nil
 }
 
-// firstPage gives the first page of the keys with a prefix after a key.
+// firstPage returns the first limit keys with a prefix after a key, in order.
 func firstPage[V any](all map[string]V, prefix, after string, limit int) []string {
 	var keys []string
 	for key := range all {
@@ -149,14 +150,14 @@
 	return t.version
 }
 
-// Objects is a backend.Objects.
+// Objects is an in-memory backend.Objects.
 type Objects struct {
 	mu     sync.Mutex
 	faults Faults
 	bodies map[string][]byte
 }
 
-// NewObjects makes an empty store.
+// NewObjects creates an empty store.
 func NewObjects() *Objects { return &Objects{bodies: map[string][]byte{}} }
 
 // SetFaults replaces the faults.
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -16,7 +16,8 @@
 	PriorityOnline Priority = 1
 )
 
-// Sampling says how an engine chooses tokens; nil leaves a choice to the engine.
+// Sampling holds the sampling parameters of a request. The engine chooses the value
+// of a nil parameter.
 type Sampling struct {
 	Temperature      *float64 `json:"temperature,omitempty"`       // 0 to 2
 	TopP             *float64 `json:"top_p,omitempty"`             // 0 to 1
@@ -25,25 +26,26 @@
 	Seed             *int64   `json:"seed,omitempty"`
 }
 
-// GenerateRequest asks an engine for a token stream.
+// GenerateRequest requests a token stream from an engine.
 type GenerateRequest struct {
 	Attempt identity.AttemptID
 	Model   string
 	Version string // empty: any
 	Adapter string // empty: none
 	Prompt  string
-	// Kept holds output tokens already produced by an earlier attempt; the
-	// stream goes on at offset len(Kept).
+	// Kept holds the output tokens that an earlier attempt produced. The stream
+	// continues at offset len(Kept).
 	Kept      []string
 	MaxTokens int
 	Sampling  Sampling
 	Priority  Priority
-	// Incarnation, when set, has the engine refuse with CodeFenced in any other
-	// life than this, so that a late send cannot reach a restarted engine.
+	// Incarnation is the engine process that may run the request, if set. Any other
+	// incarnation rejects it with CodeFenced, so that a delayed request cannot run
+	// on a restarted engine.
 	Incarnation identity.Incarnation
 }
 
-// Token is one output token. Offsets start at 0 and rise by one.
+// Token is one output token. Offsets start at 0 and increase by one.
 type Token struct {
 	Offset int
 	Text   string
@@ -53,22 +55,22 @@
 type Finish struct {
 	Reason       string // "stop", "length" or "cancelled"
 	PromptTokens int
-	OutputTokens int // of the whole answer, kept tokens included
+	OutputTokens int // of the whole output, including kept tokens
 	CachedTokens int // prompt tokens found in the prefix cache
 }
 
-// TokenStream is one attempt's output. It is used by one goroutine.
+// TokenStream is one attempt's output. It is not safe for concurrent use.
 type TokenStream interface {
-	// Next gives the next token; after the last, (Token{}, io.EOF). A stream
-	// that breaks before its last token gives *Error with CodeBroken.
+	// Next returns the next token, or (Token{}, io.EOF) after the last one. If the
+	// stream breaks before its last token, it returns *Error with CodeBroken.
 	Next() (Token, error)
 	// Finish is valid after Next returned io.EOF.
 	Finish() Finish
-	// Close drops the connection. It does not cancel the engine's work.
+	// Close releases the connection. It does not cancel the engine's work.
 	Close() error
 }
 
-// EngineLoad is an engine's own report, already old when it arrives.
+// EngineLoad is an engine's load report. It is already stale when it arrives.
 type EngineLoad struct {
 	Engine        identity.EngineID
 	ReportedAt    time.Time // when the engine measured it
@@ -82,7 +84,7 @@
 	Models        []LoadedModel
 	Role          string // "mixed", "prefill" or "decode"
 	Leaving       bool
-	Incarnation   identity.Incarnation // of the engine's process; empty: not said
+	Incarnation   identity.Incarnation // of the engine's process; empty if not reported
 }
 
 // LoadedModel is a model version, with its adapters, that an engine can run.
@@ -91,20 +93,21 @@
 	Adapters       []string
 }
 
-// CacheEvent says that a prompt prefix entered or left an engine's cache.
+// CacheEvent reports that a prompt prefix was added to or evicted from an engine's
+// cache.
 type CacheEvent struct {
 	Sequence uint64 // gaps mean lost events
 	Prefix   uint64 // one hash of AppendPrefixHashes
 	Stored   bool   // false: evicted
 }
 
-// CancelReport says what a cancel found.
+// CancelReport is the result of a cancel.
 type CancelReport struct {
 	Found        bool // the engine knew the attempt
 	Running      bool // it was running or queued, and is now stopped
 	OutputTokens int
-	// Never is the engine's word that the attempt has not run in this
-	// incarnation and will be refused for the rest of it.
+	// Never means that the attempt has not run in this incarnation of the engine
+	// and that this incarnation will reject it.
 	Never       bool
 	Incarnation identity.Incarnation
 }
@@ -112,7 +115,7 @@
 // OrderKind is the kind of a fenced order.
 type OrderKind string
 
-// The orders an engine takes.
+// The kinds of orders that an engine accepts.
 const (
 	OrderLoadModel     OrderKind = "load_model"
 	OrderUnloadModel   OrderKind = "unload_model"
@@ -121,8 +124,8 @@
 	OrderSetRole       OrderKind = "set_role"
 )
 
-// Order tells an engine to change what it holds. An engine refuses an order
-// whose Epoch is below the highest it has seen, with CodeFenced.
+// Order instructs an engine to change its models, adapters or role. An engine
+// rejects an order whose Epoch is below the highest it has seen, with CodeFenced.
 type Order struct {
 	ID                            string
 	Epoch                         uint64
@@ -132,29 +135,29 @@
 
 // Engine is one model engine. Implementations are safe for concurrent use.
 type Engine interface {
-	// Generate starts an attempt. An *Error with EffectNone proves that the
-	// engine does not run it. A repeated Attempt gives the running stream.
+	// Generate starts an attempt. An *Error with EffectNone proves that the engine
+	// does not run it. A repeated Attempt returns the stream of the running attempt.
 	Generate(ctx context.Context, request GenerateRequest) (TokenStream, error)
-	// Resume joins an attempt that the engine still holds, at offset.
-	// CodeNotFound says that the engine does not know the attempt.
+	// Resume returns the stream of an attempt that the engine still holds, from
+	// offset. CodeNotFound means that the engine does not know the attempt.
 	Resume(ctx context.Context, attempt identity.AttemptID, offset int) (TokenStream, error)
-	// Cancel stops an attempt; one that the engine has not seen is refused when
-	// it comes later.
+	// Cancel stops an attempt. An attempt that the engine has not seen is rejected
+	// when it arrives later.
 	Cancel(ctx context.Context, attempt identity.AttemptID) (CancelReport, error)
-	// ExportKV gives an attempt's KV cache as an opaque block, for ImportKV.
+	// ExportKV returns an attempt's KV cache as an opaque block for ImportKV.
 	ExportKV(ctx context.Context, attempt identity.AttemptID) ([]byte, error)
-	// ImportKV makes an exported block's prefix cached on this engine.
+	// ImportKV adds the prefix of an exported block to this engine's cache.
 	ImportKV(ctx context.Context, block []byte) error
-	// Load gives the engine's latest published load report.
+	// Load returns the engine's latest published load report.
 	Load(ctx context.Context) (EngineLoad, error)
-	// CacheEvents gives published events with a sequence above since.
+	// CacheEvents returns published events with a sequence number above since.
 	CacheEvents(ctx context.Context, since uint64) ([]CacheEvent, error)
-	// Order carries out a fenced order; it returns when the order is accepted,
-	// and Load shows when it is done.
+	// Order submits a fenced order. It returns when the order is accepted; Load
+	// shows when it is complete.
 	Order(ctx context.Context, order Order) error
 }
 
-// Engines opens engines by machine-list entry.
+// Engines creates engine clients from machine list entries.
 type Engines interface {
 	Engine(machine Machine) Engine
 }
--- a/internal/backend/httpclient/call.go
+++ b/internal/backend/httpclient/call.go
@@ -16,7 +16,7 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// caller sends requests to one system.
+// caller sends requests to one external system.
 type caller struct {
 	client        *http.Client
 	system, base  string
@@ -24,35 +24,35 @@
 	acceptTimeout time.Duration
 }
 
-// request is one call to be sent.
+// request describes one call.
 type request struct {
 	operation string
 	method    string
-	path      string // with its query
+	path      string // including the query
 	body      []byte
 	header    http.Header
 }
 
-// maxAnswerBytes bounds an answer that is read whole.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds a response that is read completely.
+const maxResponseBytes = 64 << 20
 
-// maxErrorBytes bounds the body of a failed call.
+// maxErrorBytes bounds the body of an error response.
 const maxErrorBytes = 16 << 10
 
-// call sends a request and decodes the JSON answer into answer, unless nil.
+// call sends a request and decodes the JSON response into answer, unless it is nil.
 func (c *caller) call(ctx context.Context, call request, answer any) error {
-	body, err := c.raw(ctx, call)
+	body, err := c.callRaw(ctx, call)
 	if err != nil || answer == nil {
 		return err
 	}
 	if err := json.Unmarshal(body, answer); err != nil {
-		return c.fail(call, backend.CodeUnavailable, backend.EffectUnknown, err)
+		return c.callError(call, backend.CodeUnavailable, backend.EffectUnknown, err)
 	}
 	return nil
 }
 
-// raw sends a request and gives the whole answer.
-func (c *caller) raw(ctx context.Context, call request) ([]byte, error) {
+// callRaw sends a request and returns the whole response body.
+func (c *caller) callRaw(ctx context.Context, call request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	response, err := c.send(ctx, call)
@@ -60,14 +60,14 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, c.fail(call, backend.CodeUnavailable, backend.EffectUnknown, err)
+		return nil, c.callError(call, backend.CodeUnavailable, backend.EffectUnknown, err)
 	}
 	return body, nil
 }
 
-// send sends a request and gives a successful response, its body unread.
+// send sends a request and returns a successful response with its body unread.
 func (c *caller) send(ctx context.Context, call request) (*http.Response, error) {
 	response, err := c.exchange(ctx, call)
 	if err != nil {
@@ -77,24 +77,25 @@
 		return response, nil
 	}
 	defer func() { _ = response.Body.Close() }()
-	return nil, c.refusal(call, response)
+	return nil, c.responseError(call, response)
 }
 
-// exchange sends a request and gives whatever response comes. A call that got
-// no connection provably did nothing; once it had one, some of the request may
-// have been written, and its effect is unknown unless the answer says otherwise.
+// exchange sends a request and returns the response, whatever its status. A call that
+// got no connection provably had no effect. Once it had a connection, some of the
+// request may have been written, and its effect is unknown unless the response says
+// otherwise.
 func (c *caller) exchange(ctx context.Context, call request) (*http.Response, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, c.fail(call, backend.CodeUnavailable, backend.EffectNone, err)
+		return nil, c.callError(call, backend.CodeUnavailable, backend.EffectNone, err)
 	}
-	var asked, connected atomic.Bool
+	var connectionRequested, connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { asked.Store(true) },
+		GetConn: func(string) { connectionRequested.Store(true) },
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	outgoing, err := http.NewRequestWithContext(ctx, call.method, c.base+call.path, bytes.NewReader(call.body))
 	if err != nil {
-		return nil, c.fail(call, backend.CodeInvalid, backend.EffectNone, err)
+		return nil, c.callError(call, backend.CodeInvalid, backend.EffectNone, err)
 	}
 	if call.header != nil {
 		outgoing.Header = call.header
@@ -102,19 +103,20 @@
 	response, err := c.client.Do(outgoing)
 	if err != nil {
 		effect := backend.EffectUnknown
-		if asked.Load() && !connected.Load() {
+		if connectionRequested.Load() && !connected.Load() {
 			effect = backend.EffectNone
 		}
-		return nil, c.fail(call, backend.CodeUnavailable, effect, err)
+		return nil, c.callError(call, backend.CodeUnavailable, effect, err)
 	}
 	return response, nil
 }
 
-// refusal reads the system's own word on a failed call. Only its word makes
-// the effect none: a bare status may come from anything on the way.
-func (c *caller) refusal(call request, response *http.Response) error {
+// responseError returns the error for an error response. Only a wire.Error of the
+// system itself can state EffectNone, because a bare status may come from any
+// intermediary.
+func (c *caller) responseError(call request, response *http.Response) error {
 	failure := &backend.Error{
-		Code: codeOfStatus(response.StatusCode), Effect: backend.EffectUnknown,
+		Code: codeFromStatus(response.StatusCode), Effect: backend.EffectUnknown,
 		System: c.system, Operation: call.operation,
 		RetryAfter: retryAfter(response.Header.Get("Retry-After")),
 	}
@@ -138,12 +140,12 @@
 	return failure
 }
 
-func (c *caller) fail(call request, code backend.ErrorCode, effect backend.Effect, cause error) error {
+func (c *caller) callError(call request, code backend.ErrorCode, effect backend.Effect, cause error) error {
 	return &backend.Error{Code: code, Effect: effect, System: c.system, Operation: call.operation, Cause: cause}
 }
 
-// codeOfStatus is for answers without the system's own code.
-func codeOfStatus(status int) backend.ErrorCode {
+// codeFromStatus returns the code for a response without a code of the system.
+func codeFromStatus(status int) backend.ErrorCode {
 	switch {
 	case status == http.StatusNotFound:
 		return backend.CodeNotFound
@@ -156,7 +158,8 @@
 	}
 }
 
-// retryAfter reads a Retry-After in whole seconds; zero when there is none.
+// retryAfter parses a Retry-After header in whole seconds. It returns zero if the
+// header is missing or invalid.
 func retryAfter(header string) time.Duration {
 	seconds, err := strconv.Atoi(header)
 	if err != nil || seconds < 0 {
@@ -165,7 +168,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// encode gives the JSON of a wire value; those types always encode.
+// encode returns the JSON of a wire value. Wire types always encode.
 func encode(value any) []byte {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/backend/httpclient/clients.go
+++ b/internal/backend/httpclient/clients.go
@@ -9,37 +9,37 @@
 	"ringstream.example/ringstream/internal/backend"
 )
 
-// Clients holds one adapter for each of the platform's systems.
+// Clients holds one adapter for each system of the platform.
 type Clients struct {
 	Table    backend.Table
 	Objects  backend.Objects
 	Weights  backend.Weights
 	Machines backend.MachineList
-	// Site is nil when there is no other site.
+	// Site is nil if there is no other site.
 	Site    backend.Site
 	Engines backend.Engines
 
 	transport *http.Transport
 }
 
-// DialFunc opens a connection, as net.Dialer's DialContext does.
+// DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// New makes the adapters; it opens no connection.
+// New creates the adapters. It opens no connection.
 func New(config Config) (*Clients, error) {
 	return NewWithDial(config, (&net.Dialer{KeepAlive: keepAlive}).DialContext)
 }
 
-// keepAlive is the period of TCP probes on idle connections.
+// keepAlive is the interval of TCP keep-alive probes on idle connections.
 const keepAlive = 15 * time.Second
 
-// NewWithDial makes adapters that open their connections by dial.
+// NewWithDial creates adapters that open their connections with dial.
 func NewWithDial(config Config, dial DialFunc) (*Clients, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	transport := newTransport(config, dial)
-	// The client follows no redirect: the first answer is the answer.
+	// The client follows no redirects and returns the first response.
 	client := &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}}
@@ -63,7 +63,7 @@
 	return clients, nil
 }
 
-// Close drops the unused connections.
+// Close closes idle connections.
 func (c *Clients) Close() {
 	c.transport.CloseIdleConnections()
 }
--- a/internal/backend/httpclient/config.go
+++ b/internal/backend/httpclient/config.go
@@ -1,7 +1,7 @@
-// Package httpclient reaches the platform's systems over HTTP: one adapter for
-// each interface of package backend. It owns URLs, wire forms, connections
-// and the judgement of a failed call's effect. It never retries: that is for
-// its callers, who know what may be asked again.
+// Package httpclient implements the interfaces of package backend over HTTP, with one
+// adapter for each. It defines URLs, encoding and connections, and determines the
+// effect of a failed call. It never retries, because only its callers know which
+// calls may be repeated.
 package httpclient
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Config says where the platform's systems are and how long a call may take.
+// Config holds the addresses of the platform's systems and the limits of calls.
 type Config struct {
 	TableURL     string `koanf:"table_url" usage:"base URL of the transactional table service"`
 	ObjectsURL   string `koanf:"objects_url" usage:"base URL of the object store"`
@@ -31,7 +31,8 @@
 	IdleConnectionsPerHost int `koanf:"idle_connections_per_host" usage:"unused connections kept to one engine or system"`
 }
 
-// DefaultConfig suits a node before 100 to 200 engines, with URLs left empty.
+// DefaultConfig returns settings that suit a node with 100 to 200 engines. The URLs
+// are empty.
 func DefaultConfig() Config {
 	return Config{
 		ConnectTimeout:         time.Second,
@@ -43,7 +44,7 @@
 	}
 }
 
-// Validate checks the settings; each error names its key.
+// Validate checks the settings. Each error names its key.
 func (c Config) Validate() error {
 	var problems []error
 	urls := []struct {
@@ -87,7 +88,7 @@
 	return errors.Join(problems...)
 }
 
-// checkURL wants http or https, an IP number and a port.
+// checkURL requires the scheme http or https, an IP address, a port and no path.
 func checkURL(raw string) error {
 	parsed, err := url.Parse(raw)
 	if err != nil {
@@ -108,7 +109,8 @@
 	return nil
 }
 
-// newTransport pools connections; it sets no limit on how long a stream lasts.
+// newTransport returns a transport that pools connections. It does not limit the
+// duration of a stream.
 func newTransport(config Config, dial DialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -121,9 +123,9 @@
 		IdleConnTimeout:     config.IdleTimeout,
 		TLSHandshakeTimeout: config.ConnectTimeout,
 		DisableCompression:  true,
-		ReadBufferSize:      streamBuffer,
+		ReadBufferSize:      streamBufferBytes,
 	}
 }
 
-// streamBuffer holds some tens of token lines.
-const streamBuffer = 4 << 10
+// streamBufferBytes is the size of a read buffer. It holds some tens of token lines.
+const streamBufferBytes = 4 << 10
--- a/internal/backend/httpclient/engine.go
+++ b/internal/backend/httpclient/engine.go
@@ -13,7 +13,7 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// engines opens engines by their address.
+// engines creates engine adapters by address.
 type engines struct {
 	caller func(system, base string) *caller
 }
@@ -23,13 +23,13 @@
 	return &engine{e.caller("engine "+machine.ID, "http://"+machine.Address)}
 }
 
-// engine reaches one engine.
+// engine is the adapter of one engine.
 type engine struct{ *caller }
 
-// errNotAccepted ends a call that the engine did not take in time.
-var errNotAccepted = errors.New("not taken within the accept timeout")
+// errAcceptTimeout is the cause of a call that the engine did not accept in time.
+var errAcceptTimeout = errors.New("not taken within the accept timeout")
 
-// Generate implements backend.Engine. The stream lives as long as ctx.
+// Generate implements backend.Engine. The stream ends when ctx is done.
 func (e *engine) Generate(ctx context.Context, generate backend.GenerateRequest) (backend.TokenStream, error) {
 	body := encode(wire.GenerateRequest{
 		Attempt: string(generate.Attempt), Model: generate.Model, Version: generate.Version, Adapter: generate.Adapter,
@@ -40,21 +40,22 @@
 	return e.stream(ctx, call, generate.Attempt, len(generate.Kept))
 }
 
-// Resume implements backend.Engine. The stream lives as long as ctx.
+// Resume implements backend.Engine. The stream ends when ctx is done.
 func (e *engine) Resume(ctx context.Context, attempt identity.AttemptID, offset int) (backend.TokenStream, error) {
 	path := attemptPath(attempt, wire.SuffixStream) + "?offset=" + strconv.Itoa(offset)
 	return e.stream(ctx, request{operation: "resume", method: http.MethodGet, path: path}, attempt, offset)
 }
 
-// stream opens a token stream; the engine answers as soon as it has taken the
-// attempt, so that the wait for its headers is bounded and the stream is not.
+// stream opens a token stream. The engine sends the response headers as soon as it
+// has accepted the attempt. The accept timeout therefore bounds the wait for the
+// headers and not the stream.
 func (e *engine) stream(ctx context.Context, call request, attempt identity.AttemptID, offset int) (backend.TokenStream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(e.acceptTimeout, func() { cancel(errNotAccepted) })
+	timer := time.AfterFunc(e.acceptTimeout, func() { cancel(errAcceptTimeout) })
 	response, err := e.send(ctx, call)
 	if err == nil && !timer.Stop() {
 		_ = response.Body.Close()
-		err = e.fail(call, backend.CodeUnavailable, backend.EffectUnknown, errNotAccepted)
+		err = e.callError(call, backend.CodeUnavailable, backend.EffectUnknown, errAcceptTimeout)
 	}
 	if err != nil {
 		timer.Stop()
@@ -74,7 +75,7 @@
 
 // ExportKV implements backend.Engine.
 func (e *engine) ExportKV(ctx context.Context, attempt identity.AttemptID) ([]byte, error) {
-	return e.raw(ctx, request{operation: "export_kv", method: http.MethodGet, path: attemptPath(attempt, wire.SuffixKV)})
+	return e.callRaw(ctx, request{operation: "export_kv", method: http.MethodGet, path: attemptPath(attempt, wire.SuffixKV)})
 }
 
 // ImportKV implements backend.Engine.
--- a/internal/backend/httpclient/httpclient_test.go
+++ b/internal/backend/httpclient/httpclient_test.go
@@ -40,13 +40,13 @@
 		}
 		edit(&config)
 		if err := config.Validate(); err == nil || !strings.HasPrefix(err.Error(), key+":") {
-			t.Errorf("%s: got %v", key, err)
+			t.Errorf("%s: got error %v, want one that names the key", key, err)
 		}
 	}
 }
 
-// clientsOf serves a handler on loopback.
-func clientsOf(t *testing.T, handler http.HandlerFunc, edit func(*Config)) (*Clients, backend.Engine) {
+// newTestClients returns clients and an engine that call handler on loopback.
+func newTestClients(t *testing.T, handler http.HandlerFunc, edit func(*Config)) (*Clients, backend.Engine) {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -63,7 +63,7 @@
 	return clients, engine
 }
 
-func wantFailure(t *testing.T, err error, code backend.ErrorCode, effect backend.Effect) {
+func checkFailure(t *testing.T, err error, code backend.ErrorCode, effect backend.Effect) {
 	t.Helper()
 	var failure *backend.Error
 	if !errors.As(err, &failure) || failure.Code != code || failure.Effect != effect {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestOnlyTheSystemsOwnWordMakesTheEffectNone(t *testing.T) {
+func TestOnlyAnErrorBodyMakesTheEffectNone(t *testing.T) {
 	for name, test := range map[string]struct {
 		handler http.HandlerFunc
 		code    backend.ErrorCode
@@ -83,15 +83,15 @@
 		"bare 429": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusTooManyRequests)
 		}, backend.CodeRateLimited, backend.EffectUnknown},
-		"its own word": {func(w http.ResponseWriter, _ *http.Request) {
+		"error body, effect none": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusTooManyRequests)
 			_, _ = io.WriteString(w, `{"code":"saturated","effect":"none","message":"full"}`)
 		}, backend.CodeSaturated, backend.EffectNone},
-		"its word of an effect": {func(w http.ResponseWriter, _ *http.Request) {
+		"error body, effect unknown": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
 			_, _ = io.WriteString(w, `{"code":"unavailable","effect":"unknown","message":"crashed"}`)
 		}, backend.CodeUnavailable, backend.EffectUnknown},
-		"cut": {func(http.ResponseWriter, *http.Request) {
+		"aborted response": {func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}, backend.CodeUnavailable, backend.EffectUnknown},
 		"not JSON": {func(w http.ResponseWriter, _ *http.Request) {
@@ -99,29 +99,29 @@
 		}, backend.CodeUnavailable, backend.EffectUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			clients, _ := clientsOf(t, test.handler, nil)
+			clients, _ := newTestClients(t, test.handler, nil)
 			_, err := clients.Table.Commit(t.Context(), backend.Transaction{ID: "t"})
-			wantFailure(t, err, test.code, test.effect)
+			checkFailure(t, err, test.code, test.effect)
 		})
 	}
 }
 
 func TestACallThatWasNeverSentHasNoEffect(t *testing.T) {
-	clients, engine := clientsOf(t, func(http.ResponseWriter, *http.Request) {}, nil)
+	clients, engine := newTestClients(t, func(http.ResponseWriter, *http.Request) {}, nil)
 	done, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := clients.Table.Commit(done, backend.Transaction{ID: "t"})
-	wantFailure(t, err, backend.CodeUnavailable, backend.EffectNone)
+	checkFailure(t, err, backend.CodeUnavailable, backend.EffectNone)
 	_, err = engine.Generate(done, backend.GenerateRequest{Attempt: "a"})
-	wantFailure(t, err, backend.CodeUnavailable, backend.EffectNone)
+	checkFailure(t, err, backend.CodeUnavailable, backend.EffectNone)
 	nobody := clients.Engines.Engine(backend.Machine{ID: "e", Address: "127.0.0.1:1"})
 	_, err = nobody.Generate(t.Context(), backend.GenerateRequest{Attempt: "a"})
-	wantFailure(t, err, backend.CodeUnavailable, backend.EffectNone)
+	checkFailure(t, err, backend.CodeUnavailable, backend.EffectNone)
 }
 
 func TestAGenerateIsSentOnceThoughItsIdleConnectionWasClosed(t *testing.T) {
 	var generates atomic.Int32
-	_, engine := clientsOf(t, func(w http.ResponseWriter, r *http.Request) {
+	_, engine := newTestClients(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			generates.Add(1)
 			panic(http.ErrAbortHandler)
@@ -132,50 +132,50 @@
 		t.Fatal(err)
 	}
 	_, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "a"})
-	wantFailure(t, err, backend.CodeUnavailable, backend.EffectUnknown)
+	checkFailure(t, err, backend.CodeUnavailable, backend.EffectUnknown)
 	if sent := generates.Load(); sent != 1 {
-		t.Errorf("sent %d times", sent)
+		t.Errorf("the request was sent %d times, want once", sent)
 	}
 }
 
 func TestAnEngineThatDoesNotAnswerEndsAtTheAcceptTimeout(t *testing.T) {
-	_, engine := clientsOf(t, func(_ http.ResponseWriter, r *http.Request) {
+	_, engine := newTestClients(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}, func(c *Config) { c.AcceptTimeout = 20 * time.Millisecond })
 	_, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "a"})
-	wantFailure(t, err, backend.CodeUnavailable, backend.EffectUnknown)
+	checkFailure(t, err, backend.CodeUnavailable, backend.EffectUnknown)
 }
 
 func TestStreamsThatAreNotWholeAreBroken(t *testing.T) {
 	const head = `{"a":"x","o":0,"t":"one "}` + "\n"
 	for name, body := range map[string]string{
-		"ends early":      head,
-		"gap":             head + `{"a":"x","o":2,"t":"three "}` + "\n",
-		"crossed":         head + `{"a":"y","o":1,"t":"two "}` + "\n",
-		"crossed finish":  head + `{"a":"y","finish":{"reason":"length","output_tokens":1}}` + "\n",
-		"finish too soon": head + `{"a":"x","finish":{"reason":"length","output_tokens":2}}` + "\n",
-		"no JSON":         head + "word\n",
-		"line too long":   head + strings.Repeat("x", 2*streamBuffer) + "\n",
-		"repeated token":  head + head,
+		"ends early":             head,
+		"gap":                    head + `{"a":"x","o":2,"t":"three "}` + "\n",
+		"other attempt's token":  head + `{"a":"y","o":1,"t":"two "}` + "\n",
+		"other attempt's finish": head + `{"a":"y","finish":{"reason":"length","output_tokens":1}}` + "\n",
+		"finish too soon":        head + `{"a":"x","finish":{"reason":"length","output_tokens":2}}` + "\n",
+		"no JSON":                head + "word\n",
+		"line too long":          head + strings.Repeat("x", 2*streamBufferBytes) + "\n",
+		"repeated token":         head + head,
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, engine := clientsOf(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }, nil)
+			_, engine := newTestClients(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }, nil)
 			stream, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "x"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer stream.Close()
 			if token, err := stream.Next(); err != nil || token.Text != "one " {
-				t.Fatalf("%+v, %v", token, err)
+				t.Fatalf("first token %+v, error %v", token, err)
 			}
 			_, err = stream.Next()
-			wantFailure(t, err, backend.CodeBroken, backend.EffectUnknown)
+			checkFailure(t, err, backend.CodeBroken, backend.EffectUnknown)
 			if errors.Is(err, io.EOF) {
-				t.Errorf("%v passes for the end of a whole stream", err)
+				t.Errorf("%v is io.EOF, which marks the end of a complete stream", err)
 			}
 			if _, again := stream.Next(); !errors.Is(again, err) {
-				t.Errorf("a broken stream went on with %v", again)
+				t.Errorf("Next returned %v after the stream broke, want the same error", again)
 			}
 		})
 	}
--- a/internal/backend/httpclient/site.go
+++ b/internal/backend/httpclient/site.go
@@ -7,11 +7,11 @@
 	"ringstream.example/ringstream/internal/backend"
 )
 
-// site reaches the other site's callers' API.
+// site is the adapter of the other site's API for callers.
 type site struct{ *caller }
 
-// Forward implements backend.Site. Every answer of the other site, refusals
-// included, is passed through: what it says of the run is its own word.
+// Forward implements backend.Site. Every response of the other site, including an
+// error response, is passed through, because it states itself whether the request ran.
 func (s *site) Forward(ctx context.Context, forwarded backend.SiteRequest) (backend.SiteResponse, error) {
 	header := http.Header{
 		"Content-Type":    {"application/json"},
--- a/internal/backend/httpclient/storage.go
+++ b/internal/backend/httpclient/storage.go
@@ -10,7 +10,7 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// table reaches the table service.
+// table is the adapter of the table service.
 type table struct{ *caller }
 
 // Get implements backend.Table.
@@ -65,7 +65,7 @@
 	return url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}.Encode()
 }
 
-// objects reaches the object store.
+// objects is the adapter of the object store.
 type objects struct{ *caller }
 
 // Put implements backend.Objects.
@@ -75,7 +75,7 @@
 
 // Get implements backend.Objects.
 func (o *objects) Get(ctx context.Context, name string) ([]byte, error) {
-	return o.raw(ctx, request{operation: "get", method: http.MethodGet, path: objectPath(name)})
+	return o.callRaw(ctx, request{operation: "get", method: http.MethodGet, path: objectPath(name)})
 }
 
 // List implements backend.Objects.
@@ -97,7 +97,7 @@
 	return wire.PathObject + "?" + url.Values{"name": {name}}.Encode()
 }
 
-// weights reaches the weight store.
+// weights is the adapter of the weight store.
 type weights struct{ *caller }
 
 // Artifacts implements backend.Weights.
@@ -121,7 +121,7 @@
 	return answer.BytesPerSecond, err
 }
 
-// machines reaches the machine list.
+// machines is the adapter of the machine list.
 type machines struct{ *caller }
 
 // Machines implements backend.MachineList.
--- a/internal/backend/prefix.go
+++ b/internal/backend/prefix.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length of prompt that one block of an engine's
-// prefix cache covers, in bytes. Only whole blocks are cached.
+// PrefixBlockBytes is the number of prompt bytes that one block of an engine's
+// prefix cache covers. Only whole blocks are cached.
 const PrefixBlockBytes = 256
 
-// AppendPrefixHashes appends one hash for each whole block of the prompt, in
-// order, and stops after limit blocks. The hash of a block covers the model, the
-// adapter, every earlier block and the block itself, so that one hash names the whole
-// prefix up to it. CacheEvent.Prefix is such a hash. It allocates
-// only when into is too short.
+// AppendPrefixHashes appends one hash for each whole block of the prompt, in order,
+// up to limit blocks. The hash of a block covers the model, the adapter, all earlier
+// blocks and the block itself, so that one hash identifies the whole prefix up to the
+// end of the block. CacheEvent.Prefix is such a hash. The function allocates only if
+// the capacity of into is too small.
 func AppendPrefixHashes(into []uint64, model, adapter, prompt string, limit int) []uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/backend/prefix_test.go
+++ b/internal/backend/prefix_test.go
@@ -20,13 +20,13 @@
 		t.Errorf("common blocks differ (-first +second):\n%s", diff)
 	}
 	if first[2] == second[2] {
-		t.Error("different blocks have one hash")
+		t.Error("different blocks have the same hash")
 	}
 	if other := backend.AppendPrefixHashes(nil, "m", "adapter", common, 8); other[0] == first[0] {
-		t.Error("the adapter does not change the hash")
+		t.Error("the hash does not depend on the adapter")
 	}
 	if limited := backend.AppendPrefixHashes(nil, "m", "", common, 1); len(limited) != 1 {
-		t.Errorf("limit 1 gave %d blocks", len(limited))
+		t.Errorf("limit 1 returned %d blocks", len(limited))
 	}
 }
 
--- a/internal/backend/storage.go
+++ b/internal/backend/storage.go
@@ -8,15 +8,16 @@
 // Record is one record of the table service.
 type Record struct {
 	Key string
-	// Version rises by at least one with each write of the record and is never
-	// reused, also not after a delete. Zero: absent.
+	// Version increases by at least one with each write of the record and is never
+	// reused, not even after a delete. Zero means that the record does not exist.
 	Version uint64
-	// TransactionID is the id of the transaction that last wrote the record.
+	// TransactionID is the ID of the transaction that last wrote the record.
 	TransactionID string
 	Value         []byte
 }
 
-// Compare holds when the record has exactly this version (zero: absent).
+// Compare is a condition that holds if the record has exactly this version. Version
+// zero means that the record must not exist.
 type Compare struct {
 	Key     string
 	Version uint64
@@ -29,43 +30,45 @@
 	Delete bool
 }
 
-// Transaction applies all its writes when all its compares hold, else nothing.
+// Transaction applies all its writes if all its compares hold, and none otherwise.
 type Transaction struct {
-	// ID is stored with each record written, so that a writer whose answer was
-	// lost can read the record and learn whether the transaction took effect.
-	// The service does not deduplicate by it.
+	// ID is stored with each written record. After a lost response, the writer can
+	// read the record to find out whether the transaction took effect. The service
+	// does not deduplicate by ID.
 	ID       string
 	Compares []Compare
 	Writes   []Write
 }
 
-// CommitResult is the table service's answer to a transaction.
+// CommitResult is the table service's response to a transaction.
 type CommitResult struct {
 	Applied bool
-	// Conflicts holds the current records whose compares failed.
+	// Conflicts holds the current records of the failed compares.
 	Conflicts []Record
-	// Versions gives the new version of each write, in order, when Applied.
+	// Versions holds the new version of each write, in order, if Applied.
 	Versions []uint64
 }
 
-// Table is the transactional table service: rate-limited, sometimes slow or
-// down, and its answers can be lost after the effect (EffectUnknown).
+// Table is the transactional table service. It is rate-limited and sometimes slow
+// or unavailable, and its responses can be lost after a call took effect
+// (EffectUnknown).
 type Table interface {
-	// Get gives a record; Version 0 when absent, without an error.
+	// Get returns a record. An absent record has Version 0 and is not an error.
 	Get(ctx context.Context, key string) (Record, error)
-	// List gives up to limit records with the prefix, by key, after the key given.
+	// List returns up to limit records with the prefix, in key order, after the
+	// given key.
 	List(ctx context.Context, prefix, after string, limit int) ([]Record, error)
 	// Commit applies a transaction.
 	Commit(ctx context.Context, transaction Transaction) (CommitResult, error)
 }
 
-// Objects is the object store. Names are written once: a second Put of a name
-// replaces it, and writers choose names so that this is harmless.
+// Objects is the object store. Names are meant to be written once. A second Put of a
+// name replaces the object, and writers choose names so that this is harmless.
 type Objects interface {
 	Put(ctx context.Context, name string, body []byte) error
-	// Get gives the whole object; CodeNotFound when absent.
+	// Get returns the whole object. An absent object is a CodeNotFound error.
 	Get(ctx context.Context, name string) ([]byte, error)
-	// List gives up to limit names with the prefix, in order, after the name given.
+	// List returns up to limit names with the prefix, in order, after the given name.
 	List(ctx context.Context, prefix, after string, limit int) ([]string, error)
 	Delete(ctx context.Context, name string) error
 }
@@ -76,29 +79,29 @@
 	Bytes                   int64
 }
 
-// Weights is the weight store, from which engines load; its rate is limited.
+// Weights is the weight store from which engines load models. Its rate is limited.
 type Weights interface {
-	// Artifacts lists what can be loaded.
+	// Artifacts lists the models and adapters that can be loaded.
 	Artifacts(ctx context.Context) ([]Artifact, error)
-	// Budget gives the bytes per second that all loads together may take.
+	// Budget returns the limit for all loads together, in bytes per second.
 	Budget(ctx context.Context) (int64, error)
 }
 
-// MachineSnapshot is one reading of the machine list.
+// MachineSnapshot is a snapshot of the machine list.
 type MachineSnapshot struct {
-	// Version rises with each change of the list.
+	// Version increases with each change of the list.
 	Version  uint64
 	Machines []Machine
 }
 
 // MachineList is the platform's list of live and leaving machines. It lags.
 type MachineList interface {
-	// Machines gives the whole list, or no machines and the same version when
-	// nothing changed since the version given.
+	// Machines returns the whole list, or no machines and the same version if
+	// nothing has changed since the given version.
 	Machines(ctx context.Context, since uint64) (MachineSnapshot, error)
 }
 
-// SiteRequest is a caller's request handed to the other site.
+// SiteRequest is a caller's request that is forwarded to the other site.
 type SiteRequest struct {
 	Path           string // "/v1/completions" or "/v1/chat/completions"
 	Body           []byte
@@ -107,7 +110,7 @@
 	IdempotencyKey string
 }
 
-// SiteResponse is the other site's answer, passed through unchanged.
+// SiteResponse is the other site's response. It is passed through unchanged.
 type SiteResponse struct {
 	Status      int
 	ContentType string
@@ -115,9 +118,10 @@
 	Body        io.ReadCloser
 }
 
-// Site is the other site. Requests sent to it carry a hop mark, and neither
-// site forwards a request that has one.
+// Site is the other site. Requests sent to it carry HopHeader, and neither site
+// forwards a request that carries it.
 type Site interface {
-	// Forward sends a request. An *Error with EffectNone proves it did not run.
+	// Forward sends a request. An *Error with EffectNone proves that the request did
+	// not run.
 	Forward(ctx context.Context, request SiteRequest) (SiteResponse, error)
 }
--- a/internal/backend/wire/stream.go
+++ b/internal/backend/wire/stream.go
@@ -8,21 +8,21 @@
 	"unicode/utf8"
 )
 
-// A token stream is a sequence of JSON lines. Each carries the attempt that it
-// answers, so that a line of another attempt is never taken for one of ours:
+// A token stream is a sequence of JSON lines. Each line carries the ID of its attempt,
+// so that a line of another attempt is detected:
 //
 //	{"a":"ATTEMPT","o":7,"t":"word "}      one token
-//	{"a":"ATTEMPT","preempted":true}       the engine set the sequence back in its queue
-//	{"a":"ATTEMPT","finish":{...}}         the end
-//	{"a":"ATTEMPT","error":{...}}          the engine gives up
+//	{"a":"ATTEMPT","preempted":true}       the engine requeued the sequence
+//	{"a":"ATTEMPT","finish":{...}}         the stream is complete
+//	{"a":"ATTEMPT","error":{...}}          the engine aborts the attempt
 //
-// The reader takes the first form apart without a JSON decoder.
+// The reader parses the first form without a JSON decoder.
 
-// ErrCrossed says that a line belongs to another attempt.
+// ErrCrossed is returned for a line that belongs to another attempt.
 var ErrCrossed = errors.New("the line answers another attempt")
 
-// Line is one line of a token stream. Exactly one of Token, Preempted, Finish
-// and Error is meant.
+// Line is one line of a token stream. Exactly one of Text, Preempted, Finish and Error
+// is set.
 type Line struct {
 	Attempt   string  `json:"a"`
 	Offset    int     `json:"o"`
@@ -32,14 +32,14 @@
 	Error     *Error  `json:"error,omitempty"`
 }
 
-// AppendPrefix appends what every line of the attempt begins with.
+// AppendPrefix appends the common prefix of all lines of the attempt.
 func AppendPrefix(into []byte, attempt string) []byte {
 	into = append(into, `{"a":`...)
 	into = appendString(into, attempt)
 	return append(into, ',')
 }
 
-// AppendToken appends one token line; prefix comes from AppendPrefix.
+// AppendToken appends one token line. prefix is the result of AppendPrefix.
 func AppendToken(into, prefix []byte, offset int, text string) []byte {
 	into = append(into, prefix...)
 	into = append(into, `"o":`...)
@@ -49,9 +49,9 @@
 	return append(into, '}', '\n')
 }
 
-// appendString appends a JSON string; plain text takes no encoder.
+// appendString appends a JSON string. Plain text needs no encoder.
 func appendString(into []byte, text string) []byte {
-	if plain(text) {
+	if isPlain(text) {
 		into = append(into, '"')
 		into = append(into, text...)
 		return append(into, '"')
@@ -60,7 +60,7 @@
 	return append(into, encoded...)
 }
 
-func plain(text string) bool {
+func isPlain(text string) bool {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c == '"' || c == '\\' || c >= utf8.RuneSelf {
 			return false
@@ -69,19 +69,19 @@
 	return true
 }
 
-// LineReader takes the lines of one attempt's stream apart.
+// LineReader parses the lines of one attempt's stream.
 type LineReader struct {
 	attempt string
 	prefix  []byte // of a token line, up to the offset
 }
 
-// NewLineReader makes a reader for one attempt.
+// NewLineReader creates a reader for one attempt.
 func NewLineReader(attempt string) *LineReader {
 	return &LineReader{attempt: attempt, prefix: append(AppendPrefix(nil, attempt), `"o":`...)}
 }
 
-// Token parses a plain token line; ok is false for every other line, which
-// Parse takes.
+// Token parses a plain token line. ok is false for any other line, which must be
+// parsed with Parse.
 func (r *LineReader) Token(line []byte) (offset int, text string, ok bool) {
 	rest, found := bytes.CutPrefix(line, r.prefix)
 	if !found {
@@ -92,7 +92,7 @@
 		offset = offset*10 + int(rest[digits]-'0')
 		digits++
 	}
-	rest, found = bytes.CutPrefix(rest[digits:], textField)
+	rest, found = bytes.CutPrefix(rest[digits:], textFieldPrefix)
 	if digits == 0 || !found {
 		return 0, "", false
 	}
@@ -106,9 +106,9 @@
 // maxOffsetDigits keeps an offset within an int.
 const maxOffsetDigits = 9
 
-var textField = []byte(`,"t":"`)
+var textFieldPrefix = []byte(`,"t":"`)
 
-// Parse decodes any line; a line of another attempt gives ErrCrossed.
+// Parse decodes any line. It returns ErrCrossed for a line of another attempt.
 func (r *LineReader) Parse(raw []byte) (Line, error) {
 	var line Line
 	if err := json.Unmarshal(raw, &line); err != nil {
--- a/internal/backend/wire/stream_test.go
+++ b/internal/backend/wire/stream_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "ringstream.example/ringstream/internal/seedtest" // the same values at every run
+	_ "ringstream.example/ringstream/internal/seedtest" // makes rapid draw the same values in every run
 )
 
 func TestTokenLinesComeBackAsTheyWereWritten(t *testing.T) {
@@ -18,13 +18,13 @@
 		reader := NewLineReader(attempt)
 		if gotOffset, gotText, ok := reader.Token(line); ok {
 			if gotOffset != offset || gotText != text {
-				t.Fatalf("fast path gave %d %q for %q", gotOffset, gotText, line)
+				t.Fatalf("the fast path returned %d %q for %q", gotOffset, gotText, line)
 			}
 			return
 		}
 		parsed, err := reader.Parse(line)
 		if err != nil || parsed.Text == nil || parsed.Offset != offset || *parsed.Text != text {
-			t.Fatalf("Parse gave %+v, %v for %q", parsed, err, line)
+			t.Fatalf("Parse returned %+v, %v for %q", parsed, err, line)
 		}
 	})
 }
@@ -33,14 +33,14 @@
 	line := AppendToken(nil, AppendPrefix(nil, "attempt-10"), 3, "word ")
 	reader := NewLineReader("attempt-1")
 	if _, _, ok := reader.Token(line); ok {
-		t.Fatal("the fast path took a line of another attempt")
+		t.Fatal("the fast path accepted a line of another attempt")
 	}
 	if _, err := reader.Parse(line); !errors.Is(err, ErrCrossed) {
-		t.Fatalf("Parse gave %v, want ErrCrossed", err)
+		t.Fatalf("Parse returned %v, want ErrCrossed", err)
 	}
 }
 
-// FuzzToken holds the fast path to the JSON decoder's reading.
+// FuzzToken checks that the fast path agrees with the JSON decoder.
 func FuzzToken(f *testing.F) {
 	f.Add([]byte(`{"a":"x","o":7,"t":"word "}`))
 	f.Add([]byte(`{"a":"x","o":7,"t":"a\"b"}`))
@@ -53,10 +53,10 @@
 		}
 		parsed, err := reader.Parse(raw)
 		if err != nil {
-			return // the engine wrote no JSON: the fast path is laxer on controls
+			return // not valid JSON: the fast path also accepts control characters
 		}
 		if parsed.Text == nil || parsed.Offset != offset {
-			t.Fatalf("fast path gave %d %q, decoder %+v", offset, text, parsed)
+			t.Fatalf("the fast path returned %d %q, the decoder %+v", offset, text, parsed)
 		}
 	})
 }
@@ -67,7 +67,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, ok := reader.Token(line); !ok {
-			b.Fatal("not a token")
+			b.Fatal("the fast path rejected a token line")
 		}
 	}
 }
--- a/internal/backend/wire/wire.go
+++ b/internal/backend/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire declares the JSON that the platform stand-ins speak over HTTP:
-// engines, table service, object store, weight store and machine list. Only
-// the adapters in httpclient and the stand-ins use it.
+// Package wire declares the JSON of the HTTP APIs of the emulated platform: engines,
+// table service, object store, weight store and machine list. Only the adapters in
+// httpclient and the emulators use it.
 package wire
 
 import (
@@ -35,11 +35,11 @@
 	PathMachineList = "/v1/machine_list" // GET ?since=
 )
 
-// EffectNone in an Error says that the call did nothing.
+// EffectNone in Error.Effect states that the call had no effect.
 const EffectNone = "none"
 
-// Error is the body of every answer that is not a success. An answer without
-// it says nothing of the call's effect.
+// Error is the body of every error response. An error response without it leaves the
+// effect of the call unknown.
 type Error struct {
 	Code             string `json:"code"`
 	Effect           string `json:"effect"`
@@ -58,11 +58,12 @@
 	MaxTokens int      `json:"max_tokens"`
 	Sampling  Sampling `json:"sampling,omitzero"`
 	Priority  uint8    `json:"priority"`
-	// Incarnation, when set, must be the engine's.
+	// Incarnation must equal the engine's incarnation if it is set.
 	Incarnation identity.Incarnation `json:"incarnation,omitempty"`
 }
 
-// Sampling is how the engine chooses tokens; absent fields are its own choice.
+// Sampling holds the sampling parameters. The engine chooses the value of an absent
+// parameter.
 type Sampling struct {
 	Temperature      *float64 `json:"temperature,omitempty"`
 	TopP             *float64 `json:"top_p,omitempty"`
@@ -79,7 +80,7 @@
 	CachedTokens int    `json:"cached_tokens"`
 }
 
-// CancelReport answers a cancel.
+// CancelReport is the response to a cancel.
 type CancelReport struct {
 	Found        bool                 `json:"found"`
 	Running      bool                 `json:"running"`
@@ -119,7 +120,7 @@
 	Stored   bool   `json:"stored"`
 }
 
-// CacheEvents answers PathCacheEvents.
+// CacheEvents is the response of PathCacheEvents.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
@@ -135,7 +136,7 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Record is one record of the table service; Value is base64.
+// Record is one record of the table service. Value is encoded as base64.
 type Record struct {
 	Key           string `json:"key"`
 	Version       uint64 `json:"version"`
@@ -143,7 +144,7 @@
 	Value         []byte `json:"value"`
 }
 
-// Records answers PathRecords.
+// Records is the response of PathRecords.
 type Records struct {
 	Records []Record `json:"records"`
 }
@@ -168,14 +169,14 @@
 	Writes   []Write   `json:"writes"`
 }
 
-// CommitResult answers PathCommit.
+// CommitResult is the response of PathCommit.
 type CommitResult struct {
 	Applied   bool     `json:"applied"`
 	Conflicts []Record `json:"conflicts,omitempty"`
 	Versions  []uint64 `json:"versions,omitempty"`
 }
 
-// Names answers PathObjects.
+// Names is the response of PathObjects.
 type Names struct {
 	Names []string `json:"names"`
 }
@@ -188,12 +189,12 @@
 	Bytes   int64  `json:"bytes"`
 }
 
-// Artifacts answers PathArtifacts.
+// Artifacts is the response of PathArtifacts.
 type Artifacts struct {
 	Artifacts []Artifact `json:"artifacts"`
 }
 
-// Budget answers PathBudget.
+// Budget is the response of PathBudget.
 type Budget struct {
 	BytesPerSecond int64 `json:"bytes_per_second"`
 }
@@ -210,7 +211,8 @@
 	Leaving  bool    `json:"leaving,omitempty"`
 }
 
-// MachineList answers PathMachineList; no machines when nothing changed.
+// MachineList is the response of PathMachineList. It has no machines if nothing has
+// changed.
 type MachineList struct {
 	Version  uint64    `json:"version"`
 	Machines []Machine `json:"machines"`
