--- a/internal/admin/costly.go
+++ b/internal/admin/costly.go
@@ -43,15 +43,15 @@
 func fetchExpensiveData(ctx context.Context, dependencies Dependencies) expensiveData {
 	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), expensiveDataMaxAge) // a reader that disconnects does not cancel the calls for the others
 	defer cancel()
-	var parts expensiveData
+	var data expensiveData
 	if dependencies.Revisions != nil {
-		parts.revisions = make(map[identity.NodeID]rows.NodeRevision)
+		data.revisions = make(map[identity.NodeID]rows.NodeRevision)
 		for _, held := range dependencies.Revisions.Revisions(limited) {
-			parts.revisions[held.Node] = held
+			data.revisions[held.Node] = held
 		}
 	}
 	if dependencies.Jobs != nil {
-		parts.jobs, parts.jobsError = dependencies.Jobs.List(limited, "", "", maxPageJobs)
+		data.jobs, data.jobsError = dependencies.Jobs.List(limited, "", "", maxPageJobs)
 	}
-	return parts
+	return data
 }
--- a/internal/admin/page.go
+++ b/internal/admin/page.go
@@ -129,11 +129,11 @@
 		built.HasEngines = true
 		built.addEngines(s.dependencies.Engines.Engines(), now)
 	}
-	costly := s.expensive.get(ctx, s.dependencies)
-	built.addNodes(s.nodes(), costly)
+	expensive := s.expensive.get(ctx, s.dependencies)
+	built.addNodes(s.nodes(), expensive)
 	built.addZones()
 	built.HasJobs = s.dependencies.Jobs != nil
-	built.addJobs(costly, now)
+	built.addJobs(expensive, now)
 	if s.dependencies.Gatherer != nil {
 		built.Tails = latencySummaries(s.dependencies.Gatherer)
 	}
@@ -146,15 +146,15 @@
 	p.Rows = all[:min(len(all), maxPageRows)]
 }
 
-func (p *page) addNodes(list NodeList, costly expensiveData) {
+func (p *page) addNodes(list NodeList, expensive expensiveData) {
 	p.Self = list.Self
 	latest := p.TableRevision
-	for _, held := range costly.revisions {
+	for _, held := range expensive.revisions {
 		latest = max(latest, held.Revision)
 	}
 	for _, node := range list.Nodes {
 		shown := pageNode{Node: node, Class: stateClass(node.State)}
-		if held, ok := costly.revisions[node.ID]; ok && held.Known {
+		if held, ok := expensive.revisions[node.ID]; ok && held.Known {
 			shown.Revision, shown.Behind = fmt.Sprint(held.Revision), fmt.Sprint(latest-held.Revision)
 			shown.IsBehind = held.Revision < latest
 		} else if ok {
@@ -240,12 +240,12 @@
 	})
 }
 
-func (p *page) addJobs(costly expensiveData, now time.Time) {
-	if costly.jobsError != nil {
-		p.JobsError = costly.jobsError.Error()
+func (p *page) addJobs(expensive expensiveData, now time.Time) {
+	if expensive.jobsError != nil {
+		p.JobsError = expensive.jobsError.Error()
 		return
 	}
-	for _, job := range costly.jobs {
+	for _, job := range expensive.jobs {
 		shown := pageJob{
 			ID: job.ID, Tenant: job.Tenant, Model: job.Model, State: string(job.State),
 			Total: job.Total, Completed: job.Completed, Failed: job.Failed, Unknown: job.Unknown,
