--- a/internal/fleet/engine.go
+++ b/internal/fleet/engine.go
@@ -131,8 +131,8 @@
 	return candidate
 }
 
-// maxReportAge bounds the age of a report by its own time; an earlier time is
-// raised to this bound.
+// maxReportAge bounds how far in the past a report's own timestamp may lie. An older
+// timestamp is raised to this bound.
 const maxReportAge = 10 * time.Second
 
 // applyReport stores a load report that arrived at now.
@@ -170,7 +170,7 @@
 }
 
 // OnlineIdle returns how long no online work has been seen on the engine. It is
-// zero until a report measured after the last sighting has arrived.
+// zero until a report that was measured after online work was last seen has arrived.
 func (e *Engine) OnlineIdle(now time.Time) time.Duration {
 	seen := time.Unix(0, e.lastOnline.Load())
 	if last := e.report.Load(); last == nil || last.load.ReportedAt.Before(seen) {
