--- a/internal/events/bounded.go
+++ b/internal/events/bounded.go
@@ -7,17 +7,17 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// What other programs write cannot flood the log: of each kind of line, at most so many
-// are written in a tick.
+// Bounded loggers write at most maxLinesPerInterval lines of each message in each
+// samplingInterval, so that data written by other programs cannot flood the log.
 const (
-	boundedLines = 20
-	boundedTick  = 10 * time.Second
+	maxLinesPerInterval = 20
+	samplingInterval    = 10 * time.Second
 )
 
-// Bounded gives a logger for lines whose number others determine. Lines over the bound are
-// dropped, so what they tell of is counted elsewhere where it matters.
+// Bounded returns a logger for events whose number depends on input from other programs.
+// Lines over the bound are dropped, so events that matter must also be counted elsewhere.
 func Bounded(logger *zap.Logger) *zap.Logger {
 	return logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(core, boundedTick, boundedLines, 0)
+		return zapcore.NewSamplerWithOptions(core, samplingInterval, maxLinesPerInterval, 0)
 	}))
 }
--- a/internal/events/dispatch.go
+++ b/internal/events/dispatch.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap/zapcore"
 
-// Events of the fleet's engines and of dispatch: 3000 to 3999.
+// Events of the fleet's engines and of request dispatch: 3000 to 3999.
 var (
 	EngineAdded        = Define(Event{Number: 3001, Name: "engine added", Level: zapcore.InfoLevel, Fields: []string{"engine", "pool", "zone"}})
 	EngineRemoved      = Define(Event{Number: 3002, Name: "engine removed", Level: zapcore.InfoLevel, Fields: []string{"engine"}})
--- a/internal/events/markdown.go
+++ b/internal/events/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown gives the catalogue as the text of docs/events.md.
+// Markdown returns the text of docs/events.md.
 func Markdown() string {
 	var text strings.Builder
 	text.WriteString("# Log events\n\nGenerated from `internal/events` by `make docs`; do not edit.\n\n")
--- a/internal/events/node.go
+++ b/internal/events/node.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap/zapcore"
 
-// Events of a node's life: 1000 to 1999.
+// Events of a node's lifecycle: 1000 to 1999.
 var (
 	NodeStarting    = Define(Event{Number: 1001, Name: "node starting", Level: zapcore.InfoLevel, Fields: []string{"node", "zone", "version"}})
 	NodeReady       = Define(Event{Number: 1002, Name: "node ready", Level: zapcore.InfoLevel, Fields: []string{"node"}})
--- a/internal/events/passthrough.go
+++ b/internal/events/passthrough.go
@@ -18,8 +18,8 @@
 	EnginesSeen = Define(Event{Number: 8028, Name: "many engine entries", Level: zapcore.InfoLevel, Fields: []string{"rows", "store_version", "engines"}})
 	EngineSeen  = Define(Event{Number: 8020, Name: "engine entry", Level: zapcore.InfoLevel, Fields: []string{"engine", "address", "state", "store_version"}})
 	EngineGone  = Define(Event{Number: 8021, Name: "engine entry gone", Level: zapcore.InfoLevel, Fields: []string{"engine", "store_was_sick", "store_version"}})
-	// EngineRestarted and EngineEntryOutdated name incarnations as id@start, the start in
-	// Unix milliseconds.
+	// EngineRestarted and EngineEntryOutdated identify incarnations as id@start, with the
+	// start in Unix milliseconds.
 	EngineRestarted     = Define(Event{Number: 8026, Name: "engine started again under its id", Level: zapcore.InfoLevel, Fields: []string{"engine", "former", "address", "state", "store_version"}})
 	EngineEntryOutdated = Define(Event{Number: 8027, Name: "engine entry of a former incarnation ignored", Level: zapcore.InfoLevel, Fields: []string{"engine", "newest", "address", "state", "store_version"}})
 	EngineWithheld      = Define(Event{Number: 8022, Name: "engine entry names no engine to use", Level: zapcore.WarnLevel, Fields: []string{"engine", "reason", "store_version", "error"}, Action: "The engine gets no new request until its entry holds. Look at what wrote the entry; with reason unknown_service, at the configuration's services. At most some lines in ten seconds are written; ringstream_pass_documents_refused_total counts all."})
