--- a/internal/explain/delays.go
+++ b/internal/explain/delays.go
@@ -7,76 +7,80 @@
 	"time"
 )
 
-// lateBounds divide late requests by how much they missed their objective.
-var lateBounds = []time.Duration{20 * time.Millisecond, 40 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, time.Second}
+// latenessBounds are the histogram bounds for the time by which late requests
+// missed their objective.
+var latenessBounds = []time.Duration{20 * time.Millisecond, 40 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, time.Second}
 
-// secondsShown is how many of the seconds with late requests are told.
-const secondsShown = 10
+// maxSecondsShown limits how many of the seconds with late requests are listed.
+const maxSecondsShown = 10
 
-// delays counts late requests by how much, and by second.
+// delays counts late requests by lateness and by second.
 type delays struct {
-	first   time.Time // of all lines
-	by      []int     // by lateBounds; the last: beyond all of them
-	seconds map[int]int
+	first      time.Time // time of the first line
+	byLateness []int     // by latenessBounds; the last element counts those above all bounds
+	seconds    map[int]int
 }
 
 func newDelays(lines []Line) *delays {
-	counted := &delays{by: make([]int, len(lateBounds)+1), seconds: make(map[int]int)}
+	counted := &delays{byLateness: make([]int, len(latenessBounds)+1), seconds: make(map[int]int)}
 	if len(lines) > 0 {
 		counted.first = lines[0].At
 	}
 	return counted
 }
 
-// take counts a request that has ended, if it was late.
-func (d *delays) take(ended Line) {
+// record counts the request of a "request ended" line if it was late.
+func (d *delays) record(ended Line) {
 	objective, first := duration(ended, "objective"), duration(ended, "first_event")
 	if text(ended, "outcome") != "completed" || objective <= 0 || first <= objective {
 		return
 	}
-	place, _ := slices.BinarySearch(lateBounds, first-objective)
-	d.by[place]++
+	bucket, _ := slices.BinarySearch(latenessBounds, first-objective)
+	d.byLateness[bucket]++
 	d.seconds[int(ended.At.Sub(d.first).Seconds())]++
 }
 
-// rows gives the counts by how much, in order, and those of the worst seconds.
-func (d *delays) rows() (by, seconds []Row) {
-	for i, count := range d.by {
+// rows returns the counts by lateness, in ascending order, and the seconds with
+// the most late requests.
+func (d *delays) rows() (lateness, seconds []Row) {
+	for i, count := range d.byLateness {
 		if count == 0 {
 			continue
 		}
-		what := fmt.Sprintf("over %s", lateBounds[len(lateBounds)-1])
-		if i < len(lateBounds) {
-			what = fmt.Sprintf("up to %s", lateBounds[i])
+		label := fmt.Sprintf("over %s", latenessBounds[len(latenessBounds)-1])
+		if i < len(latenessBounds) {
+			label = fmt.Sprintf("up to %s", latenessBounds[i])
 		}
-		by = append(by, Row{What: what, Count: count})
+		lateness = append(lateness, Row{Label: label, Count: count})
 	}
 	for second, count := range d.seconds {
-		seconds = append(seconds, Row{What: fmt.Sprintf("second %d", second), Count: count})
+		seconds = append(seconds, Row{Label: fmt.Sprintf("second %d", second), Count: count})
 	}
-	slices.SortFunc(seconds, func(a, b Row) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.What, b.What)) })
-	return by, seconds[:min(len(seconds), secondsShown)]
+	slices.SortFunc(seconds, func(a, b Row) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Label, b.Label)) })
+	return lateness, seconds[:min(len(seconds), maxSecondsShown)]
 }
 
-// keptBounds divide stopped runs by the events that they had made.
-var keptBounds = []int{0, 10, 50, 100}
+// keptEventBounds are the histogram bounds for the events that stopped runs had
+// produced.
+var keptEventBounds = []int{0, 10, 50, 100}
 
-// eventsKept names how much a stopped run had made: its prompt and these are read again.
-func eventsKept(events int) string {
-	for _, bound := range keptBounds {
+// keptEventsLabel returns the range of the events that a stopped run had produced.
+// When the run resumes, an engine has to process its prompt and these events again.
+func keptEventsLabel(events int) string {
+	for _, bound := range keptEventBounds {
 		if events <= bound {
 			return fmt.Sprintf("up to %d events", bound)
 		}
 	}
-	return fmt.Sprintf("over %d events", keptBounds[len(keptBounds)-1])
+	return fmt.Sprintf("over %d events", keptEventBounds[len(keptEventBounds)-1])
 }
 
-// overLimit names whose limit refused a request, and whether its dispatcher had all
-// nodes.
-func overLimit(line Line) string {
-	what := fmt.Sprintf("%s, %v a second", text(line, "tenant"), line.Fields["per_second"])
+// overLimitLabel names the tenant and the limit that refused a request, and whether its
+// dispatcher counted only a part of the nodes.
+func overLimitLabel(line Line) string {
+	label := fmt.Sprintf("%s, %v a second", text(line, "tenant"), line.Fields["per_second"])
 	if share, known := line.Fields["share"].(float64); known && share < 1 {
-		what += ", counted by a dispatcher that had a part of the nodes"
+		label += ", counted by a dispatcher that had a part of the nodes"
 	}
-	return what
+	return label
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain tells the story of one request, job or item from the log
-// lines of many nodes: the lines that carry its id, in order of time, and what
-// the same nodes learned shortly before. It reads text and keeps nothing.
+// Package explain reconstructs the history of one request, job or item from the
+// log lines of many nodes: the lines that carry its id, in order of time, and
+// the changes of the same nodes' state shortly before. It also summarizes logs.
+// It reads text and stores nothing.
 package explain
 
 import (
@@ -19,46 +20,47 @@
 	At      time.Time
 	Node    string
 	Message string
-	Number  int // of the event
+	Number  int // the event number
 	Fields  map[string]any
 }
 
-// Numbers of the events that change what a node believes, or are of its life:
-// see docs/events.md.
+// Numbers of the events that change a node's view of the fleet, and of those
+// that concern the lifecycle of its process; see docs/events.md.
 const (
-	firstBelief, lastBelief = 8001, 8099
-	firstLife, lastLife     = 8201, 8299
+	firstViewEvent, lastViewEvent           = 8001, 8099
+	firstLifecycleEvent, lastLifecycleEvent = 8201, 8299
 )
 
-// belief says whether a line tells a change of what the node believes.
-func (l Line) belief() bool {
-	return (l.Number >= firstBelief && l.Number <= lastBelief) || (l.Number >= firstLife && l.Number <= lastLife)
+// changesNodeState reports whether a line records a change of the node's view of
+// the fleet or of its lifecycle.
+func (l Line) changesNodeState() bool {
+	return (l.Number >= firstViewEvent && l.Number <= lastViewEvent) || (l.Number >= firstLifecycleEvent && l.Number <= lastLifecycleEvent)
 }
 
-// carries says whether a line is about an id.
-func (l Line) carries(id string) bool {
+// isAbout reports whether a line is about the request or job with the id.
+func (l Line) isAbout(id string) bool {
 	return l.Fields["request"] == id || l.Fields["job"] == id
 }
 
-// Numbers of the events that tell of engines ending under a content.
-const firstOfContent, lastOfContent = 8140, 8146
+// Numbers of the events about engines that ended while they ran a content.
+const firstCrashEvent, lastCrashEvent = 8140, 8146
 
-// tellsOfContent says whether a line tells of engines that ended under one of some
-// contents.
-func (l Line) tellsOfContent(contents map[string]bool) bool {
+// reportsCrashUnder reports whether a line is about engines that ended while they
+// ran one of the contents.
+func (l Line) reportsCrashUnder(contents map[string]bool) bool {
 	content, _ := l.Fields["content"].(string)
-	return l.Number >= firstOfContent && l.Number <= lastOfContent && contents[content]
+	return l.Number >= firstCrashEvent && l.Number <= lastCrashEvent && contents[content]
 }
 
-// maxLine is the longest line that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the length limit of a line. Read fails at a longer one.
+const maxLineBytes = 1 << 20
 
-// Read reads the log lines of a file; other lines, and what stands before the
-// JSON of a line, are passed over.
+// Read reads the log lines of a file. It skips lines that are not events, and any
+// text before the JSON of a line.
 func Read(source io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		if begin := strings.IndexByte(text, '{'); begin >= 0 {
@@ -84,47 +86,49 @@
 	line := Line{At: at, Number: int(number), Fields: fields}
 	line.Node, _ = fields["node"].(string)
 	line.Message, _ = fields["msg"].(string)
-	for _, shown := range []string{"ts", "event", "node", "msg", "level"} {
-		delete(fields, shown)
+	for _, name := range []string{"ts", "event", "node", "msg", "level"} {
+		delete(fields, name)
 	}
 	return line, true
 }
 
-// Story gives the lines about an id in order of time, the changes of belief of the
-// same nodes from `before` its first line on until its last, and what any node had told
-// until then of engines that ended under the same content.
+// Story returns the lines about an id in order of time, together with context: the
+// state changes of the same nodes, from the duration before ahead of the first of
+// these lines until the last one, and the lines of any node until then about engines
+// that ended while they ran the same content. It returns nil if no line is about the
+// id.
 func Story(lines []Line, id string, before time.Duration) []Line {
-	var own []Line
+	var ownLines []Line
 	nodes, contents := make(map[string]bool), make(map[string]bool)
 	for _, line := range lines {
-		if line.carries(id) {
-			own = append(own, line)
+		if line.isAbout(id) {
+			ownLines = append(ownLines, line)
 			nodes[line.Node] = true
-			if content, told := line.Fields["content"].(string); told {
+			if content, present := line.Fields["content"].(string); present {
 				contents[content] = true
 			}
 		}
 	}
-	if len(own) == 0 {
+	if len(ownLines) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(own, byTime)
-	from, to := own[0].At.Add(-before), own[len(own)-1].At
-	story := own
+	slices.SortStableFunc(ownLines, compareTime)
+	from, to := ownLines[0].At.Add(-before), ownLines[len(ownLines)-1].At
+	story := ownLines
 	for _, line := range lines {
-		believed := line.belief() && nodes[line.Node] && !line.At.Before(from)
-		crashed := line.tellsOfContent(contents) && !line.carries(id)
-		if (believed || crashed) && !line.At.After(to) {
+		stateChange := line.changesNodeState() && nodes[line.Node] && !line.At.Before(from)
+		crashReport := line.reportsCrashUnder(contents) && !line.isAbout(id)
+		if (stateChange || crashReport) && !line.At.After(to) {
 			story = append(story, line)
 		}
 	}
-	slices.SortStableFunc(story, byTime)
+	slices.SortStableFunc(story, compareTime)
 	return story
 }
 
-func byTime(a, b Line) int { return a.At.Compare(b.At) }
+func compareTime(a, b Line) int { return a.At.Compare(b.At) }
 
-// Text writes a story: a line an event, times counted from the first.
+// Text formats a story with one line per event, with times relative to the first.
 func Text(story []Line) string {
 	var text strings.Builder
 	for _, line := range story {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -17,10 +17,10 @@
 {"ts":"when","event":1}
 `
 
-func TestStoryIsInOrderWithWhatWasBelieved(t *testing.T) {
+func TestStoryIsOrderedAndIncludesNodeState(t *testing.T) {
 	lines, err := Read(strings.NewReader(logs))
 	if err != nil || len(lines) != 6 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+		t.Fatalf("got %d lines and error %v, want 6 lines", len(lines), err)
 	}
 	text := Text(Story(lines, "r1", time.Second))
 	want := []string{"store lost table=op", "routes taken version=4", "engine chosen engine=e1 request=r1", "request ended outcome=failed request=r1"}
@@ -33,21 +33,23 @@
 		at += next
 	}
 	if strings.Contains(text, "n2") {
-		t.Errorf("another node's line is told:\n%s", text)
+		t.Errorf("the story includes another node's line:\n%s", text)
 	}
 	if text := Text(Story(lines, "r1", 0)); strings.Contains(text, "store lost") {
-		t.Errorf("an older line is told:\n%s", text)
+		t.Errorf("the story includes an older line:\n%s", text)
 	}
 	if story := Story(lines, "j1", 0); len(story) != 1 {
-		t.Errorf("the job's story: %+v", story)
+		t.Errorf("got %+v for the job, want one line", story)
 	}
 	if story := Story(lines, "nobody", time.Second); story != nil {
-		t.Errorf("a story of nobody: %+v", story)
+		t.Errorf("got %+v for an unknown id, want nil", story)
 	}
 }
 
-// TestStoryOfARefusedRequestTellsWhichEnginesEnded, at any node and under whatever id.
-func TestStoryOfARefusedRequestTellsWhichEnginesEnded(t *testing.T) {
+// TestStoryOfRefusedRequestIncludesEngineCrashes checks that the story of a request that
+// is refused for its content includes the engine crashes under that content, at any node
+// and under any request id, up to the refusal.
+func TestStoryOfRefusedRequestIncludesEngineCrashes(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 {"ts":"2026-01-01T00:00:01Z","msg":"engine ended under a request","node":"n1","request":"r1","content":"c1","engine":"e1","event":8140}
 {"ts":"2026-01-01T00:00:02Z","msg":"engine ended under a request","node":"n2","request":"r2","content":"c1","engine":"e2","event":8140}
@@ -66,22 +68,22 @@
 	}
 	for _, part := range []string{"request=r3", "engine=e5"} {
 		if strings.Contains(text, part) {
-			t.Errorf("%q is told in\n%s", part, text)
+			t.Errorf("the story includes %q:\n%s", part, text)
 		}
 	}
-	if failed := Summarize(append(lines, Line{At: lines[3].At.Add(time.Second), Node: "n3", Number: eventRequestEnded, Fields: map[string]any{"request": "r4", "route": "a", "outcome": "failed"}})).Failed; len(failed) != 1 || failed[0].What != "failed, refused: request_ends_engines" {
+	if failed := Summarize(append(lines, Line{At: lines[3].At.Add(time.Second), Node: "n3", Number: eventRequestEnded, Fields: map[string]any{"request": "r4", "route": "a", "outcome": "failed"}})).Failed; len(failed) != 1 || failed[0].Label != "failed, refused: request_ends_engines" {
 		t.Errorf("got %+v", failed)
 	}
 }
 
-func TestTooLongLineIsTold(t *testing.T) {
-	if _, err := Read(strings.NewReader(strings.Repeat("x", maxLine+1))); err == nil {
-		t.Error("a line over the limit was passed over in silence")
+func TestTooLongLineIsAnError(t *testing.T) {
+	if _, err := Read(strings.NewReader(strings.Repeat("x", maxLineBytes+1))); err == nil {
+		t.Error("a line over the length limit was skipped without an error")
 	}
 }
 
-// TestStoryNamesIncarnations has a request's engine start again under its id, which another
-// request's engine does too, after the story.
+// TestStoryNamesIncarnations checks that a story includes the restart of the request's
+// engine under its id, but not the restart of another engine after the request ended.
 func TestStoryNamesIncarnations(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 {"ts":"2026-01-01T00:00:01.0Z","msg":"engine chosen","node":"n1","request":"r1","engine":"e1@1000","attempt":1,"event":8103}
@@ -101,6 +103,6 @@
 		}
 	}
 	if strings.Contains(text, "e2@2000") {
-		t.Errorf("a restart after its end is told in\n%s", text)
+		t.Errorf("the story includes a restart after the request ended:\n%s", text)
 	}
 }
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// dayLog is a log of one line an event; times rise by line.
-func dayLog(events ...string) string {
+// eventLog returns a log with one line per event, each 1 ms later than the one before.
+func eventLog(events ...string) string {
 	var log strings.Builder
 	for i, event := range events {
 		fmt.Fprintf(&log, `{"ts":"2026-01-01T00:00:%02d.%03dZ","node":"n1",%s}`+"\n", i/1000, i%1000, event)
@@ -25,9 +25,10 @@
 	return fmt.Sprintf(`"event":8102,"msg":"request ended","request":%q,"route":"r","outcome":%q,"objective":"300ms","first_event":%q`, id, outcome, first)
 }
 
-// TestSummaryNamesTheCauses has a request for each cause, and one in time.
+// TestSummaryNamesTheCauses checks the counts of a log that has a request for each cause
+// of lateness or failure, and one that completes in time.
 func TestSummaryNamesTheCauses(t *testing.T) {
-	log := dayLog(
+	log := eventLog(
 		chosen("in-time", 2, ""), ended("in-time", "completed", "80ms"),
 		chosen("stale", 7, ""), ended("stale", "completed", "400ms"),
 		chosen("full", 8, ""), ended("full", "completed", "400ms"),
@@ -65,8 +66,8 @@
 			{"r", "granted: waited for a slot, then queued at a full engine", 1},
 			{"r", "several attempts, the first ended failed", 1},
 		},
-		LateBy: []Row{{"", "up to 100ms", 6}, {"", "up to 1s", 2}},
-		LateAt: []Row{{"", "second 0", 8}},
+		LateBy:      []Row{{"", "up to 100ms", 6}, {"", "up to 1s", 2}},
+		LateSeconds: []Row{{"", "second 0", 8}},
 		Failed: []Row{
 			{"r", "not_run, refused: tenant_over_limit", 2},
 			{"", "no end in these logs: the node ended, or lines were shed", 1},
@@ -74,11 +75,11 @@
 			{"r", "failed, no attempt", 1},
 			{"r", "not_run, refused: no_engine_has_room", 1},
 		},
-		HandIns: []Row{{"b", "accepted", 2}},
-		Runs:    []Row{{"", "whole", 1}},
-		Yields:  []Row{{"", "online work needs its slot, with up to 100 events kept", 1}},
-		Keys:    []Row{{"", "unknown", 2}, {"", "unsure", 1}},
-		Limits:  []Row{{"", "one, 8 a second", 1}, {"", "one, 8 a second, counted by a dispatcher that had a part of the nodes", 1}},
+		Submissions: []Row{{"b", "accepted", 2}},
+		Runs:        []Row{{"", "whole", 1}},
+		Preemptions: []Row{{"", "online work needs its slot, with up to 100 events kept", 1}},
+		Keys:        []Row{{"", "unknown", 2}, {"", "unsure", 1}},
+		Limits:      []Row{{"", "one, 8 a second", 1}, {"", "one, 8 a second, counted by a dispatcher that had a part of the nodes", 1}},
 	}
 	if diff := cmp.Diff(want, summary); diff != "" {
 		t.Error(diff)
@@ -88,7 +89,7 @@
 	}
 }
 
-// TestSummaryOfNothing has no lines, and lines of no request.
+// TestSummaryOfNothing checks the summary of an empty log.
 func TestSummaryOfNothing(t *testing.T) {
 	if got := Summarize(nil); got.Requests != 0 || !strings.Contains(got.Text(), "0 requests ended") {
 		t.Errorf("got %+v", got)
