--- a/internal/httpserver/config.go
+++ b/internal/httpserver/config.go
@@ -1,7 +1,7 @@
-// Package httpserver is the HTTP listener that the callers' and the operators'
-// API share: echo with request ids, an access log, panic recovery, body
-// limits, JSON errors, optional TLS, and a stop that lets running requests
-// end. It knows no route of its own.
+// Package httpserver is the HTTP server that the client API and the admin API
+// share: echo with request ids, an access log, panic recovery, body limits,
+// JSON errors, optional TLS, and a graceful shutdown that lets requests in
+// flight end. It defines no routes.
 package httpserver
 
 import (
@@ -24,7 +24,7 @@
 	TLS               tlsconfig.Config `koanf:"tls"`
 }
 
-// DefaultConfig listens on no address.
+// DefaultConfig returns the defaults. It has no address, which must be set.
 func DefaultConfig() Config {
 	return Config{
 		ReadHeaderTimeout: 10 * time.Second,
--- a/internal/httpserver/decode.go
+++ b/internal/httpserver/decode.go
@@ -13,8 +13,8 @@
 	"ringstream.example/ringstream/internal/apierror"
 )
 
-// DecodeJSON reads a request's body, which is one JSON value and nothing
-// after it. Unknown fields and wrong types are 400s that name the field.
+// DecodeJSON decodes a request's body, which must be exactly one JSON value.
+// Unknown fields and wrong types give a 400 that names the field.
 func DecodeJSON(c echo.Context, target any) error {
 	decoder := json.NewDecoder(c.Request().Body)
 	decoder.DisallowUnknownFields()
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// DescribeJSON turns a decoder's error into one for the caller.
+// DescribeJSON converts a decoder's error into one that describes the fault to the
+// client. It returns errors of the body limit and the read deadline unchanged.
 func DescribeJSON(err error) error {
 	var tooLarge *http.MaxBytesError
 	var wrongType *json.UnmarshalTypeError
--- a/internal/httpserver/errors.go
+++ b/internal/httpserver/errors.go
@@ -16,12 +16,12 @@
 	"ringstream.example/ringstream/internal/core/outcome"
 )
 
-// ErrorBody is the JSON of every answer that is not a success. Error repeats
-// code and message in the form that OpenAI clients read.
+// ErrorBody is the JSON body of every error response. Error repeats code and
+// message in the form that OpenAI clients read.
 type ErrorBody struct {
 	Code      apierror.Code      `json:"code"`
 	Message   string             `json:"message"`
-	Run       string             `json:"run"` // outcome.Kind's label
+	Run       string             `json:"run"` // label of an outcome.Kind
 	RequestID identity.RequestID `json:"request_id,omitempty"`
 	Current   any                `json:"current,omitempty"`
 	Error     NestedError        `json:"error"`
@@ -34,7 +34,8 @@
 	Code    apierror.Code `json:"code"`
 }
 
-// NewErrorBody gives the JSON for an error, for streams that end with one.
+// NewErrorBody returns the JSON body for an error. It is exported for streams that
+// end with an error.
 func NewErrorBody(c echo.Context, failure *apierror.Error) ErrorBody {
 	return ErrorBody{
 		Code:      failure.Code,
@@ -46,8 +47,8 @@
 	}
 }
 
-// WriteError answers with an error's JSON. Errors that are not *apierror.Error
-// become one (see Classify). After the answer has begun it does nothing.
+// WriteError sends the JSON response for an error, which Classify converts to an
+// *apierror.Error. It does nothing if the response has already begun.
 func WriteError(c echo.Context, err error) {
 	if c.Response().Committed {
 		return
@@ -58,14 +59,14 @@
 		c.Response().Header().Set(echo.HeaderRetryAfter, strconv.Itoa(int(seconds)))
 	}
 	if c.Request().Method == http.MethodHead {
-		_ = c.NoContent(failure.Status) // the caller has gone when this fails
+		_ = c.NoContent(failure.Status) // an error means that the client has disconnected
 		return
 	}
 	_ = c.JSON(failure.Status, NewErrorBody(c, failure))
 }
 
-// Classify gives the *apierror.Error that stands for any error of a handler.
-// An error of unknown kind is internal, and nothing is claimed of the run.
+// Classify converts any error of a handler to an *apierror.Error. An error of
+// unknown kind becomes an internal error with an unknown outcome of the run.
 func Classify(err error) *apierror.Error {
 	var failure *apierror.Error
 	if errors.As(err, &failure) {
--- a/internal/httpserver/middleware.go
+++ b/internal/httpserver/middleware.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	requestIDKey     = "request_id"
-	fieldsKey        = "log_fields"
-	longestRequestID = 128 // characters taken over from a caller
+	requestIDKey       = "request_id"
+	fieldsKey          = "log_fields"
+	maxRequestIDLength = 128 // longest X-Request-Id in bytes that is accepted from a client
 )
 
-// RequestID gives the request's id: the caller's X-Request-Id when it is
-// usable, else a new one. It is in the answer's header and each log line.
+// RequestID returns the request's id: the client's X-Request-Id if it is
+// usable, otherwise a new one. The response header and each log line carry it.
 func RequestID(c echo.Context) identity.RequestID {
 	id, _ := c.Get(requestIDKey).(identity.RequestID)
 	return id
@@ -47,9 +47,9 @@
 	}
 }
 
-// usableRequestID accepts what cannot break a log line or a header.
+// usableRequestID reports whether an id is safe to write in a log line and a header.
 func usableRequestID(id string) bool {
-	if id == "" || len(id) > longestRequestID {
+	if id == "" || len(id) > maxRequestIDLength {
 		return false
 	}
 	for _, r := range id {
@@ -60,13 +60,14 @@
 	return true
 }
 
-// access counts running requests, renders errors, and writes the access log.
+// access counts requests in flight, sends error responses and writes the access
+// log.
 func (s *Server) access(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		s.running.Add(1)
-		defer s.running.Add(-1)
+		s.inFlight.Add(1)
+		defer s.inFlight.Add(-1)
 		started := time.Now()
-		if s.leaving.Load() {
+		if s.stopping.Load() {
 			c.Response().Header().Set(echo.HeaderConnection, "close")
 		}
 		err := next(c)
@@ -98,7 +99,7 @@
 	events.RequestServed.Log(s.logger, fields...)
 }
 
-// panicError is a handler's panic; it renders as an internal error.
+// panicError is the panic of a handler. Its response is an internal error.
 type panicError struct{ value any }
 
 // Error implements error.
@@ -112,7 +113,7 @@
 				return
 			}
 			if cause, ok := value.(error); ok && errors.Is(cause, http.ErrAbortHandler) {
-				panic(value) // net/http's own way to drop a connection
+				panic(value) // net/http drops the connection on this panic
 			}
 			events.RequestPanicked.Log(s.logger, zap.String("server", s.name), zap.String("request_id", string(RequestID(c))),
 				zap.Any("panic", value), zap.ByteString("stack", debug.Stack()))
@@ -122,9 +123,10 @@
 	}
 }
 
-// bound limits the body's size and the time that it may take to arrive. The
-// time is lifted once the body has been read, so that long answers are not cut.
-func (s *Server) bound(next echo.HandlerFunc) echo.HandlerFunc {
+// limitBody limits the body's size and the time in which it has to arrive. The
+// read deadline is cleared once the body has been read, so that it does not cut
+// long responses.
+func (s *Server) limitBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		request := c.Request()
 		if request.Body == nil || request.Body == http.NoBody {
@@ -135,21 +137,21 @@
 			limit = s.config.BodyLimit
 		}
 		controller := http.NewResponseController(c.Response())
-		// Without support for deadlines (a test's recorder) only the size is bounded.
+		// A writer without deadlines, such as a test's recorder, limits only the size.
 		_ = controller.SetReadDeadline(time.Now().Add(s.config.ReadBodyTimeout))
-		request.Body = &body{ReadCloser: http.MaxBytesReader(c.Response(), request.Body, limit), controller: controller}
+		request.Body = &deadlineBody{ReadCloser: http.MaxBytesReader(c.Response(), request.Body, limit), controller: controller}
 		return next(c)
 	}
 }
 
-// body lifts the read deadline at its end.
-type body struct {
+// deadlineBody is a request body that clears the read deadline at its end.
+type deadlineBody struct {
 	io.ReadCloser
 	controller *http.ResponseController
 }
 
 // Read implements io.Reader.
-func (b *body) Read(buffer []byte) (int, error) {
+func (b *deadlineBody) Read(buffer []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		_ = b.controller.SetReadDeadline(time.Time{})
--- a/internal/httpserver/quiesce_linux.go
+++ b/internal/httpserver/quiesce_linux.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// refuseNew makes the kernel ignore new connections to a listener, while
-// handshakes under way are completed and can be accepted. When the listener is
-// closed some time later, no connection is left in its queue to be reset. It
-// is a socket filter that drops segments with the SYN flag.
-func refuseNew(listener net.Listener) error {
+// dropNewConnections makes the kernel ignore new connections to a listener, while
+// handshakes in progress complete and can be accepted. When the listener is
+// closed some time later, its accept queue holds no connection that would be
+// reset. It attaches a socket filter that drops segments with the SYN flag.
+func dropNewConnections(listener net.Listener) error {
 	socket, ok := listener.(*net.TCPListener)
 	if !ok {
 		return errNotTCP
@@ -20,15 +20,15 @@
 		return err
 	}
 	const (
-		flagsOffset = 13 // of the TCP header's flags
+		flagsOffset = 13 // of the flags byte in the TCP header
 		flagSYN     = 0x02
-		everything  = 0xffffffff
+		wholePacket = 0xffffffff
 	)
 	program := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flagsOffset},
 		{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, Jt: 0, Jf: 1, K: flagSYN},
 		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
-		{Code: unix.BPF_RET | unix.BPF_K, K: everything},
+		{Code: unix.BPF_RET | unix.BPF_K, K: wholePacket},
 	}
 	filter := &unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]}
 	var failure error
--- a/internal/httpserver/quiesce_other.go
+++ b/internal/httpserver/quiesce_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// refuseNew is known for Linux only.
-func refuseNew(net.Listener) error { return errNotTCP }
+// dropNewConnections is implemented for Linux only.
+func dropNewConnections(net.Listener) error { return errNotTCP }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -16,31 +16,31 @@
 	"ringstream.example/ringstream/internal/tlsconfig"
 )
 
-// Server is an echo instance with its listener. Routes are added to Echo
-// before Run.
+// Server is an echo instance with its listener. Routes are added to Echo before
+// Run is called.
 type Server struct {
 	Echo *echo.Echo
 
-	name      string
-	config    Config
-	logger    *zap.Logger
-	open      ListenFunc
-	limits    map[string]int64 // by route path; written before Run only
-	running   atomic.Int64
-	leaving   atomic.Bool
-	listening chan struct{} // closed once address is set
-	address   string
-	socket    net.Listener // below TLS; set with address
+	name       string
+	config     Config
+	logger     *zap.Logger
+	listenFunc ListenFunc
+	limits     map[string]int64 // body limits by route path; only written before Run
+	inFlight   atomic.Int64
+	stopping   atomic.Bool
+	listening  chan struct{} // closed once address and socket are set
+	address    string
+	socket     net.Listener // the listener below TLS
 }
 
 // ListenFunc opens a listener at an address.
 type ListenFunc func(address string) (net.Listener, error)
 
-// ListenWith has Run open its listener by another function than TCP's. It is
-// called before Run.
-func (s *Server) ListenWith(open ListenFunc) { s.open = open }
+// ListenWith sets the function with which Run opens its listener, in place of a
+// TCP listener. It is called before Run.
+func (s *Server) ListenWith(open ListenFunc) { s.listenFunc = open }
 
-// New makes a server; name ("gateway", "admin") stands in its log lines.
+// New creates a server. Its log lines carry the name ("gateway", "admin").
 func New(name string, config Config, logger *zap.Logger) *Server {
 	server := &Server{
 		Echo:      echo.New(),
@@ -53,27 +53,27 @@
 	server.Echo.HideBanner = true
 	server.Echo.HidePort = true
 	server.Echo.HTTPErrorHandler = func(err error, c echo.Context) { WriteError(c, err) }
-	server.Echo.Use(server.requestID, server.access, server.recoverPanic, server.bound)
+	server.Echo.Use(server.requestID, server.access, server.recoverPanic, server.limitBody)
 	return server
 }
 
-// LimitBody sets another body limit for one route, given as echo's path
+// LimitBody overrides the body limit of one route, which is given as echo's path
 // ("/v1/batches"). It is called before Run.
 func (s *Server) LimitBody(path string, bytes int64) { s.limits[path] = bytes }
 
-// Listening is closed when the listener is open.
+// Listening returns a channel that is closed once the listener is open.
 func (s *Server) Listening() <-chan struct{} { return s.listening }
 
-// Address is the address listened on, once Listening is closed.
+// Address returns the listener's address. It is valid once Listening is closed.
 func (s *Server) Address() string { return s.address }
 
-// Running counts the requests under way.
-func (s *Server) Running() int { return int(s.running.Load()) }
+// Running returns the number of requests in flight.
+func (s *Server) Running() int { return int(s.inFlight.Load()) }
 
-// Run serves until ctx is done. Then, for LeaveTime, it still takes requests
-// and asks clients to close their connections; after that it takes none and
-// waits for the running ones, at most DrainTime. What they need must not stop
-// before Run returns: their contexts do not end with ctx.
+// Run serves until ctx is done. Then, for LeaveTime, it still accepts requests
+// and asks clients to close their connections. After that it accepts none and
+// waits up to DrainTime for the requests in flight. Their contexts do not end
+// with ctx, so the components that they use must not stop before Run returns.
 func (s *Server) Run(ctx context.Context) error {
 	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBackground()
@@ -94,7 +94,7 @@
 	case err := <-served:
 		return err
 	case <-ctx.Done():
-		s.stop(background, server)
+		s.drain(background, server)
 		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// listen opens the listener, with TLS when configured; the certificates'
-// reloader ends with background.
+// listen opens the listener, with TLS if configured. The reloader of the
+// certificates runs until background is done.
 func (s *Server) listen(background context.Context) (net.Listener, error) {
 	listener, err := s.openListener(background)
 	if err != nil {
@@ -115,7 +115,7 @@
 		if err != nil {
 			return nil, errors.Join(err, listener.Close())
 		}
-		go func() { _ = reloader.Run(background) }() // it ends with background, without an error
+		go func() { _ = reloader.Run(background) }() // returns nil once background is done
 		listener = tls.NewListener(listener, reloader.Server())
 	}
 	events.ServerListening.Log(s.logger, zap.String("server", s.name), zap.String("address", s.address), zap.Bool("tls", s.config.TLS.Enabled()))
@@ -124,39 +124,39 @@
 }
 
 func (s *Server) openListener(background context.Context) (net.Listener, error) {
-	if s.open != nil {
-		return s.open(s.config.Address)
+	if s.listenFunc != nil {
+		return s.listenFunc(s.config.Address)
 	}
-	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // its sockets take no filter, which refuseNew needs
-	return plain.Listen(background, "tcp", s.config.Address)
+	var listenConfig net.ListenConfig
+	listenConfig.SetMultipathTCP(false) // MPTCP sockets accept no filter, which dropNewConnections needs
+	return listenConfig.Listen(background, "tcp", s.config.Address)
 }
 
-// errNotTCP says that a listener's queue cannot be emptied before it closes.
+// errNotTCP is returned for a listener whose new connections cannot be dropped.
 var errNotTCP = errors.New("not a TCP listener of Linux")
 
-// acceptSettle is how long handshakes under way have to complete once the
-// kernel takes no new ones; longer than the round trip of any caller.
-const acceptSettle = 500 * time.Millisecond
+// handshakeGracePeriod is the time in which pending handshakes have to complete
+// once the kernel drops new ones. It is longer than the round trip to any client.
+const handshakeGracePeriod = 500 * time.Millisecond
 
-// stop is the planned stop: no request is cut within DrainTime.
-func (s *Server) stop(background context.Context, server *http.Server) {
-	s.leaving.Store(true)
+// drain shuts the server down. Requests are cut only after DrainTime.
+func (s *Server) drain(background context.Context, server *http.Server) {
+	s.stopping.Store(true)
 	events.ServerDraining.Log(s.logger, zap.String("server", s.name), zap.Int("running", s.Running()))
-	pause(s.config.LeaveTime)
-	if refuseNew(s.socket) == nil {
-		pause(min(acceptSettle, s.config.LeaveTime))
+	sleep(s.config.LeaveTime)
+	if dropNewConnections(s.socket) == nil {
+		sleep(min(handshakeGracePeriod, s.config.LeaveTime))
 	}
-	limit, cancel := context.WithTimeout(background, s.config.DrainTime)
+	drainContext, cancel := context.WithTimeout(background, s.config.DrainTime)
 	defer cancel()
-	if server.Shutdown(limit) == nil {
+	if server.Shutdown(drainContext) == nil {
 		return
 	}
 	events.ServerCut.Log(s.logger, zap.String("server", s.name), zap.Int("running", s.Running()))
-	_ = server.Close() // the listener is closed already; the connections are what counts
+	_ = server.Close() // closes the connections; the listener is closed already
 }
 
-func pause(length time.Duration) {
+func sleep(length time.Duration) {
 	if length > 0 {
 		timer := time.NewTimer(length)
 		<-timer.C
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -21,15 +21,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// running is a server on a loopback port, with its log.
-type running struct {
+// testServer is a server on a loopback port whose log is observed.
+type testServer struct {
 	*Server
 	logs *observer.ObservedLogs
 	stop context.CancelFunc
 	done chan error
 }
 
-func start(t *testing.T, change func(*Config), routes func(*Server)) *running {
+func startServer(t *testing.T, change func(*Config), routes func(*Server)) *testServer {
 	t.Helper()
 	config := DefaultConfig()
 	config.Address, config.LeaveTime = "127.0.0.1:0", 0
@@ -41,7 +41,7 @@
 	}
 	core, logs := observer.New(zap.InfoLevel)
 	ctx, cancel := context.WithCancel(t.Context())
-	r := &running{Server: New("test", config, zap.New(core)), logs: logs, stop: cancel, done: make(chan error, 1)}
+	r := &testServer{Server: New("test", config, zap.New(core)), logs: logs, stop: cancel, done: make(chan error, 1)}
 	routes(r.Server)
 	go func() { r.done <- r.Run(ctx) }()
 	<-r.Listening()
@@ -52,7 +52,7 @@
 	return r
 }
 
-func (r *running) send(t *testing.T, method, path, body string) (*http.Response, string) {
+func (r *testServer) send(t *testing.T, method, path, body string) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+r.Address()+path, strings.NewReader(body))
 	if err != nil {
@@ -71,7 +71,7 @@
 }
 
 func TestErrorsAreJSON(t *testing.T) {
-	r := start(t, func(c *Config) { c.BodyLimit = 8 }, func(s *Server) {
+	r := startServer(t, func(c *Config) { c.BodyLimit = 8 }, func(s *Server) {
 		read := func(c echo.Context) error { _, err := io.ReadAll(c.Request().Body); return err }
 		s.Echo.POST("/read", read)
 		s.Echo.POST("/large", read)
@@ -107,7 +107,7 @@
 		}
 	}
 	if response, _ := r.send(t, "POST", "/large", "123456789"); response.StatusCode != http.StatusOK {
-		t.Errorf("the route's own limit was not used: %d", response.StatusCode)
+		t.Errorf("the body limit of the route was not applied: status %d", response.StatusCode)
 	}
 	if r.logs.FilterMessage("request panicked").Len() != 1 {
 		t.Error("the panic was not logged")
@@ -117,16 +117,17 @@
 func TestRequestIDIsTakenOverOnlyWhenUsable(t *testing.T) {
 	for id, usable := range map[string]bool{"abc-1": true, "": false, "a b": false, "a\"b": false, strings.Repeat("x", 129): false, "é": false} {
 		if usableRequestID(id) != usable {
-			t.Errorf("%q: usable is %v", id, !usable)
+			t.Errorf("%q: got usable %v", id, !usable)
 		}
 	}
 }
 
-// streamed is a server with one request that sends a line, waits, and ends.
-func streamed(t *testing.T, change func(*Config)) (r *running, response *http.Response, release chan struct{}) {
+// startStreaming starts a server and a request whose response has its first line sent.
+// The response ends with a second line once release is closed.
+func startStreaming(t *testing.T, change func(*Config)) (r *testServer, response *http.Response, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
-	r = start(t, change, func(s *Server) {
+	r = startServer(t, change, func(s *Server) {
 		s.Echo.POST("/stream", func(c echo.Context) error {
 			_, _ = io.ReadAll(c.Request().Body)
 			_, _ = io.WriteString(c.Response(), "first\n")
@@ -148,11 +149,11 @@
 }
 
 func TestStopLetsRunningRequestsEnd(t *testing.T) {
-	r, response, release := streamed(t, nil)
+	r, response, release := startStreaming(t, nil)
 	defer response.Body.Close()
 	r.stop()
 	for r.logs.FilterMessage("server draining").Len() == 0 {
-		time.Sleep(time.Millisecond) // waits for the event, however long it takes
+		time.Sleep(time.Millisecond) // polls without a time limit
 	}
 	close(release)
 	answer, err := io.ReadAll(response.Body)
@@ -170,7 +171,7 @@
 func TestTLSWithBothVersionsOfHTTP(t *testing.T) {
 	authority := tlstest.NewAuthority(t)
 	certificate := authority.Issue(t, t.TempDir(), 2)
-	r := start(t, func(c *Config) { c.TLS = certificate }, func(s *Server) {
+	r := startServer(t, func(c *Config) { c.TLS = certificate }, func(s *Server) {
 		s.Echo.POST("/echo", func(c echo.Context) error {
 			body, err := io.ReadAll(c.Request().Body)
 			if err != nil {
@@ -183,8 +184,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, second := range []bool{false, true} {
-		transport := &http.Transport{TLSClientConfig: reloader.Client(), ForceAttemptHTTP2: second}
+	for _, useHTTP2 := range []bool{false, true} {
+		transport := &http.Transport{TLSClientConfig: reloader.Client(), ForceAttemptHTTP2: useHTTP2}
 		response, err := (&http.Client{Transport: transport}).Post("https://"+r.Address()+"/echo", "text/plain", strings.NewReader("body"))
 		if err != nil {
 			t.Fatal(err)
@@ -193,7 +194,7 @@
 		response.Body.Close()
 		transport.CloseIdleConnections()
 		want := "HTTP/1.1 body"
-		if second {
+		if useHTTP2 {
 			want = "HTTP/2.0 body"
 		}
 		if string(answer) != want {
@@ -201,7 +202,7 @@
 		}
 	}
 	if _, err := http.Get("https://" + r.Address()); err == nil {
-		t.Error("a client that does not know the authority trusted the server")
+		t.Error("a client without the authority trusted the server")
 	}
 	r.stop()
 	if err := <-r.done; err != nil {
@@ -210,23 +211,23 @@
 }
 
 func TestStopIsBounded(t *testing.T) {
-	r, response, _ := streamed(t, func(c *Config) { c.DrainTime = time.Nanosecond })
+	r, response, _ := startStreaming(t, func(c *Config) { c.DrainTime = time.Nanosecond })
 	defer response.Body.Close()
 	r.stop()
 	if err := <-r.done; err != nil {
 		t.Fatal(err)
 	}
 	if r.logs.FilterMessage("server stopped with requests running").Len() != 1 {
-		t.Error("the cut was not logged")
+		t.Error("the cut request was not logged")
 	}
 	if _, err := io.ReadAll(response.Body); err == nil {
-		t.Error("a cut answer looks whole")
+		t.Error("the response was cut, but reading it gave no error")
 	}
 }
 
 func TestSlowBodyIsBoundedAndLongAnswerIsNot(t *testing.T) {
 	const limit = 50 * time.Millisecond
-	r, response, release := streamed(t, func(c *Config) { c.ReadBodyTimeout = limit })
+	r, response, release := startStreaming(t, func(c *Config) { c.ReadBodyTimeout = limit })
 	defer response.Body.Close()
 	reader, writer := io.Pipe()
 	defer writer.Close()
@@ -234,7 +235,7 @@
 	if err == nil {
 		defer slow.Body.Close()
 	}
-	// By now the time has passed for the first request too; its answer goes on.
+	// The timeout has now passed for the first request too, but its response goes on.
 	close(release)
 	answer, err := io.ReadAll(response.Body)
 	if err != nil || string(answer) != "first\nlast\n" {
--- a/internal/httpserver/stop_linux_test.go
+++ b/internal/httpserver/stop_linux_test.go
@@ -14,8 +14,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// caller sends one request after another until it cannot connect any more. It
-// never repeats one: a request whose connection broke was cut.
+// caller sends one request after another until it can no longer connect. It does
+// not retry: a request whose connection breaks counts as cut.
 type caller struct{ answered, cut *atomic.Int64 }
 
 func (c caller) run(t *testing.T, url string) {
@@ -23,7 +23,7 @@
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	for {
-		body := io.NopCloser(strings.NewReader("body")) // cannot be rewound
+		body := io.NopCloser(strings.NewReader("body")) // cannot be rewound, so the client does not retry
 		response, err := client.Post(url, "text/plain", body)
 		var failed *net.OpError
 		if errors.As(err, &failed) && failed.Op == "dial" {
@@ -41,8 +41,8 @@
 }
 
 func TestStopCutsNoSteadyCaller(t *testing.T) {
-	const callers, enough = 64, 500
-	r := start(t, func(c *Config) { c.LeaveTime = 300 * time.Millisecond }, func(s *Server) {
+	const callers, minAnswered = 64, 500
+	r := startServer(t, func(c *Config) { c.LeaveTime = 300 * time.Millisecond }, func(s *Server) {
 		s.Echo.POST("/", func(c echo.Context) error {
 			_, err := io.ReadAll(c.Request().Body)
 			return errors.Join(err, c.NoContent(http.StatusOK))
@@ -53,8 +53,8 @@
 	for range callers {
 		running.Go(func() { caller{answered: &answered, cut: &cut}.run(t, "http://"+r.Address()+"/") })
 	}
-	for answered.Load() < enough {
-		time.Sleep(time.Millisecond) // waits for the count, however long it takes
+	for answered.Load() < minAnswered {
+		time.Sleep(time.Millisecond) // polls without a time limit
 	}
 	r.stop()
 	running.Wait()
