--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog writes log lines from a queue of its own, so that a slow
-// reader of the log never holds a request up. A full queue sheds lines, counts
-// them, and says so once there is room.
+// Package asynclog writes log lines asynchronously from a queue, so that a slow
+// reader of the log never delays a request. When the queue is full, lines are
+// shed and counted, and the count is logged once the queue has free slots.
 package asynclog
 
 import (
@@ -10,27 +10,27 @@
 	"sync/atomic"
 )
 
-// queueLines is how many lines wait at most.
-const queueLines = 8192
+// queueCapacity is the maximum number of queued lines.
+const queueCapacity = 8192
 
 // Writer is a zapcore.WriteSyncer that does not block.
 type Writer struct {
-	to    io.Writer
-	lines chan []byte
-	shed  atomic.Int64
-	said  int64
-	// notice makes the line that tells of shed ones.
+	output       io.Writer
+	lines        chan []byte
+	shed         atomic.Int64
+	reportedShed int64
+	// notice returns the log line that reports the number of shed lines.
 	notice func(shed int64) []byte
 
-	mu     sync.Mutex // guards closed against writes to lines
+	mu     sync.Mutex // guards closed, and sends to lines against its closing
 	closed bool
 	done   chan struct{}
 }
 
-// New starts a writer; Close ends it.
-func New(to io.Writer) *Writer {
+// New starts a writer, which runs until Close.
+func New(output io.Writer) *Writer {
 	writer := &Writer{
-		to: to, lines: make(chan []byte, queueLines), done: make(chan struct{}),
+		output: output, lines: make(chan []byte, queueCapacity), done: make(chan struct{}),
 		notice: func(shed int64) []byte {
 			return fmt.Appendf(nil, "{\"level\":\"warn\",\"msg\":\"log lines shed\",\"event\":8202,\"lines\":%d}\n", shed)
 		},
@@ -39,7 +39,8 @@
 	return writer
 }
 
-// Write queues a line, or sheds it.
+// Write queues a line, or sheds it if the queue is full or the writer is closed. It
+// always reports success.
 func (w *Writer) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	w.mu.Lock()
@@ -56,13 +57,14 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines are on their way already.
+// Sync implements zapcore.WriteSyncer. It does nothing, since the queue is written
+// continuously.
 func (w *Writer) Sync() error { return nil }
 
-// Shed counts the lines shed so far.
+// Shed returns the number of lines shed so far.
 func (w *Writer) Shed() int64 { return w.shed.Load() }
 
-// Close writes what is queued and ends the writer.
+// Close writes the queued lines and stops the writer.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -73,7 +75,7 @@
 	<-w.done
 }
 
-// run writes the queue in as few calls as it can, whole lines in each.
+// run writes the queued lines in as few calls as possible, with whole lines in each.
 func (w *Writer) run() {
 	defer close(w.done)
 	var batch []byte
@@ -83,22 +85,22 @@
 			select {
 			case next, open := <-w.lines:
 				more = open
-				batch = w.add(batch, next)
+				batch = w.appendLine(batch, next)
 			default:
 				more = false
 			}
 		}
-		if shed := w.shed.Load(); shed > w.said {
-			batch = w.add(batch, w.notice(shed-w.said))
-			w.said = shed
+		if shed := w.shed.Load(); shed > w.reportedShed {
+			batch = w.appendLine(batch, w.notice(shed-w.reportedShed))
+			w.reportedShed = shed
 		}
 		w.flush(batch)
 	}
 }
 
-// add puts a line behind others, which are written before when it does not fit.
-func (w *Writer) add(batch, line []byte) []byte {
-	if len(batch)+len(line) > maxBatch {
+// appendLine appends a line to batch. It flushes batch first if the line does not fit.
+func (w *Writer) appendLine(batch, line []byte) []byte {
+	if len(batch)+len(line) > maxWriteBytes {
 		w.flush(batch)
 		batch = batch[:0]
 	}
@@ -107,11 +109,11 @@
 
 func (w *Writer) flush(batch []byte) {
 	if len(batch) > 0 {
-		_, _ = w.to.Write(batch) // nowhere left to report to
+		_, _ = w.output.Write(batch) // an error of the log output cannot be reported
 	}
 }
 
-// maxBatch is the most bytes of one write, but for a longer line: a pipe takes
-// so many at once or not at all (PIPE_BUF), and whoever reads logs may keep no
-// more of one write.
-const maxBatch = 4096
+// maxWriteBytes limits the size of one write, except for a single longer line.
+// Writes to a pipe are atomic up to this size (PIPE_BUF), and a log reader may
+// keep no more of one write.
+const maxWriteBytes = 4096
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -8,76 +8,77 @@
 	"testing"
 )
 
-// blocked is an output whose reader takes nothing until it is let go.
-type blocked struct {
+// blockedWriter is an output that blocks all writes until release is closed.
+type blockedWriter struct {
 	mu      sync.Mutex
 	content bytes.Buffer
-	let     chan struct{}
+	release chan struct{}
 }
 
-func (b *blocked) Write(content []byte) (int, error) {
-	<-b.let
+func (b *blockedWriter) Write(content []byte) (int, error) {
+	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.content.Write(content)
 }
 
-func TestFullQueueShedsAndSaysSo(t *testing.T) {
-	output := &blocked{let: make(chan struct{})}
+func TestFullQueueShedsLinesAndReportsThem(t *testing.T) {
+	output := &blockedWriter{release: make(chan struct{})}
 	writer := New(output)
-	const lines = 3 * queueLines
-	for range lines { // must not block, though nobody reads
+	const lines = 3 * queueCapacity
+	for range lines { // must not block although the output does
 		if count, err := writer.Write([]byte("line\n")); count != 5 || err != nil {
-			t.Fatalf("%d %v", count, err)
+			t.Fatalf("got count %d and error %v, want 5 and nil", count, err)
 		}
 	}
 	shed := writer.Shed()
 	if shed == 0 {
 		t.Fatal("nothing was shed")
 	}
-	close(output.let)
+	close(output.release)
 	writer.Close()
 	text := output.content.String()
 	if got := strings.Count(text, "line\n"); int64(got)+shed != lines {
 		t.Errorf("%d lines written and %d shed of %d", got, shed, lines)
 	}
 	if !strings.Contains(text, `"event":8202`) {
-		t.Error("the loss is not told")
+		t.Error("the shed lines are not reported in the log")
 	}
 	if _, err := writer.Write([]byte("late\n")); err != nil || writer.Shed() != shed+1 {
-		t.Error("a line after the end is not counted")
+		t.Error("a line written after Close is not counted as shed")
 	}
 }
 
-// TestWritesHoldWholeLinesAndAreShort: with writes of 32 KB readers of the log
-// lost the ends of long ones, in the middle of a line (seen in inc-c18a).
+// TestWritesHoldWholeLinesAndAreShort guards against lost log text: with writes of
+// 32 KB, log readers dropped the ends of long writes in the middle of a line (seen
+// in inc-c18a).
 func TestWritesHoldWholeLinesAndAreShort(t *testing.T) {
-	sink := &writes{first: make(chan struct{}), released: make(chan struct{})}
+	sink := &recordingWriter{first: make(chan struct{}), released: make(chan struct{})}
 	writer := New(sink)
 	var want bytes.Buffer
 	for number := range 400 {
 		line := fmt.Sprintf("{\"line\":%d,\"text\":%q}\n", number, strings.Repeat("x", number%300))
 		if number == 200 {
-			line = fmt.Sprintf("{\"line\":%d,\"text\":%q}\n", number, strings.Repeat("y", 2*maxBatch))
+			line = fmt.Sprintf("{\"line\":%d,\"text\":%q}\n", number, strings.Repeat("y", 2*maxWriteBytes))
 		}
 		want.WriteString(line)
 		if _, err := writer.Write([]byte(line)); err != nil {
 			t.Fatal(err)
 		}
 		if number == 0 {
-			<-sink.first // the rest is queued behind it
+			<-sink.first // the first write blocks, so the rest is queued
 		}
 	}
 	close(sink.released)
 	writer.Close()
 	var got bytes.Buffer
-	for _, content := range sink.all {
+	for _, content := range sink.writes {
 		got.Write(content)
 		if !bytes.HasSuffix(content, []byte("\n")) {
-			t.Errorf("a write ends inside of a line: %q", content)
+			t.Errorf("a write ends in the middle of a line: %q", content)
 		}
-		if len(content) > maxBatch && bytes.Count(content, []byte("\n")) > 1 {
-			t.Errorf("%d bytes in one write", len(content))
+		if len(content) > maxWriteBytes && bytes.Count(content, []byte("\n")) > 1 {
+			t.Errorf("one write of several lines has %d bytes, more than maxWriteBytes", len(content))
 		}
 	}
 	if got.String() != want.String() {
@@ -85,17 +86,17 @@
 	}
 }
 
-// writes keeps each write, and holds the first until it may go on.
-type writes struct {
-	all      [][]byte
+// recordingWriter records each write, and blocks the first until released is closed.
+type recordingWriter struct {
+	writes   [][]byte
 	first    chan struct{}
 	released chan struct{}
 }
 
 // Write implements io.Writer.
-func (w *writes) Write(content []byte) (int, error) {
-	w.all = append(w.all, bytes.Clone(content))
-	if len(w.all) == 1 {
+func (w *recordingWriter) Write(content []byte) (int, error) {
+	w.writes = append(w.writes, bytes.Clone(content))
+	if len(w.writes) == 1 {
 		close(w.first)
 		<-w.released
 	}
