--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,4 +1,4 @@
-// Package auth maps bearer keys to callers' tenants and to operators.
+// Package auth maps bearer keys to tenants and operators.
 package auth
 
 import (
@@ -7,10 +7,11 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// Authenticator reads the Authorization header of a request.
+// Authenticator identifies the sender of a request by its Authorization header.
 type Authenticator interface {
-	// Tenant gives the calling tenant; an *apierror.Error (401) otherwise.
+	// Tenant returns the tenant that sent the request, or an *apierror.Error (401 or
+	// 403).
 	Tenant(request *http.Request) (identity.TenantID, error)
-	// Operator gives the operator's name; an *apierror.Error (401, 403) otherwise.
+	// Operator returns the operator's name, or an *apierror.Error (401 or 403).
 	Operator(request *http.Request) (string, error)
 }
--- a/internal/auth/keys.go
+++ b/internal/auth/keys.go
@@ -23,8 +23,8 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// Config gives the keys. Only digests are kept: a key cannot be read back from
-// the settings.
+// Config lists the accepted keys. It holds only their digests, so that keys
+// cannot be read from the settings.
 type Config struct {
 	KeysFile       string        `koanf:"keys_file" usage:"YAML file with further tenants and operators, read again when it changes and on SIGHUP"`
 	ReloadInterval time.Duration `koanf:"reload_interval" usage:"how often keys_file is looked at for changes"`
@@ -32,30 +32,30 @@
 	Operators      []OperatorKey `koanf:"operators" usage:"operators' keys: list of {name, sha256: [hex, ...]}"`
 }
 
-// TenantKeys are the digests of one tenant's keys; several allow a change of
-// key without an interruption.
+// TenantKeys holds the digests of one tenant's keys. A tenant may have several, so
+// that keys can be rotated without an interruption.
 type TenantKeys struct {
 	Tenant string   `koanf:"tenant" yaml:"tenant"`
 	SHA256 []string `koanf:"sha256" yaml:"sha256"`
 }
 
-// OperatorKey are the digests of one operator's keys.
+// OperatorKey holds the digests of one operator's keys.
 type OperatorKey struct {
 	Name   string   `koanf:"name" yaml:"name"`
 	SHA256 []string `koanf:"sha256" yaml:"sha256"`
 }
 
-// DefaultConfig has no keys: every request is refused.
+// DefaultConfig returns a Config without keys, which refuses every request.
 func DefaultConfig() Config { return Config{ReloadInterval: 30 * time.Second} }
 
-// Validate checks the digests; errors name the entry.
+// Validate checks the reload interval and the entries. Its errors name the entry.
 func (c Config) Validate() error {
 	failures := []error{configcheck.Positive("reload_interval", c.ReloadInterval)}
-	failures = append(failures, check(c.Tenants, c.Operators)...)
+	failures = append(failures, validateKeys(c.Tenants, c.Operators)...)
 	return errors.Join(failures...)
 }
 
-func check(tenants []TenantKeys, operators []OperatorKey) []error {
+func validateKeys(tenants []TenantKeys, operators []OperatorKey) []error {
 	var failures []error
 	for i, entry := range tenants {
 		key := fmt.Sprintf("tenants[%d]", i)
@@ -92,20 +92,21 @@
 	return parsed, true
 }
 
-// holder is whom a key belongs to; one of the two is set.
-type holder struct {
+// keyOwner is the tenant or the operator to which a key belongs. Exactly one of the
+// fields is set.
+type keyOwner struct {
 	tenant   identity.TenantID
 	operator string
 }
 
 // Keys is the Authenticator of a node. It is safe for concurrent use. Keys are
-// found by their digest in a map: the time that takes tells nothing of a key,
-// since who asks cannot choose the digest.
+// looked up by their digest in a map. The lookup time reveals nothing about a
+// key, because a client cannot choose the digest.
 type Keys struct {
-	config  Config
-	logger  *zap.Logger
-	holders atomic.Pointer[map[digest]holder]
-	stamp   fileStamp // used by Run only
+	config Config
+	logger *zap.Logger
+	owners atomic.Pointer[map[digest]keyOwner]
+	stamp  fileStamp // used by Run only
 }
 
 type fileStamp struct {
@@ -146,21 +147,21 @@
 	return found.operator, nil
 }
 
-func (k *Keys) find(request *http.Request) (holder, error) {
+func (k *Keys) find(request *http.Request) (keyOwner, error) {
 	header := request.Header.Get("Authorization")
 	scheme, key, ok := strings.Cut(header, " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") || key == "" {
-		return holder{}, apierror.New(http.StatusUnauthorized, apierror.CodeUnauthorized, "send the header Authorization: Bearer KEY")
+		return keyOwner{}, apierror.New(http.StatusUnauthorized, apierror.CodeUnauthorized, "send the header Authorization: Bearer KEY")
 	}
-	found, ok := (*k.holders.Load())[sha256.Sum256([]byte(key))]
+	found, ok := (*k.owners.Load())[sha256.Sum256([]byte(key))]
 	if !ok {
-		return holder{}, apierror.New(http.StatusUnauthorized, apierror.CodeUnauthorized, "this key is not known")
+		return keyOwner{}, apierror.New(http.StatusUnauthorized, apierror.CodeUnauthorized, "this key is not known")
 	}
 	return found, nil
 }
 
-// Run reads keys_file again when it changes and on SIGHUP, until ctx is done.
-// A file that cannot be used is logged, and the last good keys stay in use.
+// Run reloads keys_file when it changes and on SIGHUP, until ctx is done. An
+// unusable file is logged, and the last good keys stay in use.
 func (k *Keys) Run(ctx context.Context) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -173,14 +174,14 @@
 			return nil
 		case <-hangup:
 			k.stamp = fileStamp{}
-			k.reloadLogged()
+			k.reloadIfChanged()
 		case <-ticker.C:
-			k.reloadLogged()
+			k.reloadIfChanged()
 		}
 	}
 }
 
-func (k *Keys) reloadLogged() {
+func (k *Keys) reloadIfChanged() {
 	if k.config.KeysFile == "" || k.stamp == stampOf(k.config.KeysFile) {
 		return
 	}
@@ -188,7 +189,7 @@
 		events.KeysReloadFailed.Log(k.logger, zap.String("file", k.config.KeysFile), zap.Error(err))
 		return
 	}
-	events.KeysReloaded.Log(k.logger, zap.String("file", k.config.KeysFile), zap.Int("keys", len(*k.holders.Load())))
+	events.KeysReloaded.Log(k.logger, zap.String("file", k.config.KeysFile), zap.Int("keys", len(*k.owners.Load())))
 }
 
 func (k *Keys) reload() error {
@@ -203,40 +204,40 @@
 		operators = append(append([]OperatorKey{}, operators...), file.Operators...)
 		k.stamp = stamp
 	}
-	holders, err := index(tenants, operators)
+	owners, err := indexKeys(tenants, operators)
 	if err != nil {
 		return err
 	}
-	k.holders.Store(&holders)
+	k.owners.Store(&owners)
 	return nil
 }
 
-// ErrKeyTwice says that one key is given to two holders.
-var ErrKeyTwice = errors.New("the same key is given to two holders")
+// ErrDuplicateKey is returned if one key belongs to two tenants or operators.
+var ErrDuplicateKey = errors.New("the same key is given to two holders")
 
-func index(tenants []TenantKeys, operators []OperatorKey) (map[digest]holder, error) {
-	holders := make(map[digest]holder, len(tenants)+len(operators))
-	add := func(texts []string, owner holder) error {
+func indexKeys(tenants []TenantKeys, operators []OperatorKey) (map[digest]keyOwner, error) {
+	owners := make(map[digest]keyOwner, len(tenants)+len(operators))
+	add := func(texts []string, owner keyOwner) error {
 		for _, text := range texts {
 			parsed, _ := parseDigest(text)
-			if earlier, taken := holders[parsed]; taken && earlier != owner {
-				return fmt.Errorf("%w: %s%s and %s%s", ErrKeyTwice, earlier.tenant, earlier.operator, owner.tenant, owner.operator)
+			if earlier, taken := owners[parsed]; taken && earlier != owner {
+				return fmt.Errorf("%w: %s%s and %s%s", ErrDuplicateKey, earlier.tenant, earlier.operator, owner.tenant, owner.operator)
 			}
-			holders[parsed] = owner
+			owners[parsed] = owner
 		}
 		return nil
 	}
 	for _, entry := range tenants {
-		if err := add(entry.SHA256, holder{tenant: identity.TenantID(entry.Tenant)}); err != nil {
+		if err := add(entry.SHA256, keyOwner{tenant: identity.TenantID(entry.Tenant)}); err != nil {
 			return nil, err
 		}
 	}
 	for _, entry := range operators {
-		if err := add(entry.SHA256, holder{operator: entry.Name}); err != nil {
+		if err := add(entry.SHA256, keyOwner{operator: entry.Name}); err != nil {
 			return nil, err
 		}
 	}
-	return holders, nil
+	return owners, nil
 }
 
 type keysFile struct {
@@ -256,7 +257,7 @@
 	if err := decoder.Decode(&content); err != nil {
 		return content, fmt.Errorf("keys file %s: %w", name, err)
 	}
-	if err := errors.Join(check(content.Tenants, content.Operators)...); err != nil {
+	if err := errors.Join(validateKeys(content.Tenants, content.Operators)...); err != nil {
 		return content, fmt.Errorf("keys file %s: %w", name, err)
 	}
 	return content, nil
--- a/internal/auth/keys_test.go
+++ b/internal/auth/keys_test.go
@@ -55,12 +55,12 @@
 	for i := range 2600 {
 		tenant, err := keys.Tenant(requestWith(fmt.Sprintf("Bearer key-%d", i)))
 		if err != nil || tenant != identity.TenantID(fmt.Sprintf("tenant-%d", i)) {
-			t.Fatalf("key %d: %q, %v", i, tenant, err)
+			t.Fatalf("key %d: got tenant %q, error %v", i, tenant, err)
 		}
 	}
 	for _, key := range []string{"root", "next"} {
 		if name, err := keys.Operator(requestWith("bearer " + key)); err != nil || name != "alice" {
-			t.Errorf("%s: %q, %v", key, name, err)
+			t.Errorf("key %s: got operator %q, error %v", key, name, err)
 		}
 	}
 }
@@ -75,17 +75,17 @@
 	}
 	for header, status := range map[string]int{"": 401, "Bearer": 401, "Bearer ": 401, "Basic k": 401, "Bearer x": 401, "k": 401, "Bearer root": 403} {
 		if _, err := keys.Tenant(requestWith(header)); statusOf(err) != status {
-			t.Errorf("tenant %q: %v", header, err)
+			t.Errorf("Tenant with header %q: got error %v", header, err)
 		}
 	}
 	if _, err := keys.Operator(requestWith("Bearer k")); statusOf(err) != http.StatusForbidden {
-		t.Errorf("operator with a tenant's key: %v", err)
+		t.Errorf("Operator with a tenant's key: got error %v", err)
 	}
 }
 
 func TestOneKeyOfTwoHoldersIsAnError(t *testing.T) {
 	_, err := NewKeys(Config{Tenants: []TenantKeys{{Tenant: "a", SHA256: []string{digestOf("k")}}, {Tenant: "b", SHA256: []string{digestOf("k")}}}}, zap.NewNop())
-	if !errors.Is(err, ErrKeyTwice) {
+	if !errors.Is(err, ErrDuplicateKey) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -114,14 +114,14 @@
 		return err == nil
 	}
 	write(entry("new"))
-	keys.reloadLogged()
+	keys.reloadIfChanged()
 	if known("old") || !known("new") {
-		t.Error("the change was not taken")
+		t.Error("the changed keys file was not applied")
 	}
 	write("tenants: [{tenant: a, sha265: [x]}]\n")
-	keys.reloadLogged()
+	keys.reloadIfChanged()
 	failed := logs.FilterMessage("keys not reloaded").All()
 	if !known("new") || len(failed) != 1 || !strings.Contains(failed[0].ContextMap()["error"].(string), "sha265") {
-		t.Errorf("a wrong file: %v", failed)
+		t.Errorf("after an invalid keys file, got log lines %v", failed)
 	}
 }
