--- a/internal/tlsconfig/reloader.go
+++ b/internal/tlsconfig/reloader.go
@@ -12,21 +12,22 @@
 	"ringstream.example/ringstream/internal/events"
 )
 
-// Reloader holds the files' last good contents. It is safe for concurrent use.
+// Reloader holds the last good contents of the files. Server, Client and the
+// configurations that they return are safe for concurrent use.
 type Reloader struct {
 	config  Config
 	logger  *zap.Logger
-	current atomic.Pointer[material]
-	stamp   fileStamp // used by Run only
+	current atomic.Pointer[keyMaterial]
+	stamp   fileStamp // used by New and Reload only
 }
 
-// fileStamp tells whether any of the files changed.
+// fileStamp is compared to detect that one of the files has changed.
 type fileStamp [3]struct {
 	modified time.Time
 	size     int64
 }
 
-// New reads the files; a wrong one is a *FileError.
+// New reads the files. It returns a *FileError for an unusable one.
 func New(config Config, logger *zap.Logger) (*Reloader, error) {
 	stamp := stampOf(config)
 	first, err := load(config)
@@ -38,17 +39,18 @@
 	return reloader, nil
 }
 
-// Server gives a configuration for a listener. Each handshake uses the files'
-// latest contents; with ClientCAFile set the client must show a certificate.
+// Server returns a configuration for a listener. Each handshake uses the last good
+// contents of the files. If ClientCAFile is set, the client must present a
+// certificate that chains to it.
 func (r *Reloader) Server() *tls.Config {
-	server := r.serverNow()
+	server := r.currentServerConfig()
 	server.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		return r.serverNow(), nil
+		return r.currentServerConfig(), nil
 	}
 	return server
 }
 
-func (r *Reloader) serverNow() *tls.Config {
+func (r *Reloader) currentServerConfig() *tls.Config {
 	now := r.current.Load()
 	server := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
@@ -62,8 +64,8 @@
 	return server
 }
 
-// Client gives a configuration for one dial, with the files' contents of now.
-// The server's certificate must chain to ClientCAFile when that is set.
+// Client returns a configuration for one connection, with the current contents of
+// the files. If ClientCAFile is set, the server's certificate must chain to it.
 func (r *Reloader) Client() *tls.Config {
 	now := r.current.Load()
 	return &tls.Config{
@@ -74,8 +76,8 @@
 	}
 }
 
-// Run looks at the files at each interval, until ctx is done. Files that
-// cannot be used are logged, and the last good contents stay in use.
+// Run calls Reload at every ReloadInterval until ctx is done. Unusable files are
+// logged, and the last good contents stay in use.
 func (r *Reloader) Run(ctx context.Context) error {
 	ticker := time.NewTicker(r.config.ReloadInterval)
 	defer ticker.Stop()
@@ -89,8 +91,8 @@
 	}
 }
 
-// Reload reads the files if one changed since the last good reading. It is
-// called by one goroutine at a time.
+// Reload reads the files if one has changed since the last successful load. It
+// must not be called concurrently.
 func (r *Reloader) Reload() {
 	stamp := stampOf(r.config)
 	if stamp == r.stamp {
--- a/internal/tlsconfig/tlsconfig.go
+++ b/internal/tlsconfig/tlsconfig.go
@@ -1,6 +1,6 @@
-// Package tlsconfig makes TLS configurations whose certificates and
-// authorities are read again when their files change, without a restart. It
-// opens no socket.
+// Package tlsconfig provides TLS configurations whose certificates and
+// authorities are reloaded when their files change, without a restart. It opens
+// no socket.
 package tlsconfig
 
 import (
@@ -14,7 +14,8 @@
 	"ringstream.example/ringstream/internal/configcheck"
 )
 
-// Config names the files of one listener or peer. All empty: no TLS.
+// Config names the files of one listener or peer. TLS is disabled if all of them
+// are empty.
 type Config struct {
 	CertificateFile string        `koanf:"certificate_file" usage:"PEM certificate chain; empty: no TLS"`
 	KeyFile         string        `koanf:"key_file" usage:"PEM private key of the certificate"`
@@ -23,15 +24,15 @@
 	ReloadInterval  time.Duration `koanf:"reload_interval" usage:"how often the files are looked at for changes"`
 }
 
-// DefaultConfig is no TLS.
+// DefaultConfig returns a Config with TLS disabled.
 func DefaultConfig() Config { return Config{ReloadInterval: time.Minute} }
 
-// Enabled says whether the configuration asks for TLS.
+// Enabled reports whether the configuration names any file.
 func (c Config) Enabled() bool {
 	return c.CertificateFile != "" || c.KeyFile != "" || c.ClientCAFile != ""
 }
 
-// Validate checks the keys against each other; files are read by New.
+// Validate checks that the required settings are present. It reads no files.
 func (c Config) Validate() error {
 	if !c.Enabled() {
 		return nil
@@ -43,7 +44,7 @@
 	)
 }
 
-// FileError is a file that cannot be used.
+// FileError reports a file that cannot be used.
 type FileError struct {
 	File  string
 	Cause error
@@ -52,25 +53,25 @@
 // Error implements error.
 func (e *FileError) Error() string { return fmt.Sprintf("TLS file %s: %v", e.File, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// ErrNoCertificates is the cause for an authorities' file without one.
+// ErrNoCertificates is the cause for a file of authorities without a certificate.
 var ErrNoCertificates = errors.New("no PEM certificate in it")
 
-// material is what one reading of the files gave.
-type material struct {
+// keyMaterial holds the contents of the files as of one load.
+type keyMaterial struct {
 	certificate tls.Certificate
-	authorities *x509.CertPool // nil: no mutual TLS
+	authorities *x509.CertPool // nil without mutual TLS
 }
 
-func load(config Config) (*material, error) {
+func load(config Config) (*keyMaterial, error) {
 	certificate, err := tls.LoadX509KeyPair(config.CertificateFile, config.KeyFile)
 	if err != nil {
 		return nil, &FileError{File: config.CertificateFile + ", " + config.KeyFile, Cause: err}
 	}
 	if config.ClientCAFile == "" {
-		return &material{certificate: certificate}, nil
+		return &keyMaterial{certificate: certificate}, nil
 	}
 	pem, err := os.ReadFile(config.ClientCAFile)
 	if err != nil {
@@ -80,5 +81,5 @@
 	if !authorities.AppendCertsFromPEM(pem) {
 		return nil, &FileError{File: config.ClientCAFile, Cause: ErrNoCertificates}
 	}
-	return &material{certificate: certificate, authorities: authorities}, nil
+	return &keyMaterial{certificate: certificate, authorities: authorities}, nil
 }
--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -15,18 +15,19 @@
 	"ringstream.example/ringstream/internal/tlsconfig/tlstest"
 )
 
-func reloader(t *testing.T, config tlsconfig.Config) (*tlsconfig.Reloader, *observer.ObservedLogs) {
+func newReloader(t *testing.T, config tlsconfig.Config) (*tlsconfig.Reloader, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
-	made, err := tlsconfig.New(config, zap.New(core))
+	created, err := tlsconfig.New(config, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return made, logs
+	return created, logs
 }
 
-// handshake gives the serial number that the server showed. With TLS 1.3 a
-// refused client certificate shows on the server's side only.
+// handshake returns the serial number of the server's certificate. It waits for the
+// server's side too, because with TLS 1.3 only that side sees a rejected client
+// certificate.
 func handshake(t *testing.T, server, client *tls.Config) (int64, error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +60,7 @@
 
 func TestChangedCertificateIsUsedWithoutRestart(t *testing.T) {
 	ca, directory := tlstest.NewAuthority(t), t.TempDir()
-	server, logs := reloader(t, ca.Issue(t, directory, 2))
+	server, logs := newReloader(t, ca.Issue(t, directory, 2))
 	listener := server.Server() // made once, as a listener does
 	if serial, err := handshake(t, listener, server.Client()); err != nil || serial != 2 {
 		t.Fatalf("serial %d, %v", serial, err)
@@ -74,28 +75,28 @@
 	}
 	server.Reload()
 	if serial, err := handshake(t, listener, server.Client()); err != nil || serial != 3 {
-		t.Fatalf("after a broken file: serial %d, %v", serial, err)
+		t.Fatalf("after an unusable file: serial %d, %v", serial, err)
 	}
 	if logs.FilterMessage("certificates not reloaded").Len() != 1 || logs.FilterMessage("certificates reloaded").Len() != 1 {
 		t.Errorf("logged %v", logs.All())
 	}
 }
 
-func TestMutualTLSRefusesStrangers(t *testing.T) {
+func TestMutualTLSRejectsOtherAuthorities(t *testing.T) {
 	ours, strangers := tlstest.NewAuthority(t), tlstest.NewAuthority(t)
-	server, _ := reloader(t, ours.Issue(t, t.TempDir(), 2))
-	stranger, _ := reloader(t, strangers.Issue(t, t.TempDir(), 3))
+	server, _ := newReloader(t, ours.Issue(t, t.TempDir(), 2))
+	stranger, _ := newReloader(t, strangers.Issue(t, t.TempDir(), 3))
 	if _, err := handshake(t, server.Server(), stranger.Client()); err == nil {
-		t.Error("a client trusted a server of another authority")
+		t.Error("the client accepted the certificate of a server from another authority")
 	}
-	spy := stranger.Client()
-	spy.RootCAs = nil
-	spy.InsecureSkipVerify = true
-	if _, err := handshake(t, server.Server(), spy); err == nil {
-		t.Error("a client's certificate of another authority was accepted")
+	unverifying := stranger.Client()
+	unverifying.RootCAs = nil
+	unverifying.InsecureSkipVerify = true
+	if _, err := handshake(t, server.Server(), unverifying); err == nil {
+		t.Error("the server accepted a client certificate from another authority")
 	}
 	if _, err := handshake(t, server.Server(), &tls.Config{InsecureSkipVerify: true}); err == nil {
-		t.Error("a client without a certificate was accepted")
+		t.Error("the server accepted a client without a certificate")
 	}
 }
 
@@ -109,7 +110,7 @@
 		change(&wrong)
 		var failure *tlsconfig.FileError
 		if _, err := tlsconfig.New(wrong, zap.NewNop()); !errors.As(err, &failure) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want a *FileError", err)
 		}
 	}
 	if err := (tlsconfig.Config{CertificateFile: "a"}).Validate(); err == nil {
--- a/internal/tlsconfig/tlstest/tlstest.go
+++ b/internal/tlsconfig/tlstest/tlstest.go
@@ -1,4 +1,4 @@
-// Package tlstest makes certificates for tests. No production code imports it.
+// Package tlstest issues certificates for tests. No production code imports it.
 package tlstest
 
 import (
@@ -18,13 +18,13 @@
 	"ringstream.example/ringstream/internal/tlsconfig"
 )
 
-// Authority signs certificates for 127.0.0.1.
+// Authority is a certificate authority that issues certificates for 127.0.0.1.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority for the length of a test.
+// NewAuthority creates an authority whose certificate is valid for one hour.
 func NewAuthority(t *testing.T) *Authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -46,8 +46,9 @@
 	return &Authority{certificate: certificate, key: key}
 }
 
-// Issue writes a certificate, its key and the authority, and gives the settings
-// that name them. Files of a higher serial number are newer.
+// Issue writes a certificate, its key and the authority to files in directory, and
+// returns the settings that name them. Files with a higher serial number have a
+// later modification time.
 func (a *Authority) Issue(t *testing.T, directory string, serial int64) tlsconfig.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
