--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,5 +1,5 @@
-// Package apierror is the error that callers and operators see: an HTTP
-// status, a stable code, a message, and what is known of the run.
+// Package apierror defines the error that clients and operators receive: an HTTP
+// status, a stable code, a message, and the outcome of the run as far as known.
 package apierror
 
 import (
@@ -12,10 +12,10 @@
 	"ringstream.example/ringstream/internal/core/outcome"
 )
 
-// Code is a stable machine-readable reason.
+// Code is a stable, machine-readable reason for an error.
 type Code string
 
-// The codes. docs/operations/errors.md has an entry for each.
+// The error codes. docs/operations/errors.md has an entry for each.
 const (
 	CodeInvalidRequest Code = "invalid_request"
 	CodeUnauthorized   Code = "unauthorized"
@@ -39,34 +39,34 @@
 	CodeInternal       Code = "internal"
 )
 
-// Error is an answer that is not a success.
+// Error is an error response.
 type Error struct {
 	Status     int
 	Code       Code
 	Message    string
 	Run        outcome.Kind
 	RetryAfter time.Duration
-	// Detail is added to the JSON body as "current" (the current row, say).
+	// Detail is added to the JSON body as "current", for example the current row.
 	Detail any
 }
 
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s", e.Code, e.Message) }
 
-// New makes an error of a request that did not run, with merry's stack and
-// HTTP code; errors.As finds the *Error.
+// New returns an error for a request that did not run. It wraps an *Error, which
+// errors.As finds, and carries merry's stack trace and HTTP code.
 func New(status int, code Code, format string, arguments ...any) error {
 	body := &Error{Status: status, Code: code, Message: fmt.Sprintf(format, arguments...), Run: outcome.Refused}
 	return merry.Wrap(body, merry.WithHTTPCode(status))
 }
 
-// Invalid is a 400: the request itself is wrong, and the message says where.
+// Invalid returns a 400 for an invalid request. The message names the fault.
 func Invalid(format string, arguments ...any) error {
 	return New(http.StatusBadRequest, CodeInvalidRequest, format, arguments...)
 }
 
-// Unavailable is a 503 of a request that provably did not run, because a store
-// that it needs cannot be reached.
+// Unavailable returns a 503 for a request that provably did not run, because a
+// store that it needs is unreachable.
 func Unavailable(retryAfter time.Duration, format string, arguments ...any) error {
 	body := &Error{
 		Status: http.StatusServiceUnavailable, Code: CodeStoreDown, Run: outcome.Refused,
@@ -75,7 +75,7 @@
 	return merry.Wrap(body, merry.WithHTTPCode(body.Status))
 }
 
-// Uncertain is a 503 of a request that may have taken effect.
+// Uncertain returns a 503 for a request that may have taken effect.
 func Uncertain(format string, arguments ...any) error {
 	body := &Error{
 		Status: http.StatusServiceUnavailable, Code: CodeStoreDown, Run: outcome.Unknown,
--- a/internal/apierror/apierror_test.go
+++ b/internal/apierror/apierror_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// declaredCodes reads the constants of type Code from the source.
+// declaredCodes returns the values of the Code constants in the source file.
 func declaredCodes(t *testing.T) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "apierror.go", nil, 0)
--- a/internal/configcheck/configcheck.go
+++ b/internal/configcheck/configcheck.go
@@ -1,6 +1,6 @@
-// Package configcheck holds the checks that components' Validate methods share.
-// Its errors carry the key, the value and what is allowed, so that package
-// settings can add the file and the line. It reads no settings itself.
+// Package configcheck provides the checks that the components' Validate methods
+// share. Its errors carry the key, the value and the allowed values, so that
+// package settings can add file and line. It reads no settings itself.
 package configcheck
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Error is one wrong setting.
+// Error is one invalid setting.
 type Error struct {
 	Key     string // relative to the component's section ("address")
 	Value   string
@@ -24,10 +24,11 @@
 	return fmt.Sprintf("%s: %q is wrong: allowed is %s", e.Key, e.Value, e.Allowed)
 }
 
-// AllowedAddress says what Address accepts.
+// AllowedAddress describes the values that Address accepts.
 const AllowedAddress = "IP:port with the host an IP number, such as 127.0.0.1:8080 or [::1]:8080"
 
-// Address checks host:port with an IP number as host; names are not resolved.
+// Address checks that value is IP:port. Host names are rejected, since names are
+// not resolved.
 func Address(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return &Error{Key: key, Value: value, Allowed: AllowedAddress}
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// OptionalAddress is Address that also accepts the empty string.
+// OptionalAddress is like Address but also accepts the empty string.
 func OptionalAddress(key, value string) error {
 	if value == "" {
 		return nil
@@ -43,7 +44,7 @@
 	return Address(key, value)
 }
 
-// Positive checks a duration above zero.
+// Positive checks that a duration is above zero.
 func Positive(key string, value time.Duration) error {
 	if value <= 0 {
 		return &Error{Key: key, Value: value.String(), Allowed: "a duration above zero, such as 500ms, 10s or 2m"}
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// NotNegative checks a duration of zero or above.
+// NotNegative checks that a duration is zero or above.
 func NotNegative(key string, value time.Duration) error {
 	if value < 0 {
 		return &Error{Key: key, Value: value.String(), Allowed: "a duration of zero or above, such as 0s, 500ms or 2m"}
@@ -59,12 +60,12 @@
 	return nil
 }
 
-// Number is what AtLeast and Between compare.
+// Number is the constraint of the types that AtLeast and Between compare.
 type Number interface {
 	~int | ~int64 | ~uint64 | ~float64
 }
 
-// AtLeast checks a smallest value.
+// AtLeast checks that value is not below least.
 func AtLeast[N Number](key string, value, least N) error {
 	if value < least {
 		return &Error{Key: key, Value: fmt.Sprint(value), Allowed: fmt.Sprintf("a number from %v up", least)}
@@ -72,7 +73,8 @@
 	return nil
 }
 
-// Between checks a range, both ends included. NaN is outside of every range.
+// Between checks that value is in the range from least to most, both included. NaN
+// is outside every range.
 func Between[N Number](key string, value, least, most N) error {
 	if value >= least && value <= most {
 		return nil
@@ -80,7 +82,7 @@
 	return &Error{Key: key, Value: fmt.Sprint(value), Allowed: fmt.Sprintf("a number from %v to %v", least, most)}
 }
 
-// Required checks that a string is set.
+// Required checks that a string is not blank.
 func Required(key, value string) error {
 	if strings.TrimSpace(value) == "" {
 		return &Error{Key: key, Value: value, Allowed: "a value that is not empty"}
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// OneOf checks membership of a fixed list.
+// OneOf checks that value is one of the choices.
 func OneOf(key, value string, choices ...string) error {
 	if slices.Contains(choices, value) {
 		return nil
@@ -96,7 +98,8 @@
 	return &Error{Key: key, Value: value, Allowed: "one of " + strings.Join(choices, ", ")}
 }
 
-// Under prefixes the keys of a sub-section's errors, joined errors included.
+// Under prefixes the keys of a subsection's errors with the section's name. It does
+// so for each part of a joined error.
 func Under(section string, err error) error {
 	if err == nil {
 		return nil
--- a/internal/heapgrowth/heapgrowth.go
+++ b/internal/heapgrowth/heapgrowth.go
@@ -1,6 +1,6 @@
-// Package heapgrowth bounds how far the heap may grow beyond what is in use before it is collected.
-// By default it may grow to twice that, which a large machine has room for and one of 184 MB
-// that knows 10,000 engines has not to spare.
+// Package heapgrowth limits how far the heap may grow beyond the bytes in use before it is
+// collected. By default it may grow to twice the bytes in use. A large machine has that memory,
+// but a machine with 184 MB whose node knows 10,000 engines does not.
 package heapgrowth
 
 import (
@@ -13,32 +13,33 @@
 )
 
 const (
-	// growth is how far the heap may grow. Less has it collected more often, at a cost by what
-	// is in use; the default lets that of a node which knows 10,000 engines grow by 17 MB.
-	growth = 8 << 20
-	// The bounds of the garbage collector's percentage: the default, and what keeps collections
-	// rare in a heap that is large for another reason.
-	mostPercent  = 100
-	leastPercent = 25
+	// maxGrowthBytes is how far the heap may grow. A smaller value means more frequent
+	// collections, each of which costs time in proportion to the bytes in use. With Go's default,
+	// the heap of a node that knows 10,000 engines grows by 17 MB.
+	maxGrowthBytes = 8 << 20
+	// The bounds of the garbage collector's percentage: maxPercent is Go's default, and minPercent
+	// keeps collections rare in a heap that is large for another reason.
+	maxPercent = 100
+	minPercent = 25
 
-	lookEvery = 5 * time.Second
+	checkInterval = 5 * time.Second
 )
 
-// live names the metric of the bytes that the last collection found in use.
-const live = "/gc/heap/live:bytes"
+// liveBytesMetric is the runtime metric of the bytes in use as of the last collection.
+const liveBytesMetric = "/gc/heap/live:bytes"
 
-// Percent gives the garbage collector's percentage for a heap with so many bytes in use.
+// Percent returns the garbage collector's percentage for a heap with inUse bytes in use.
 func Percent(inUse uint64) int {
 	if inUse == 0 {
-		return mostPercent
+		return maxPercent
 	}
-	return int(min(max(growth*100/inUse, leastPercent), mostPercent)) //nolint:gosec // at most 100
+	return int(min(max(maxGrowthBytes*100/inUse, minPercent), maxPercent)) //nolint:gosec // at most 100
 }
 
-// Run keeps the percentage until ctx ends.
+// Run adjusts the garbage collector's percentage every checkInterval until ctx is done.
 func Run(ctx context.Context) error {
-	samples := []metrics.Sample{{Name: live}}
-	for current := mostPercent; wait.For(ctx, lookEvery); {
+	samples := []metrics.Sample{{Name: liveBytesMetric}}
+	for current := maxPercent; wait.For(ctx, checkInterval); {
 		metrics.Read(samples)
 		if next := Percent(samples[0].Value.Uint64()); next != current {
 			debug.SetGCPercent(next)
--- a/internal/heapgrowth/heapgrowth_test.go
+++ b/internal/heapgrowth/heapgrowth_test.go
@@ -2,8 +2,10 @@
 
 import "testing"
 
-// A node of a small fleet has 4 MB in use and keeps the default; one that knows 10,000 engines has
-// 17 MB in use, and took 34 MB and more of a machine that many others share.
+// TestHeapGrowsByAsMuchInLargeFleetsAsInSmallOnes guards against excessive heap growth in large
+// fleets. A node of a small fleet has 4 MB in use and keeps the default percentage. A node that
+// knows 10,000 engines has 17 MB in use, and with the default took 34 MB and more of a machine that
+// many others share.
 func TestHeapGrowsByAsMuchInLargeFleetsAsInSmallOnes(t *testing.T) {
 	for _, test := range []struct {
 		inUse   uint64
--- a/internal/seedtest/seedtest.go
+++ b/internal/seedtest/seedtest.go
@@ -1,7 +1,7 @@
-// Package seedtest has property tests draw the same values at every run, so
-// that a commit's verdict is the same on every machine. Test files of packages
-// that use rapid import it for this effect alone. Other values are drawn by
-// `make search`, whose flag goes before the seed set here.
+// Package seedtest makes property tests draw the same values in every run, so
+// that a commit passes or fails alike on every machine. Test files of packages
+// that use rapid import it for this side effect only. `make search` draws other
+// values: its flag overrides the seed set here.
 package seedtest
 
 import (
@@ -17,6 +17,6 @@
 
 func init() {
 	if err := flag.Set(flagName, seed); err != nil {
-		panic("seedtest: rapid has no flag " + flagName + ": " + err.Error())
+		panic("seedtest: cannot set rapid's flag " + flagName + ": " + err.Error())
 	}
 }
