--- a/internal/bench/soak/deadly.go
+++ b/internal/bench/soak/deadly.go
@@ -14,143 +14,145 @@
 	"ringstream.example/ringstream/platform/platformtest"
 )
 
-// deadlyBody is what the body of a request begins with that ends each engine which runs it.
-const deadlyBody = "deadly "
+// deadlyBodyPrefix begins the body of a deadly request, which ends each engine that runs it.
+const deadlyBodyPrefix = "deadly "
 
-// blockedCode stands in the answer to a request that reaches no engine since it ends them.
+// blockedCode is in the answer to a request that nodes block because it ends engines.
 const blockedCode = "request_ends_engines"
 
-// Bounds of a deadly request's runs: after the third engine ended under it and the time that
-// nodes take to agree, so many may still begin.
+// Bounds on the runs of a deadly request. Once deadlyBlockThreshold engines have ended under it and
+// the nodes have had deadlyAgreementTime to agree, at most maxLateDeadlyRuns more may begin.
 const (
-	deadlyShown  = 3
-	deadlyAgreed = 3 * time.Second
-	deadlyLate   = 3
+	deadlyBlockThreshold = 3
+	deadlyAgreementTime  = 3 * time.Second
+	maxLateDeadlyRuns    = 3
 )
 
-// deadlyRecords is what callers of deadly requests saw.
+// deadlyRecords holds what callers of deadly requests saw.
 type deadlyRecords struct {
-	replies map[string]deadlyReply // by id
+	replies map[string]deadlyReply // by request id
 	report  DeadlyReport
 }
 
 type deadlyReply struct {
 	platformtest.Reply
 	elapsed time.Duration
-	// inTouch: neither the node nor what all share was struck for the time of agreement
-	// before the request was sent.
-	inTouch bool
-	// leftAlone: it was in touch throughout, as of a resultRead.
-	leftAlone bool
+	// undisturbed is true if no fault affected the node or a shared resource for
+	// deadlyAgreementTime before the request was sent.
+	undisturbed bool
+	// undisturbedUntilReply has the meaning of undisturbed in resultRead.
+	undisturbedUntilReply bool
 }
 
-// DeadlyReport is what came of requests that end engines.
+// DeadlyReport summarizes the deadly requests.
 type DeadlyReport struct {
-	Bodies       int           `json:"bodies"`
-	Sent         int           `json:"sent"`
-	Blocked      int           `json:"blocked"`             // refused, without a run
-	SlowestBlock time.Duration `json:"slowest_ns"`          // of those refusals
-	SlowestAlone time.Duration `json:"slowest_in_touch_ns"` // of those by nodes in touch throughout
-	Runs         int           `json:"runs"`                // each ended an engine, or met one that had just ended
-	MostRuns     int           `json:"most_runs"`           // of one body
-	MostLateRuns int           `json:"most_late"`           // of one body, later than the bound
+	Bodies             int           `json:"bodies"`
+	Sent               int           `json:"sent"`
+	Blocked            int           `json:"blocked"`             // refused without a run
+	SlowestBlock       time.Duration `json:"slowest_ns"`          // longest time until such a refusal
+	SlowestUndisturbed time.Duration `json:"slowest_in_touch_ns"` // longest such time at nodes undisturbed throughout
+	Runs               int           `json:"runs"`                // each ended an engine, or reached one that had just ended
+	MostRuns           int           `json:"most_runs"`           // of one body
+	MostLateRuns       int           `json:"most_late"`           // of one body, after the nodes had time to agree
 }
 
 func newDeadlyRecords() deadlyRecords { return deadlyRecords{replies: make(map[string]deadlyReply)} }
 
-// engineEnded has another engine come for one that a request ended.
+// engineEnded replaces an engine that a request ended.
 func (s *soak) engineEnded(engine *engineLink) {
-	s.strike()
+	s.recordFault()
 	s.mu.Lock()
-	engine.taken = true
+	engine.reserved = true
 	s.mu.Unlock()
 	engine.link.close()
-	s.replacing.Go(func() {
-		time.Sleep(engineBackAfter)
-		_ = s.addEngine() // the next that ends brings one
+	s.replacements.Go(func() {
+		time.Sleep(engineReplacementDelay)
+		_ = s.addEngine() // after an error, the next engine that ends adds one
 		s.store.Unlist(engine.Engine)
-		s.strike()
+		s.recordFault()
 	})
 }
 
-// engineBackAfter is how long an engine that a request ended is missing.
-const engineBackAfter = 700 * time.Millisecond
+// engineReplacementDelay is the time between the end of an engine under a request and the start of
+// its replacement.
+const engineReplacementDelay = 700 * time.Millisecond
 
-// Repeats of one deadly request.
+// Bounds on the repetitions of one deadly request.
 const (
-	deadlyLeast = 8
-	deadlyMost  = 40
+	minDeadlyRepeats = 8
+	maxDeadlyRepeats = 40
 )
 
-// sendDeadly sends one deadly request again and again, under new ids, to any nodes, some of
-// them at the same time.
+// sendDeadly sends one deadly request repeatedly, under new ids, to random nodes, partly
+// concurrently.
 func (s *soak) sendDeadly(ctx context.Context, random *rand.Rand) {
-	body := deadlyBody + s.ids.next("b")
+	body := deadlyBodyPrefix + s.ids.next("b")
 	route := onlineRoutes[random.IntN(len(onlineRoutes))]
-	var calls concurrent
-	for range deadlyLeast + random.IntN(deadlyMost-deadlyLeast) {
+	var calls callGroup
+	for range minDeadlyRepeats + random.IntN(maxDeadlyRepeats-minDeadlyRepeats) {
 		node := s.nodes[random.IntN(len(s.nodes))]
 		id := s.ids.next("d")
 		calls.Go(func() {
 			before := node.condition()
 			begun := time.Now()
-			inTouch := s.inTouch(node, begun)
+			undisturbed := s.undisturbed(node, begun)
 			reply := platformtest.Send(context.WithoutCancel(ctx), platformtest.Call{
-				Node: node.link.address(), Method: http.MethodPost, Path: "/" + route + "/x", ID: id, Body: body, Deadline: onlineDeadline,
+				Node: node.callerLink.address(), Method: http.MethodPost, Path: "/" + route + "/x", ID: id, Body: body, Deadline: onlineDeadline,
 			})
 			elapsed := time.Since(begun)
-			leftAlone := s.inTouchThroughout(node, before, begun)
-			s.judge.answeredDeadly(id, deadlyReply{Reply: reply, elapsed: elapsed, inTouch: inTouch, leftAlone: leftAlone})
+			undisturbedUntilReply := s.undisturbedThroughout(node, before, begun)
+			s.judge.addDeadlyReply(id, deadlyReply{Reply: reply, elapsed: elapsed, undisturbed: undisturbed, undisturbedUntilReply: undisturbedUntilReply})
 		})
-		if !wait.For(ctx, between(random, 5*time.Millisecond, 600*time.Millisecond)) {
+		if !wait.For(ctx, randomDuration(random, 5*time.Millisecond, 600*time.Millisecond)) {
 			break
 		}
 	}
 	calls.Wait()
 }
 
-// inTouch says whether a node had the time to hear of what others know: a node that has just
-// started, was paused or cut off, or does not reach the store, is not bound by what they agreed.
-func (s *soak) inTouch(node *nodeProcess, now time.Time) bool {
-	return now.Sub(node.condition().disturbed) > deadlyAgreed && now.Sub(s.lastFault()) > deadlyAgreed
+// undisturbed reports whether a node had time to learn what other nodes know. A node that has just
+// started, was paused or cut off, or does not reach the store is not bound by what the others
+// agreed.
+func (s *soak) undisturbed(node *nodeProcess, now time.Time) bool {
+	return now.Sub(node.condition().disturbed) > deadlyAgreementTime && now.Sub(s.lastFault()) > deadlyAgreementTime
 }
 
-// handInDeadly hands in a job of one deadly item, and ends it after a while.
-func (s *soak) handInDeadly(ctx context.Context, random *rand.Rand) {
+// submitDeadlyJob submits a job of one deadly item, and ends the job after a while.
+func (s *soak) submitDeadlyJob(ctx context.Context, random *rand.Rand) {
 	job, item := s.ids.next("j"), s.ids.next("d")
-	body := deadlyBody + s.ids.next("b")
-	for range jobTries {
-		reply := platformtest.Send(ctx, platformtest.HandInOne(s.nodes[random.IntN(len(s.nodes))].link.address(), job, item, body))
+	body := deadlyBodyPrefix + s.ids.next("b")
+	for range maxJobTries {
+		reply := platformtest.Send(ctx, platformtest.HandInOne(s.nodes[random.IntN(len(s.nodes))].callerLink.address(), job, item, body))
 		if reply.Err == nil && reply.Status == http.StatusAccepted || !wait.For(ctx, jobPause) {
 			break
 		}
 	}
-	wait.For(ctx, between(random, time.Second, 8*time.Second))
-	for range jobTries {
-		reply := platformtest.Send(context.WithoutCancel(ctx), platformtest.End(s.nodes[random.IntN(len(s.nodes))].link.address(), job))
+	wait.For(ctx, randomDuration(random, time.Second, 8*time.Second))
+	for range maxJobTries {
+		reply := platformtest.Send(context.WithoutCancel(ctx), platformtest.End(s.nodes[random.IntN(len(s.nodes))].callerLink.address(), job))
 		if reply.Err == nil && reply.Status == http.StatusOK || !wait.For(ctx, jobPause) {
 			return
 		}
 	}
 }
 
-// answeredDeadly takes what the caller of a deadly request saw.
-func (j *judge) answeredDeadly(id string, reply deadlyReply) {
+// addDeadlyReply records the reply to a deadly request.
+func (j *judge) addDeadlyReply(id string, reply deadlyReply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.deadly.replies[id] = reply
 	if reply.Err == nil && reply.Status < http.StatusMultipleChoices {
-		j.violateLocked("whole_answer", id, fmt.Sprintf("a request that ends engines got %d", reply.Status))
+		j.recordViolationLocked("whole_answer", id, fmt.Sprintf("a request that ends engines got %d", reply.Status))
 	}
 }
 
-// concludeDeadly judges the runs of deadly requests, and gives the others.
+// concludeDeadly judges the runs of deadly requests, and returns the other runs.
 func (j *judge) concludeDeadly(runs []engineRun) []engineRun {
 	others := make([]engineRun, 0, len(runs))
 	byBody := make(map[string][]engineRun)
 	ran := make(map[string]bool)
 	for _, run := range runs {
-		if strings.HasPrefix(run.run.Body, deadlyBody) {
+		if strings.HasPrefix(run.run.Body, deadlyBodyPrefix) {
 			byBody[run.run.Body] = append(byBody[run.run.Body], run)
 			ran[run.run.ID] = true
 		} else {
@@ -162,15 +164,15 @@
 	report := &j.deadly.report
 	report.Sent, report.Bodies = len(j.deadly.replies), len(byBody)
 	for id, reply := range j.deadly.replies {
-		promised := reply.Err == nil && isPromise(reply.Status)
-		if promised && ran[id] {
-			j.violateLocked("not_run_is_true", id, fmt.Sprintf("a deadly request answered %d and ran", reply.Status))
+		claimedNotRun := reply.Err == nil && promisesNotRun(reply.Status)
+		if claimedNotRun && ran[id] {
+			j.recordViolationLocked("not_run_is_true", id, fmt.Sprintf("a deadly request answered %d and ran", reply.Status))
 		}
 		if reply.Err == nil && strings.Contains(reply.Body, blockedCode) && !ran[id] {
 			report.Blocked++
 			report.SlowestBlock = max(report.SlowestBlock, reply.elapsed)
-			if reply.leftAlone {
-				report.SlowestAlone = max(report.SlowestAlone, reply.elapsed)
+			if reply.undisturbedUntilReply {
+				report.SlowestUndisturbed = max(report.SlowestUndisturbed, reply.elapsed)
 			}
 		}
 	}
@@ -179,20 +181,21 @@
 		late := j.lateRuns(bodyRuns)
 		report.Runs += len(bodyRuns)
 		report.MostRuns, report.MostLateRuns = max(report.MostRuns, len(bodyRuns)), max(report.MostLateRuns, late)
-		if late > deadlyLate {
-			j.violateLocked("ends_few_engines", body, fmt.Sprintf("%d runs, %d of them later than %v after the third", len(bodyRuns), late, deadlyAgreed))
+		if late > maxLateDeadlyRuns {
+			j.recordViolationLocked("ends_few_engines", body, fmt.Sprintf("%d runs, %d of them later than %v after the third", len(bodyRuns), late, deadlyAgreementTime))
 		}
 	}
 	return others
 }
 
-// lateRuns counts the runs that nodes in touch begin after agreement, in order of time. A run of
-// an item counts, whoever sent it; the caller holds mu.
+// lateRuns counts the runs of one body, sorted by time, that undisturbed nodes began after the
+// nodes had time to agree. Runs of an item always count, because the sending node is not known. The
+// caller holds mu.
 func (j *judge) lateRuns(runs []engineRun) int {
 	late := 0
 	for i, run := range runs {
 		reply, online := j.deadly.replies[run.run.ID]
-		if i >= deadlyShown && (!online || reply.inTouch) && run.run.Began.Sub(runs[deadlyShown-1].run.Began) > deadlyAgreed {
+		if i >= deadlyBlockThreshold && (!online || reply.undisturbed) && run.run.Began.Sub(runs[deadlyBlockThreshold-1].run.Began) > deadlyAgreementTime {
 			late++
 		}
 	}
--- a/internal/bench/soak/judge_test.go
+++ b/internal/bench/soak/judge_test.go
@@ -10,7 +10,7 @@
 
 const testEvents = 3
 
-func whole(id string) platformtest.Reply {
+func wholeAnswer(id string) platformtest.Reply {
 	return platformtest.Reply{Status: 200, Body: platformtest.Stream(id, testEvents), Sent: true}
 }
 
@@ -19,11 +19,11 @@
 }
 
 func succeeded(j *judge, id string) platformtest.Result {
-	return platformtest.Result{ID: id, State: platformtest.StateSucceeded, Text: j.text(id)}
+	return platformtest.Result{ID: id, State: platformtest.StateSucceeded, Text: j.expectedText(id)}
 }
 
-// TestJudgeSeesEachPlantedBreach plants one breach a case, and asks that the
-// judge names just its promise; a clean case names none.
+// TestJudgeSeesEachPlantedBreach plants one violation per case, and checks that the judge reports
+// only the promise concerned. Cases without a violation must report none.
 func TestJudgeSeesEachPlantedBreach(t *testing.T) {
 	now := time.Now()
 	later := now.Add(10 * time.Second)
@@ -32,95 +32,95 @@
 		plant   func(j *judge) []engineRun
 	}{
 		"clean": {"", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeUnsafe, whole("r-1")})
-			j.answered(requestRecord{"r-2", routeOnce, platformtest.Reply{Status: 503, Sent: true}})
-			j.answered(requestRecord{"r-3", routeSafe, whole("r-3")})
-			job := &jobRecord{id: "j-1", items: []string{"i-1"}, taken: true}
-			j.add(job)
-			j.read(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{succeeded(j, "i-1")}})
+			j.addAnswer(requestRecord{"r-1", routeUnsafe, wholeAnswer("r-1")})
+			j.addAnswer(requestRecord{"r-2", routeOnce, platformtest.Reply{Status: 503, Sent: true}})
+			j.addAnswer(requestRecord{"r-3", routeSafe, wholeAnswer("r-3")})
+			job := &jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true}
+			j.addJob(job)
+			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{succeeded(j, "i-1")}})
 			return []engineRun{run("e1", "r-1", now), run("e1", "r-3", now), run("e2", "r-3", now), run("e1", "i-1", now), run("e2", "i-1", now)}
 		}},
 		"half an answer": {"whole_answer", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeSafe, platformtest.Reply{Status: 200, Body: "id: 1\n", Sent: true}})
+			j.addAnswer(requestRecord{"r-1", routeSafe, platformtest.Reply{Status: 200, Body: "id: 1\n", Sent: true}})
 			return nil
 		}},
 		"an answer that breaks off is none": {"", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeSafe, platformtest.Reply{Status: 200, Body: "id: 1\n", Sent: true, Err: errors.New("reset")}})
+			j.addAnswer(requestRecord{"r-1", routeSafe, platformtest.Reply{Status: 200, Body: "id: 1\n", Sent: true, Err: errors.New("reset")}})
 			return nil
 		}},
 		"another's answer": {"whole_answer", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeSafe, whole("r-2")})
+			j.addAnswer(requestRecord{"r-1", routeSafe, wholeAnswer("r-2")})
 			return nil
 		}},
 		"a proper request is denied": {"proper_requests_are_served", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeSafe, platformtest.Reply{Status: 404, Sent: true}})
+			j.addAnswer(requestRecord{"r-1", routeSafe, platformtest.Reply{Status: 404, Sent: true}})
 			return nil
 		}},
 		"twice": {"at_most_once", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeUnsafe, whole("r-1")})
+			j.addAnswer(requestRecord{"r-1", routeUnsafe, wholeAnswer("r-1")})
 			return []engineRun{run("e1", "r-1", now), run("e2", "r-1", now)}
 		}},
 		"refused and run": {"not_run_is_true", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeOnce, platformtest.Reply{Status: 503, Sent: true}})
+			j.addAnswer(requestRecord{"r-1", routeOnce, platformtest.Reply{Status: 503, Sent: true}})
 			return []engineRun{run("e1", "r-1", now)}
 		}},
 		"too many engines": {"attempts_are_bounded", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeSafe, whole("r-1")})
+			j.addAnswer(requestRecord{"r-1", routeSafe, wholeAnswer("r-1")})
 			return []engineRun{run("e1", "r-1", now), run("e2", "r-1", now), run("e3", "r-1", now)}
 		}},
 		"nobody asked": {"nothing_runs_unasked", func(*judge) []engineRun { return []engineRun{run("e1", "r-9", now)} }},
 		"a stop cut what an engine had": {"planned_stop_cuts_nothing", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeUnsafe, platformtest.Reply{Sent: true, Err: errors.New("reset")}})
-			j.cut("r-1", false, "")
+			j.addAnswer(requestRecord{"r-1", routeUnsafe, platformtest.Reply{Sent: true, Err: errors.New("reset")}})
+			j.addCut("r-1", false, "")
 			return []engineRun{run("e1", "r-1", now)}
 		}},
 		"a stop cut what nobody had read": {"", func(j *judge) []engineRun {
-			j.answered(requestRecord{"r-1", routeUnsafe, platformtest.Reply{Sent: true, Err: errors.New("reset")}})
-			j.cut("r-1", false, "")
+			j.addAnswer(requestRecord{"r-1", routeUnsafe, platformtest.Reply{Sent: true, Err: errors.New("reset")}})
+			j.addCut("r-1", false, "")
 			return nil
 		}},
-		"a stop cut late": {"planned_stop_cuts_nothing", func(j *judge) []engineRun { j.cut("r-1", true, ""); return nil }},
+		"a stop cut late": {"planned_stop_cuts_nothing", func(j *judge) []engineRun { j.addCut("r-1", true, ""); return nil }},
 		"a refused job runs": {"not_run_is_true", func(j *judge) []engineRun {
-			j.add(&jobRecord{id: "j-1", items: []string{"i-1"}, refused: true})
+			j.addJob(&jobRecord{id: "j-1", items: []string{"i-1"}, refused: true})
 			return []engineRun{run("e1", "i-1", now)}
 		}},
 		"an ended job runs on": {"ended_jobs_stop", func(j *judge) []engineRun {
-			j.add(&jobRecord{id: "j-1", items: []string{"i-1"}, taken: true, ended: now})
+			j.addJob(&jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true, ended: now})
 			return []engineRun{run("e1", "i-1", later)}
 		}},
 		"a taken job is forgotten": {"taken_jobs_are_done", func(j *judge) []engineRun {
-			j.add(&jobRecord{id: "j-1", items: []string{"i-1"}, taken: true})
+			j.addJob(&jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true})
 			return nil
 		}},
 		"a result changes": {"results_do_not_change", func(j *judge) []engineRun {
-			job := &jobRecord{id: "j-1", items: []string{"i-1"}, taken: true}
-			j.add(job)
-			j.read(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{{ID: "i-1", State: platformtest.StateGivenUp}}})
-			j.read(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{succeeded(j, "i-1")}})
+			job := &jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true}
+			j.addJob(job)
+			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{{ID: "i-1", State: platformtest.StateGivenUp}}})
+			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{succeeded(j, "i-1")}})
 			return nil
 		}},
 		"listed twice": {"listed_once", func(j *judge) []engineRun {
-			job := &jobRecord{id: "j-1", items: []string{"i-1", "i-2"}, taken: true, ended: now}
-			j.add(job)
-			j.read(job, 0, platformtest.Results{Total: 2, Results: []platformtest.Result{succeeded(j, "i-1"), succeeded(j, "i-1")}})
+			job := &jobRecord{id: "j-1", items: []string{"i-1", "i-2"}, accepted: true, ended: now}
+			j.addJob(job)
+			j.addResults(job, 0, platformtest.Results{Total: 2, Results: []platformtest.Result{succeeded(j, "i-1"), succeeded(j, "i-1")}})
 			return nil
 		}},
 		"another job's item": {"own_items_only", func(j *judge) []engineRun {
-			job := &jobRecord{id: "j-1", items: []string{"i-1"}, taken: true, ended: now}
-			j.add(job)
-			j.read(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{succeeded(j, "i-7")}})
+			job := &jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true, ended: now}
+			j.addJob(job)
+			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{succeeded(j, "i-7")}})
 			return nil
 		}},
 		"half a text": {"whole_text", func(j *judge) []engineRun {
-			job := &jobRecord{id: "j-1", items: []string{"i-1"}, taken: true}
-			j.add(job)
-			j.read(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{{ID: "i-1", State: platformtest.StateSucceeded, Text: "i-1:1"}}})
+			job := &jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true}
+			j.addJob(job)
+			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{{ID: "i-1", State: platformtest.StateSucceeded, Text: "i-1:1"}}})
 			return nil
 		}},
 		"a wrong total": {"total_is_right", func(j *judge) []engineRun {
-			job := &jobRecord{id: "j-1", items: []string{"i-1"}, taken: true}
-			j.add(job)
-			j.read(job, 0, platformtest.Results{Total: 2, Results: []platformtest.Result{succeeded(j, "i-1")}})
+			job := &jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true}
+			j.addJob(job)
+			j.addResults(job, 0, platformtest.Results{Total: 2, Results: []platformtest.Result{succeeded(j, "i-1")}})
 			return nil
 		}},
 	}
@@ -129,26 +129,26 @@
 			judge := newJudge(testEvents)
 			judge.conclude(test.plant(judge))
 			if test.promise == "" && len(judge.violations) > 0 {
-				t.Errorf("names %+v", judge.violations)
+				t.Errorf("violations %+v, want none", judge.violations)
 			}
 			if test.promise != "" && (len(judge.violations) != 1 || judge.violations[0].Promise != test.promise) {
-				t.Errorf("names %+v, want just %s", judge.violations, test.promise)
+				t.Errorf("violations %+v, want only one of %s", judge.violations, test.promise)
 			}
 		})
 	}
 }
 
-// One promise that was seen broken 199 times left no room for three of four others.
+// One promise with 199 violations left no space in the report for three of four other promises.
 func TestEachPromiseSeenBrokenIsKept(t *testing.T) {
 	judge := newJudge(testEvents)
-	for range 5 * mostViolations {
-		judge.violate("often", "n1", "")
+	for range 5 * maxViolationsKept {
+		judge.recordViolation("often", "n1", "")
 	}
-	judge.violate("once", "n1", "")
-	if last := judge.violations[len(judge.violations)-1]; last.Promise != "once" || len(judge.violations) != mostViolations+1 {
-		t.Errorf("%d kept, the last one is %+v", len(judge.violations), last)
+	judge.recordViolation("once", "n1", "")
+	if last := judge.violations[len(judge.violations)-1]; last.Promise != "once" || len(judge.violations) != maxViolationsKept+1 {
+		t.Errorf("%d violations kept, the last one is %+v", len(judge.violations), last)
 	}
-	if judge.broken["often"] != 5*mostViolations || judge.broken["once"] != 1 {
-		t.Errorf("counted %v", judge.broken)
+	if judge.violationCounts["often"] != 5*maxViolationsKept || judge.violationCounts["once"] != 1 {
+		t.Errorf("violation counts are %v", judge.violationCounts)
 	}
 }
--- a/internal/bench/soak/keyring.go
+++ b/internal/bench/soak/keyring.go
@@ -9,66 +9,66 @@
 	"ringstream.example/ringstream/platform/platformtest"
 )
 
-// The tenants of the soak: one whose keys come and go, and one whose limit is pressed.
+// The tenants of the soak: the keys of one are rotated, and the other sends more than its limit.
 const (
 	rotatedTenant = "rotated"
 	pressedTenant = "pressed"
 	pressedKey    = "key-of-pressed"
-	// wrongKey is a key that no configuration has ever held.
-	wrongKey = "key-of-nobody"
+	// unknownKey is a key that no configuration has ever contained.
+	unknownKey = "key-of-nobody"
 )
 
-// The pressed tenant's limit.
+// The limit of pressedTenant.
 const (
 	pressedPerSecond = 20
 	pressedBurst     = 10
 )
 
-// keysHeld is how many keys the rotated tenant has at a time.
-const keysHeld = 2
+// validKeys is the number of keys that rotatedTenant has at a time.
+const validKeys = 2
 
-// keyTimes is when a key came and went.
+// keyTimes records when a key was added and withdrawn.
 type keyTimes struct {
-	acknowledged time.Time // the configuration that first held it was written; zero: not yet
-	withdrawing  time.Time // before the one without it was written; zero: it is held
-	withdrawn    time.Time // that one was written; zero: not yet
+	acknowledged time.Time // when the first configuration with the key was written; zero: not yet
+	withdrawing  time.Time // before the configuration without the key was written; zero: the key is valid
+	withdrawn    time.Time // when the configuration without the key was written; zero: not yet
 }
 
-// keyring knows the keys of the rotated tenant, the withdrawn ones too.
+// keyring holds all keys of rotatedTenant, including the withdrawn ones.
 type keyring struct {
 	mu    sync.Mutex // guards the rest
-	keys  []string   // in the order in which they came
+	keys  []string   // oldest first
 	times map[string]keyTimes
 }
 
 func newKeyring() *keyring {
 	ring := &keyring{times: make(map[string]keyTimes)}
-	for range keysHeld {
+	for range validKeys {
 		ring.add()
 	}
 	return ring
 }
 
-// add adds a key; the caller holds mu, or has the ring alone.
+// add adds a key. The caller holds mu or has exclusive access to the keyring.
 func (k *keyring) add() {
 	key := fmt.Sprintf("key-%d", len(k.keys))
 	k.keys = append(k.keys, key)
 	k.times[key] = keyTimes{}
 }
 
-// rotate adds a key and withdraws the oldest one that is held, for the next configuration.
+// rotate adds a key and withdraws the oldest valid one, for the next configuration.
 func (k *keyring) rotate(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	oldest := k.keys[len(k.keys)-keysHeld]
+	oldest := k.keys[len(k.keys)-validKeys]
 	times := k.times[oldest]
 	times.withdrawing = now
 	k.times[oldest] = times
 	k.add()
 }
 
-// written notes that a configuration with the ring's keys was written.
-func (k *keyring) written(now time.Time) {
+// recordWritten records that a configuration with the current keys was written.
+func (k *keyring) recordWritten(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, key := range k.keys {
@@ -83,33 +83,35 @@
 	}
 }
 
-// tenants gives the tenants of the next configuration.
+// tenants returns the tenants of the next configuration.
 func (k *keyring) tenants() []platformtest.Tenant {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held := append([]string(nil), k.keys[len(k.keys)-keysHeld:]...)
+	held := append([]string(nil), k.keys[len(k.keys)-validKeys:]...)
 	return []platformtest.Tenant{
 		{Name: rotatedTenant, Keys: held},
 		{Name: pressedTenant, Keys: []string{pressedKey}, PerSecond: pressedPerSecond, Burst: pressedBurst},
 	}
 }
 
-// keysDrawn is how many of the newest keys callers use, those that are withdrawn among them.
-const keysDrawn = keysHeld + 3
+// drawnKeys is the number of the newest keys that callers use, including withdrawn ones.
+const drawnKeys = validKeys + 3
 
-// draw gives a key that a caller may use: most are held, some withdrawn, few nobody's.
+// draw returns a key for a caller: often a valid one, otherwise a withdrawn one or rarely
+// unknownKey.
 func (k *keyring) draw(random *rand.Rand) string {
-	const nobodys = 50 // one call of so many
+	const unknownKeyInterval = 50 // one call in this many uses unknownKey
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	back := 1 + random.IntN(keysDrawn)
-	if random.IntN(nobodys) == 0 || back > len(k.keys) {
-		return wrongKey
+	back := 1 + random.IntN(drawnKeys)
+	if random.IntN(unknownKeyInterval) == 0 || back > len(k.keys) {
+		return unknownKey
 	}
 	return k.keys[len(k.keys)-back]
 }
 
-// timesOf gives when a key came and went; false: no configuration ever held it.
+// timesOf returns when a key was added and withdrawn. It returns false if the key was never in the
+// keyring.
 func (k *keyring) timesOf(key string) (keyTimes, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/bench/soak/process.go
+++ b/internal/bench/soak/process.go
@@ -18,62 +18,62 @@
 	"ringstream.example/ringstream/platform/platformtest"
 )
 
-// nodeState says what the soak has done to a node's process.
+// nodeState is the state of a node's process as caused by the soak.
 type nodeState uint8
 
 const (
 	nodeRunning  nodeState = iota
 	nodeStopping           // SIGTERM was sent
 	nodePaused             // SIGSTOP was sent
-	nodeDead               // SIGKILL was sent, or it has ended
+	nodeDead               // SIGKILL was sent, or the process has ended
 )
 
-// nodeProcess is one node as a process of its own, behind links of its own.
+// nodeProcess is one node that runs as a separate process behind its own proxies.
 type nodeProcess struct {
-	name     string
-	zone     string
-	folder   string
-	front    string // where the process listens for callers
-	ready    string
-	peer     string
-	link     *proxy // callers to the node
-	door     *platformtest.Door
-	store    *proxy // the node to its door of the store
-	judge    *judge
-	settings string
-
-	// control is held by the fault that signals the process.
+	name          string
+	zone          string
+	folder        string
+	callerAddress string // where the process listens for callers
+	readyAddress  string
+	peerAddress   string
+	callerLink    *proxy // from callers to the node
+	door          *platformtest.Door
+	storeLink     *proxy // from the node to its door of the store
+	judge         *judge
+	settings      string
+
+	// control is held by the fault that sends signals to the process.
 	control sync.Mutex
-	binary  string // of the next life; guarded by control once the node has started
-
-	mu        sync.Mutex // guards the rest
-	command   *exec.Cmd
-	ended     chan struct{} // closed when the process has ended
-	state     nodeState
-	life      int       // rises with each start
-	started   time.Time // of this life
-	disturbed time.Time // when a fault last struck it, or its links
-	lasting   int       // faults of its links that are not over
-	stopping  time.Time // when SIGTERM was last sent
-	pausedAt  time.Time // when SIGSTOP was last sent
-	pausedFor time.Duration
+	binary  string // binary of the next start; guarded by control once the node has started
+
+	mu           sync.Mutex // guards the rest
+	command      *exec.Cmd
+	ended        chan struct{} // closed when the process has ended
+	state        nodeState
+	incarnation  int       // increases with each start
+	started      time.Time // when this incarnation started
+	disturbed    time.Time // when a fault last affected the process or its links
+	activeFaults int       // number of active faults of its links
+	stopSentAt   time.Time
+	pausedAt     time.Time
+	pausedFor    time.Duration
 }
 
-// ownHost gives this process an address of the loopback range, so that soaks beside each
-// other do not take a port that one has found free for a node.
-func ownHost() string {
+// loopbackHost returns a loopback address derived from the process id, so that concurrent soaks do
+// not take ports that another soak found free for its nodes.
+func loopbackHost() string {
 	const hosts = 250
 	number := os.Getpid()
 	return fmt.Sprintf("127.7.%d.%d", 1+number/hosts%hosts, 1+number%hosts)
 }
 
-// addresses gives addresses that are free, each once: the system may name one again that was
-// given to a process which does not listen there yet.
-type addresses struct{ given map[string]bool }
+// addresses returns free addresses, each only once. The system may return an address again that was
+// given to a process that does not listen on it yet.
+type addresses struct{ used map[string]bool }
 
 func (a *addresses) free() (string, error) {
 	for {
-		listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", net.JoinHostPort(ownHost(), "0"))
+		listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", net.JoinHostPort(loopbackHost(), "0"))
 		if err != nil {
 			return "", err
 		}
@@ -81,14 +81,14 @@
 		if err := listener.Close(); err != nil {
 			return "", err
 		}
-		if !a.given[address] {
-			a.given[address] = true
+		if !a.used[address] {
+			a.used[address] = true
 			return address, nil
 		}
 	}
 }
 
-const settingsText = `node:
+const settingsTemplate = `node:
   id: %q
   zone: %q
   region: "r1"
@@ -111,13 +111,13 @@
     slack_requests: %v
 `
 
-// newNode writes a node's settings; start starts it.
+// newNode creates a node and writes its settings. It does not start the process.
 func (s *soak) newNode(number int, seed string) (*nodeProcess, error) {
 	node := &nodeProcess{
 		name: fmt.Sprintf("n%d", number), zone: fmt.Sprintf("z%d", number%2), binary: cmp.Or(s.options.Former, s.options.Binary),
 		folder: s.options.Folder, judge: s.judge, state: nodeDead,
 	}
-	for _, address := range []*string{&node.front, &node.ready, &node.peer} {
+	for _, address := range []*string{&node.callerAddress, &node.readyAddress, &node.peerAddress} {
 		var err error
 		if *address, err = s.addresses.free(); err != nil {
 			return nil, err
@@ -125,28 +125,28 @@
 	}
 	node.door = s.store.Open()
 	var err error
-	if node.link, err = newProxy(node.front); err != nil {
+	if node.callerLink, err = newProxy(node.callerAddress); err != nil {
 		return nil, err
 	}
-	if node.store, err = newProxy(node.door.Address()); err != nil {
+	if node.storeLink, err = newProxy(node.door.Address()); err != nil {
 		return nil, err
 	}
 	if seed == "" {
-		seed = node.peer
+		seed = node.peerAddress
 	}
 	node.settings = filepath.Join(node.folder, node.name+".yaml")
-	text := fmt.Sprintf(settingsText, node.name, node.zone, node.front, node.ready, node.peer, node.store.address(), seed,
+	text := fmt.Sprintf(settingsTemplate, node.name, node.zone, node.callerAddress, node.readyAddress, node.peerAddress, node.storeLink.address(), seed,
 		confirmWithin, limitWindow, limitOverrun, limitSlack)
 	return node, os.WriteFile(node.settings, []byte(text), 0o600)
 }
 
 func (n *nodeProcess) close() {
-	n.link.close()
-	n.store.close()
+	n.callerLink.close()
+	n.storeLink.close()
 	n.door.Close()
 }
 
-// start starts the process anew; its log goes on in the same file.
+// start starts the process again and appends to the same log file.
 func (n *nodeProcess) start() error {
 	log, err := os.OpenFile(n.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -163,28 +163,29 @@
 	n.mu.Lock()
 	n.command, n.ended, n.state, n.disturbed = command, ended, nodeRunning, time.Now()
 	n.started, n.pausedFor = n.disturbed, 0
-	n.life++
-	life := n.life
+	n.incarnation++
+	incarnation := n.incarnation
 	n.mu.Unlock()
-	go n.watch(command, ended, life)
+	go n.watch(command, ended, incarnation)
 	return nil
 }
 
-// startingTime is how long a process may run until it hears signals; before
-// that it ends at once, and has served nobody.
-const startingTime = 500 * time.Millisecond
+// signalSetupTime is how long a process may run before it handles signals. A signal before that
+// ends the process at once, when it has not served any request.
+const signalSetupTime = 500 * time.Millisecond
 
-// watch notes the end of a process; one that nobody asked for breaks a promise.
-func (n *nodeProcess) watch(command *exec.Cmd, ended chan struct{}, life int) {
+// watch waits for the end of a process, and records a violation if the soak did not cause the end
+// or a planned stop failed.
+func (n *nodeProcess) watch(command *exec.Cmd, ended chan struct{}, incarnation int) {
 	err := command.Wait()
 	n.mu.Lock()
 	if n.state == nodeRunning || n.state == nodePaused {
-		n.judge.violate("ended_by_itself", n.name, fmt.Sprintf("life %d: %v", life, err))
+		n.judge.recordViolation("ended_by_itself", n.name, fmt.Sprintf("life %d: %v", incarnation, err))
 	}
 	if n.state == nodeStopping {
 		var exit *exec.ExitError
-		if errors.As(err, &exit) && n.ranUntilStop() > startingTime {
-			n.judge.violate("planned_stop_failed", n.name, exit.String())
+		if errors.As(err, &exit) && n.runTimeBeforeStop() > signalSetupTime {
+			n.judge.recordViolation("planned_stop_failed", n.name, exit.String())
 		}
 	}
 	n.state, n.disturbed = nodeDead, time.Now()
@@ -192,15 +193,15 @@
 	close(ended)
 }
 
-// ranUntilStop is how long the process could run before it was told to stop: not while it was paused,
-// as some were at once after their start, and then ended by SIGTERM without a line of their log. The
-// caller holds mu.
-func (n *nodeProcess) ranUntilStop() time.Duration {
-	return n.stopping.Sub(n.started) - n.pausedFor
+// runTimeBeforeStop returns how long the process could run before SIGTERM was sent. Pauses do not
+// count: some processes were paused right after their start, and SIGTERM then ended them before
+// they logged a line. The caller holds mu.
+func (n *nodeProcess) runTimeBeforeStop() time.Duration {
+	return n.stopSentAt.Sub(n.started) - n.pausedFor
 }
 
-// notePause counts the time in which the process is paused. The caller holds mu.
-func (n *nodeProcess) notePause(signal syscall.Signal) {
+// recordPause adds up the time for which the process is paused. The caller holds mu.
+func (n *nodeProcess) recordPause(signal syscall.Signal) {
 	switch signal {
 	case syscall.SIGSTOP:
 		n.pausedAt = time.Now()
@@ -209,7 +210,7 @@
 	}
 }
 
-// signal sends a signal to the process that the soak started.
+// signal sends a signal to the process, unless it has ended.
 func (n *nodeProcess) signal(signal syscall.Signal, state nodeState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -217,16 +218,16 @@
 		return
 	}
 	n.state = state
-	n.notePause(signal)
+	n.recordPause(signal)
 	if signal == syscall.SIGTERM {
-		n.stopping = time.Now()
+		n.stopSentAt = time.Now()
 	} else {
 		n.disturbed = time.Now()
 	}
 	_ = n.command.Process.Signal(signal)
 }
 
-// kill ends the process and waits for that.
+// kill ends the process and waits for its end.
 func (n *nodeProcess) kill() {
 	n.signal(syscall.SIGKILL, nodeDead)
 	n.mu.Lock()
@@ -237,11 +238,11 @@
 	}
 }
 
-// stopGrace is how long a planned stop may take.
-const stopGrace = 8 * time.Second
+// stopTimeout is how long a planned stop may take.
+const stopTimeout = 8 * time.Second
 
-// stop ends the process as planned; false when the grace ran out, after which
-// it is killed.
+// stop performs a planned stop. It returns false if the process did not end within stopTimeout and
+// was killed.
 func (n *nodeProcess) stop() bool {
 	n.signal(syscall.SIGTERM, nodeStopping)
 	n.mu.Lock()
@@ -250,47 +251,47 @@
 	select {
 	case <-ended:
 		return true
-	case <-time.After(stopGrace):
-		n.judge.violate("outlived_its_grace", n.name, stopGrace.String())
+	case <-time.After(stopTimeout):
+		n.judge.recordViolation("outlived_its_grace", n.name, stopTimeout.String())
 		n.kill()
 		return false
 	}
 }
 
-// beginFault notes a fault of the node's links that lasts until endFault.
-func (n *nodeProcess) beginFault() { n.disturb(1) }
+// beginFault records a fault of the node's links that lasts until endFault.
+func (n *nodeProcess) beginFault() { n.recordDisturbance(1) }
 
-func (n *nodeProcess) endFault() { n.disturb(-1) }
+func (n *nodeProcess) endFault() { n.recordDisturbance(-1) }
 
-func (n *nodeProcess) disturb(lasting int) {
+func (n *nodeProcess) recordDisturbance(change int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.disturbed = time.Now()
-	n.lasting += lasting
+	n.activeFaults += change
 }
 
-// condition is what the judge needs to know of a node at a moment.
+// condition is a snapshot of what the judge needs to know of a node.
 type condition struct {
-	life      int
-	state     nodeState
-	disturbed time.Time // now, while a fault of its links lasts
-	stopping  time.Time
+	incarnation int
+	state       nodeState
+	disturbed   time.Time // the current time while a fault of its links is active
+	stopSentAt  time.Time
 }
 
 func (n *nodeProcess) condition() condition {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return condition{life: n.life, state: n.state, disturbed: orNow(n.disturbed, n.lasting), stopping: n.stopping}
+	return condition{incarnation: n.incarnation, state: n.state, disturbed: nowIfActive(n.disturbed, n.activeFaults), stopSentAt: n.stopSentAt}
 }
 
-// runningWithin is how long a process may take to answer at all.
-const runningWithin = 10 * time.Second
+// responseTimeout is how long a started process may take until it answers readiness requests.
+const responseTimeout = 10 * time.Second
 
-// awaitRunning waits until the process answers whether it is ready, with whatever word.
-func (n *nodeProcess) awaitRunning(ctx context.Context) bool {
-	until := time.Now().Add(runningWithin)
-	for time.Now().Before(until) {
-		if n.readiness() != 0 {
+// awaitResponding waits until the process answers a readiness request with any status.
+func (n *nodeProcess) awaitResponding(ctx context.Context) bool {
+	deadline := time.Now().Add(responseTimeout)
+	for time.Now().Before(deadline) {
+		if n.readinessStatus() != 0 {
 			return true
 		}
 		if !wait.For(ctx, readPause) {
@@ -300,24 +301,24 @@
 	return false
 }
 
-// isReady asks the node whether it takes callers.
-func (n *nodeProcess) isReady() bool { return n.readiness() == http.StatusOK }
+// isReady reports whether the node accepts requests.
+func (n *nodeProcess) isReady() bool { return n.readinessStatus() == http.StatusOK }
 
-// readiness gives the status of the node's answer; 0: none came.
-func (n *nodeProcess) readiness() int {
+// readinessStatus returns the status of the readiness response, or 0 if there was none.
+func (n *nodeProcess) readinessStatus() int {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	question, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.ready+"/readyz", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.readyAddress+"/readyz", nil)
 	if err != nil {
 		return 0
 	}
-	answer, err := http.DefaultClient.Do(question)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode
+	_ = response.Body.Close()
+	return response.StatusCode
 }
 
-// logFile is where all lives of the process write their log.
+// logFile returns the path of the log, which all incarnations of the process share.
 func (n *nodeProcess) logFile() string { return filepath.Join(n.folder, n.name+".log") }
--- a/internal/bench/soak/process_test.go
+++ b/internal/bench/soak/process_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Three of 71 processes did not start: "listen tcp: address already in use". Two addresses that
-// were found free were the same, since nobody listened at the first one yet.
+// Three of 71 processes failed to start with "listen tcp: address already in use". The same free
+// address was found twice, because nothing listened on it yet.
 func TestFreeAddressesAreGivenOnce(t *testing.T) {
 	const asked = 2000
-	free := addresses{given: make(map[string]bool)}
+	free := addresses{used: make(map[string]bool)}
 	seen := make(map[string]bool)
 	for range asked {
 		address, err := free.free()
@@ -19,25 +19,26 @@
 			t.Fatal(err)
 		}
 		if seen[address] {
-			t.Fatalf("%s was given twice", address)
+			t.Fatalf("address %s was returned twice", address)
 		}
 		seen[address] = true
 	}
 }
 
-// A process that was paused at once after its start, for 3 s, and then told to stop ended by SIGTERM,
-// since it had not run yet: five of 21 soaks that replace builds named it a failed stop.
-func TestTimeOfAPauseIsNoneInWhichAProcessStarts(t *testing.T) {
+// A process that was paused for 3 s right after its start and then sent SIGTERM ended by the
+// signal, because it had not run yet. Five of 21 soaks that replace builds reported this as a
+// failed planned stop.
+func TestRunTimeBeforeStopExcludesPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := &nodeProcess{started: time.Now()}
 		time.Sleep(time.Millisecond)
-		node.notePause(syscall.SIGSTOP)
+		node.recordPause(syscall.SIGSTOP)
 		time.Sleep(3 * time.Second)
-		node.notePause(syscall.SIGCONT)
+		node.recordPause(syscall.SIGCONT)
 		time.Sleep(time.Millisecond)
-		node.stopping = time.Now()
-		if ran := node.ranUntilStop(); ran != 2*time.Millisecond {
-			t.Errorf("it ran for %v", ran)
+		node.stopSentAt = time.Now()
+		if ran := node.runTimeBeforeStop(); ran != 2*time.Millisecond {
+			t.Errorf("run time before the stop: %v, want 2ms", ran)
 		}
 	})
 }
--- a/internal/bench/soak/proxy.go
+++ b/internal/bench/soak/proxy.go
@@ -12,13 +12,13 @@
 type linkFault uint8
 
 const (
-	linkWell     linkFault = iota
-	linkDelayed            // each piece waits
-	linkReset              // connections are reset, new ones too
-	linkCutOut             // nothing reaches the server; it is held up
-	linkCutIn              // nothing reaches the caller; it is held up
-	linkSilenced           // neither
-	linkHeld               // what the server says comes late, in order
+	linkHealthy  linkFault = iota
+	linkDelayed            // each chunk is delayed
+	linkReset              // open and new connections are reset
+	linkCutOut             // bytes to the server are held back
+	linkCutIn              // bytes to the caller are held back
+	linkSilenced           // bytes in both directions are held back
+	linkHeld               // bytes to the caller are delayed, in order
 )
 
 var linkNames = [...]string{"well", "delayed", "reset", "cut_out", "cut_in", "silenced", "held"}
@@ -27,14 +27,14 @@
 
 const linkDelay = 60 * time.Millisecond
 
-// proxy is a loopback link to a server.
+// proxy is a loopback proxy of a server.
 type proxy struct {
 	listener net.Listener
 	target   string
 
 	mu      sync.Mutex // guards the rest
 	fault   linkFault
-	held    time.Duration // how late linkHeld has a piece come
+	delay   time.Duration // of each chunk under linkHeld
 	changed chan struct{} // closed at the next change of fault
 	open    map[net.Conn]bool
 }
@@ -56,16 +56,16 @@
 	p.set(linkReset)
 }
 
-// set changes the fault; linkReset ends the open connections.
+// set changes the fault. linkReset also resets the open connections.
 func (p *proxy) set(fault linkFault) { p.change(fault, 0) }
 
-// hold has what the server says come late, until the fault changes.
-func (p *proxy) hold(late time.Duration) { p.change(linkHeld, late) }
+// delayAnswers delays what the server sends until the fault changes.
+func (p *proxy) delayAnswers(delay time.Duration) { p.change(linkHeld, delay) }
 
-func (p *proxy) change(fault linkFault, held time.Duration) {
+func (p *proxy) change(fault linkFault, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fault, p.held = fault, held
+	p.fault, p.delay = fault, delay
 	close(p.changed)
 	p.changed = make(chan struct{})
 	if fault != linkReset {
@@ -86,7 +86,7 @@
 func (p *proxy) state() (linkFault, time.Duration, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fault, p.held, p.changed
+	return p.fault, p.delay, p.changed
 }
 
 func (p *proxy) accept() {
@@ -95,31 +95,31 @@
 		if err != nil {
 			return
 		}
-		go p.join(caller)
+		go p.serve(caller)
 	}
 }
 
-func (p *proxy) join(caller net.Conn) {
+func (p *proxy) serve(caller net.Conn) {
 	if fault, _, _ := p.state(); fault == linkReset {
 		reset(caller)
 		return
 	}
 	server, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", p.target)
 	if err != nil {
-		reset(caller) // a dead port resets
+		reset(caller) // as a port does on which nothing listens
 		return
 	}
-	p.note(caller, server, true)
-	defer p.note(caller, server, false)
+	p.track(caller, server, true)
+	defer p.track(caller, server, false)
 	var both sync.WaitGroup
-	both.Go(func() { p.carry(server, caller, linkCutOut) })
-	both.Go(func() { p.carry(caller, server, linkCutIn) })
+	both.Go(func() { p.forward(server, caller, linkCutOut) })
+	both.Go(func() { p.forward(caller, server, linkCutIn) })
 	both.Wait()
 	_ = caller.Close()
 	_ = server.Close()
 }
 
-func (p *proxy) note(caller, server net.Conn, open bool) {
+func (p *proxy) track(caller, server net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, connection := range []net.Conn{caller, server} {
@@ -132,26 +132,27 @@
 }
 
 const (
-	pieceBytes = 16 << 10
-	// piecesAhead bounds what is read while the bytes before it are held up.
-	piecesAhead = 64
+	chunkBytes = 16 << 10
+	// maxBufferedChunks bounds the chunks that are read while earlier bytes are held back.
+	maxBufferedChunks = 64
 )
 
-// piece is what one read gave.
-type piece struct {
+// chunk is the result of one read.
+type chunk struct {
 	bytes []byte
 	read  time.Time
-	err   error // set on the last one
+	err   error // set in the last chunk
 }
 
-// carry takes bytes one way, and the end with them; a reset crosses as one.
-func (p *proxy) carry(to, from net.Conn, cut linkFault) {
-	pieces := make(chan piece, piecesAhead)
+// forward copies bytes in one direction, including the end of the stream. A reset is forwarded as a
+// reset.
+func (p *proxy) forward(to, from net.Conn, cut linkFault) {
+	chunks := make(chan chunk, maxBufferedChunks)
 	done := make(chan struct{})
 	defer close(done)
-	go readPieces(from, pieces, done)
-	for next := range pieces {
-		if !p.wait(cut, next.read) {
+	go readChunks(from, chunks, done)
+	for next := range chunks {
+		if !p.awaitPassage(cut, next.read) {
 			reset(to)
 			return
 		}
@@ -162,20 +163,20 @@
 			}
 		}
 		if next.err != nil {
-			endWrite(to, next.err)
+			closeWrite(to, next.err)
 			return
 		}
 	}
 }
 
-// readPieces reads to the end, also while what was read before is held up.
-func readPieces(from net.Conn, pieces chan<- piece, done <-chan struct{}) {
-	defer close(pieces)
-	buffer := make([]byte, pieceBytes)
+// readChunks reads until the end of the stream, also while earlier chunks are held back.
+func readChunks(from net.Conn, chunks chan<- chunk, done <-chan struct{}) {
+	defer close(chunks)
+	buffer := make([]byte, chunkBytes)
 	for {
 		count, err := from.Read(buffer)
 		select {
-		case pieces <- piece{bytes: slices.Clone(buffer[:count]), read: time.Now(), err: err}:
+		case chunks <- chunk{bytes: slices.Clone(buffer[:count]), read: time.Now(), err: err}:
 		case <-done:
 			return
 		}
@@ -185,7 +186,7 @@
 	}
 }
 
-func endWrite(to net.Conn, err error) {
+func closeWrite(to net.Conn, err error) {
 	if link, ok := to.(*net.TCPConn); ok && err.Error() == "EOF" {
 		_ = link.CloseWrite()
 		return
@@ -193,10 +194,10 @@
 	reset(to)
 }
 
-// wait holds bytes up as the fault says; false when the link was reset.
-func (p *proxy) wait(cut linkFault, read time.Time) bool {
+// awaitPassage holds a chunk back as the fault requires. It returns false if the link was reset.
+func (p *proxy) awaitPassage(cut linkFault, read time.Time) bool {
 	for {
-		fault, held, changed := p.state()
+		fault, delay, changed := p.state()
 		switch fault {
 		case linkReset:
 			return false
@@ -206,7 +207,7 @@
 		case cut, linkSilenced:
 			<-changed
 		case linkHeld:
-			if cut != linkCutIn || awaitChange(changed, held-time.Since(read)) {
+			if cut != linkCutIn || awaitChange(changed, delay-time.Since(read)) {
 				return true
 			}
 		default:
@@ -215,7 +216,7 @@
 	}
 }
 
-// awaitChange waits for a change of the fault; true when the time was up before one.
+// awaitChange waits for a change of the fault. It returns true if the limit passed first.
 func awaitChange(changed <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
--- a/internal/bench/soak/proxy_test.go
+++ b/internal/bench/soak/proxy_test.go
@@ -46,7 +46,7 @@
 	return link, connection, bufio.NewReader(connection)
 }
 
-func say(t *testing.T, connection net.Conn, lines *bufio.Reader, want string) {
+func expectEcho(t *testing.T, connection net.Conn, lines *bufio.Reader, want string) {
 	t.Helper()
 	if _, err := io.WriteString(connection, want); err != nil {
 		t.Fatal(err)
@@ -56,31 +56,31 @@
 	}
 }
 
-// TestLinkHoldsUpAndGoesOn cuts a link each way, and has the bytes come when
-// it is well again.
+// TestLinkHoldsUpAndGoesOn cuts a link in each way, and checks that the held bytes arrive when the
+// link is healthy again.
 func TestLinkHoldsUpAndGoesOn(t *testing.T) {
 	for _, fault := range []linkFault{linkDelayed, linkCutOut, linkCutIn, linkSilenced} {
 		t.Run(fault.String(), func(t *testing.T) {
 			link, connection, lines := dialThrough(t)
-			say(t, connection, lines, "before\n")
+			expectEcho(t, connection, lines, "before\n")
 			link.set(fault)
 			if _, err := io.WriteString(connection, "during\n"); err != nil {
 				t.Fatal(err)
 			}
-			link.set(linkWell)
+			link.set(linkHealthy)
 			if got, err := lines.ReadString('\n'); err != nil || got != "during\n" {
 				t.Fatalf("got %q, %v", got, err)
 			}
-			say(t, connection, lines, "after\n")
+			expectEcho(t, connection, lines, "after\n")
 		})
 	}
 }
 
-// TestResetEndsConnectionsAndRefusesNewOnes also asks that a well link serves
-// anew.
+// TestResetEndsConnectionsAndRefusesNewOnes also checks that the link serves new connections after
+// the reset.
 func TestResetEndsConnectionsAndRefusesNewOnes(t *testing.T) {
 	link, connection, lines := dialThrough(t)
-	say(t, connection, lines, "before\n")
+	expectEcho(t, connection, lines, "before\n")
 	link.set(linkReset)
 	if _, err := lines.ReadString('\n'); err == nil {
 		t.Error("the connection outlived the reset")
@@ -92,32 +92,33 @@
 		}
 		_ = second.Close()
 	}
-	link.set(linkWell)
+	link.set(linkHealthy)
 	third, err := net.Dial("tcp", link.address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer third.Close()
-	say(t, third, bufio.NewReader(third), "anew\n")
+	expectEcho(t, third, bufio.NewReader(third), "anew\n")
 }
 
-// TestHeldAnswersComeLateAndInOrder has the server's words held, while those to it go through.
+// TestHeldAnswersComeLateAndInOrder delays what the server sends, while bytes to the server pass at
+// once.
 func TestHeldAnswersComeLateAndInOrder(t *testing.T) {
 	link, connection, lines := dialThrough(t)
-	say(t, connection, lines, "before\n")
-	const late = 100 * time.Millisecond
-	link.hold(late)
+	expectEcho(t, connection, lines, "before\n")
+	const delay = 100 * time.Millisecond
+	link.delayAnswers(delay)
 	begun := time.Now()
-	say(t, connection, lines, "first\n")
-	if elapsed := time.Since(begun); elapsed < late {
-		t.Errorf("an answer came after %v", elapsed)
+	expectEcho(t, connection, lines, "first\n")
+	if elapsed := time.Since(begun); elapsed < delay {
+		t.Errorf("an answer arrived after %v, before the delay", elapsed)
 	}
-	link.hold(time.Hour)
-	heard := make(chan string)
+	link.delayAnswers(time.Hour)
+	received := make(chan string)
 	go func() {
 		for range 2 {
-			line, _ := lines.ReadString('\n') // the end is seen by what is missing
-			heard <- line
+			line, _ := lines.ReadString('\n') // a failed read shows as a missing line
+			received <- line
 		}
 	}()
 	for _, line := range []string{"second\n", "third\n"} {
@@ -126,12 +127,12 @@
 		}
 	}
 	select {
-	case line := <-heard:
-		t.Fatalf("%q came while it was held", line)
-	case <-time.After(late):
+	case line := <-received:
+		t.Fatalf("%q arrived while answers were held", line)
+	case <-time.After(delay):
 	}
-	link.set(linkWell)
-	if first, second := <-heard, <-heard; first != "second\n" || second != "third\n" {
+	link.set(linkHealthy)
+	if first, second := <-received, <-received; first != "second\n" || second != "third\n" {
 		t.Errorf("got %q, %q", first, second)
 	}
 }
--- a/internal/bench/soak/roll.go
+++ b/internal/bench/soak/roll.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// rollBuilds replaces the build that the nodes began with by the other one: at half of them,
-// back again, and at all. Nodes of both run beside each other meanwhile, and are struck by all
-// other faults.
+// rollBuilds replaces the former build by the current one on half of the nodes, reverts them, and
+// then upgrades all nodes. Nodes of both builds run side by side in the meantime, while all other
+// faults are injected.
 func (s *soak) rollBuilds(ctx context.Context) {
 	if s.options.Former == "" {
 		return
@@ -15,17 +15,18 @@
 	s.rollTo(ctx, s.nodes, s.options.Binary)
 }
 
-// rollTo stops nodes as planned, one after the other, and starts each with another build.
+// rollTo performs planned stops of nodes, one after the other, and starts each node with the given
+// build.
 func (s *soak) rollTo(ctx context.Context, nodes []*nodeProcess, binary string) {
 	for _, node := range nodes {
 		if ctx.Err() != nil {
 			return
 		}
-		s.note("build_replaced")
+		s.recordKind("build_replaced")
 		node.control.Lock()
 		node.binary = binary
 		node.stop()
-		s.again(ctx, node)
+		s.restartNode(ctx, node)
 		node.control.Unlock()
 	}
 }
--- a/internal/bench/soak/series.go
+++ b/internal/bench/soak/series.go
@@ -10,95 +10,98 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// concurrent is calls that run beside each other.
-type concurrent = sync.WaitGroup
+// callGroup waits for concurrent calls.
+type callGroup = sync.WaitGroup
 
-// seriesKinds lists the troubles that come several in a row, beside those of faultKinds:
-// their draws are their own, so that a seed's single faults stay as they were.
+// seriesKinds lists the faults that come several in a row, in addition to those of faultKinds. They
+// are drawn from their own stream, so that the single faults of a seed stay the same.
 func seriesKinds() []fault {
 	return []fault{
 		{"deadly_request", 3, (*soak).sendDeadly},
-		{"deadly_item", 1, (*soak).handInDeadly},
-		{"pauses_in_series", 2, (*soak).pauseInSeries},
-		{"hang_ups_in_series", 2, (*soak).hangUpInSeries},
-		{"stops_in_series", 2, (*soak).stopInSeries},
-		{"configurations_in_series", 2, (*soak).configureInSeries},
+		{"deadly_item", 1, (*soak).submitDeadlyJob},
+		{"pauses_in_series", 2, (*soak).pauseNodeRepeatedly},
+		{"hang_ups_in_series", 2, (*soak).hangUpRepeatedly},
+		{"stops_in_series", 2, (*soak).stopOverlapping},
+		{"configurations_in_series", 2, (*soak).configureRapidly},
 	}
 }
 
-// seriesStream tells the draws of the series from those of single faults.
+// seriesStream is the random stream of the series, which is separate from that of single faults.
 const seriesStream = 1 << 40
 
-// strikeInSeries strikes until the time is up, and returns when all is over.
-func (s *soak) strikeInSeries(ctx context.Context) {
-	s.strikeBeside(ctx, seriesStream, seriesKinds(), 300*time.Millisecond, 2*time.Second)
+// injectSeries injects series of faults until the time is up, and returns when all of them have
+// ended.
+func (s *soak) injectSeries(ctx context.Context) {
+	s.injectKinds(ctx, seriesStream, seriesKinds(), 300*time.Millisecond, 2*time.Second)
 }
 
-// strikeBeside strikes beside the single faults, with a pause after each strike's begin.
-func (s *soak) strikeBeside(ctx context.Context, stream uint64, kinds []fault, leastPause, mostPause time.Duration) {
-	var lasting sync.WaitGroup
-	room := make(chan struct{}, atOnce)
-	s.draw(ctx, stream, kinds, func(random, own *rand.Rand, kind fault) {
-		room <- struct{}{}
-		lasting.Go(func() {
-			defer func() { <-room }()
-			s.calm.RLock()
-			defer s.calm.RUnlock()
-			s.note(kind.name)
-			kind.strike(s, ctx, own)
+// injectKinds injects faults of the given kinds alongside the single faults, with a pause after
+// each start, and returns when all of them have ended.
+func (s *soak) injectKinds(ctx context.Context, stream uint64, kinds []fault, minPause, maxPause time.Duration) {
+	var running sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentFaults)
+	s.drawFaults(ctx, stream, kinds, func(random, own *rand.Rand, kind fault) {
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
+			s.exclusive.RLock()
+			defer s.exclusive.RUnlock()
+			s.recordKind(kind.name)
+			kind.inject(s, ctx, own)
 		})
-		wait.For(ctx, between(random, leastPause, mostPause))
+		wait.For(ctx, randomDuration(random, minPause, maxPause))
 	})
-	lasting.Wait()
+	running.Wait()
 }
 
-const seriesMost = 6
+const seriesSpread = 6
 
-// pauseInSeries stops a process and lets it go on, some times within seconds.
-func (s *soak) pauseInSeries(ctx context.Context, random *rand.Rand) {
+// pauseNodeRepeatedly pauses and resumes a node several times within seconds.
+func (s *soak) pauseNodeRepeatedly(ctx context.Context, random *rand.Rand) {
 	node := s.anyNode(random)
 	node.control.Lock()
 	defer node.control.Unlock()
 	pauseRepeatedly(ctx, node, random, 20*time.Millisecond, 10*time.Millisecond, 300*time.Millisecond)
 }
 
-// mostPause is the longest single pause of a series.
-const mostPause = 900 * time.Millisecond
+// longestPause is the longest single pause of a series.
+const longestPause = 900 * time.Millisecond
 
-// pauseRepeatedly stops a process and lets it go on, over and over; the caller holds its control.
-func pauseRepeatedly(ctx context.Context, node *nodeProcess, random *rand.Rand, leastPause, leastRun, mostRun time.Duration) {
-	for range 2 + random.IntN(seriesMost) {
+// pauseRepeatedly pauses and resumes a node's process several times. The caller holds node.control.
+func pauseRepeatedly(ctx context.Context, node *nodeProcess, random *rand.Rand, minPause, minRun, maxRun time.Duration) {
+	for range 2 + random.IntN(seriesSpread) {
 		node.signal(syscall.SIGSTOP, nodePaused)
-		wait.For(ctx, between(random, leastPause, mostPause))
+		wait.For(ctx, randomDuration(random, minPause, longestPause))
 		node.signal(syscall.SIGCONT, nodeRunning)
-		wait.For(ctx, between(random, leastRun, mostRun))
+		wait.For(ctx, randomDuration(random, minRun, maxRun))
 	}
 }
 
-// hangUpInSeries says that the settings have changed, over and over. No program hears a
-// signal before it runs, and on a busy machine one takes over half a second until then.
-func (s *soak) hangUpInSeries(ctx context.Context, random *rand.Rand) {
+// hangUpRepeatedly sends SIGHUP, which reloads the settings, several times. It first waits until
+// the process answers, because a process cannot handle signals before it runs, and on a busy
+// machine this takes more than half a second.
+func (s *soak) hangUpRepeatedly(ctx context.Context, random *rand.Rand) {
 	node := s.anyNode(random)
 	node.control.Lock()
 	defer node.control.Unlock()
-	if !node.awaitRunning(ctx) {
+	if !node.awaitResponding(ctx) {
 		return
 	}
-	for range 2 + random.IntN(seriesMost) {
+	for range 2 + random.IntN(seriesSpread) {
 		node.signal(syscall.SIGHUP, nodeRunning)
-		wait.For(ctx, between(random, time.Millisecond, 200*time.Millisecond))
+		wait.For(ctx, randomDuration(random, time.Millisecond, 200*time.Millisecond))
 	}
 }
 
-// mostStops bounds the nodes that a series stops: a longer one would outlive the soak's time.
-const mostStops = 12
+// maxStops bounds the nodes that a series stops. A longer series would outlast the soak.
+const maxStops = 12
 
-// stopInSeries stops some nodes as planned, each while the one before still ends, with a
-// change of the configuration in between; a stop may be asked for twice.
-func (s *soak) stopInSeries(ctx context.Context, random *rand.Rand) {
+// stopOverlapping performs planned stops of some nodes. Each stop begins while the previous one may
+// still be in progress, with a configuration change in between. A node may be sent SIGTERM twice.
+func (s *soak) stopOverlapping(ctx context.Context, random *rand.Rand) {
 	var stops sync.WaitGroup
 	first := random.IntN(len(s.nodes))
-	for number := range 1 + random.IntN(min(max(len(s.nodes)/2, 1), mostStops)) {
+	for number := range 1 + random.IntN(min(max(len(s.nodes)/2, 1), maxStops)) {
 		node := s.nodes[(first+number)%len(s.nodes)]
 		twice := random.IntN(2) == 0
 		stops.Go(func() {
@@ -109,18 +112,18 @@
 				wait.For(ctx, restartDelay)
 			}
 			node.stop()
-			s.again(ctx, node)
+			s.restartNode(ctx, node)
 		})
-		wait.For(ctx, between(random, 100*time.Millisecond, 1500*time.Millisecond))
+		wait.For(ctx, randomDuration(random, 100*time.Millisecond, 1500*time.Millisecond))
 		s.writeVersion()
 	}
 	stops.Wait()
 }
 
-// configureInSeries writes versions in quick succession.
-func (s *soak) configureInSeries(ctx context.Context, random *rand.Rand) {
-	for range 2 + random.IntN(seriesMost) {
+// configureRapidly writes configuration versions in quick succession.
+func (s *soak) configureRapidly(ctx context.Context, random *rand.Rand) {
+	for range 2 + random.IntN(seriesSpread) {
 		s.writeVersion()
-		wait.For(ctx, between(random, 5*time.Millisecond, 300*time.Millisecond))
+		wait.For(ctx, randomDuration(random, 5*time.Millisecond, 300*time.Millisecond))
 	}
 }
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -1,11 +1,10 @@
-// Package soak runs nodes as real processes before stand-ins of the platform,
-// strikes them with faults from outside at random, and judges the promises by
-// what callers and engines see: links are delayed, reset, cut one way or
-// silenced by loopback proxies; processes are stopped, paused, killed and
-// started by signals; the store and the engines misbehave. The seed decides
-// the order of faults and calls, not the exact times.
+// Package soak runs nodes as separate processes against stand-ins of the platform, injects random
+// faults from outside, and checks the promises of the service by what callers and engines observe.
+// Loopback proxies delay, reset, silence or cut links in one direction; signals stop, pause, kill
+// and restart processes; the store and the engines misbehave. The seed determines the order of
+// faults and calls, not their exact times.
 //
-// It ends only processes that it started, by their ids, and keeps their logs.
+// The package ends only processes that it started, by their ids, and keeps their logs.
 package soak
 
 import (
@@ -21,36 +20,36 @@
 	"ringstream.example/ringstream/platform/platformtest"
 )
 
-// Options says what is run.
+// Options configures a soak.
 type Options struct {
-	Binary  string        // of ringstream
-	Former  string        // an older build that the nodes begin with, and are rolled from; empty: none
-	Folder  string        // for settings and logs; it exists
-	Seed    uint64        // of faults and calls
-	For     time.Duration // how long faults strike
+	Binary  string        // path of the ringstream binary
+	Former  string        // path of an older build that the nodes start with and are upgraded from; empty: none
+	Folder  string        // for settings and logs; it must exist
+	Seed    uint64        // of the faults and calls
+	For     time.Duration // how long faults are injected
 	Nodes   int
 	Engines int
 	Callers int
-	// Said hears each fault; nil: nobody.
+	// Said is called with a line for each fault; nil discards the lines.
 	Said func(string)
 }
 
-// Bounds of the sizes: what a machine of 16 GB and a few hundred processes bears.
+// Size limits, which fit a machine with 16 GB of memory and a few hundred processes.
 const (
-	mostNodes   = 100
-	mostEngines = 128
-	mostCallers = 256
+	maxNodes   = 100
+	maxEngines = 128
+	maxCallers = 256
 )
 
-// Validate checks the sizes.
+// Validate checks the sizes and the duration.
 func (o Options) Validate() error {
 	var problems []error
 	for _, bound := range []struct {
-		name               string
-		value, least, most int
-	}{{"nodes", o.Nodes, 1, mostNodes}, {"engines", o.Engines, 1, mostEngines}, {"callers", o.Callers, 1, mostCallers}} {
-		if bound.value < bound.least || bound.value > bound.most {
-			problems = append(problems, fmt.Errorf("%s: %d given, allowed is %d to %d", bound.name, bound.value, bound.least, bound.most))
+		name                    string
+		value, minimum, maximum int
+	}{{"nodes", o.Nodes, 1, maxNodes}, {"engines", o.Engines, 1, maxEngines}, {"callers", o.Callers, 1, maxCallers}} {
+		if bound.value < bound.minimum || bound.value > bound.maximum {
+			problems = append(problems, fmt.Errorf("%s: %d given, allowed is %d to %d", bound.name, bound.value, bound.minimum, bound.maximum))
 		}
 	}
 	if o.For <= 0 {
@@ -59,86 +58,88 @@
 	return errors.Join(problems...)
 }
 
-// Report is what a soak found.
+// Report is the result of a soak.
 type Report struct {
-	Seed       uint64         `json:"seed"`
-	Faults     map[string]int `json:"faults"`
-	Requests   int            `json:"requests"`
-	Statuses   map[string]int `json:"statuses"`
-	Jobs       int            `json:"jobs"`
-	Taken      int            `json:"jobs_taken"`
-	Runs       int            `json:"engine_runs"`
-	Lives      int            `json:"process_lives"`
-	Recovery   time.Duration  `json:"recovery_ns"` // until all nodes were ready after the last fault
-	Deadly     DeadlyReport   `json:"deadly"`
-	Stays      StaysReport    `json:"read_again"`
-	Tenants    TenantsReport  `json:"tenants"`
-	Restarts   RestartsReport `json:"engine_restarts"`
-	Broken     map[string]int `json:"broken"`     // violations by promise
-	Violations []Violation    `json:"violations"` // the first ones of each promise
+	Seed            uint64         `json:"seed"`
+	Faults          map[string]int `json:"faults"`
+	Requests        int            `json:"requests"`
+	Statuses        map[string]int `json:"statuses"`
+	Jobs            int            `json:"jobs"`
+	JobsAccepted    int            `json:"jobs_taken"`
+	Runs            int            `json:"engine_runs"`
+	ProcessStarts   int            `json:"process_lives"`
+	Recovery        time.Duration  `json:"recovery_ns"` // from the last fault until all nodes were ready
+	Deadly          DeadlyReport   `json:"deadly"`
+	Rereads         RereadsReport  `json:"read_again"`
+	Tenants         TenantsReport  `json:"tenants"`
+	Restarts        RestartsReport `json:"engine_restarts"`
+	ViolationCounts map[string]int `json:"broken"`     // number of violations by promise
+	Violations      []Violation    `json:"violations"` // the first violations of each promise
 }
 
-// events is the length of each engine's answer, and pace its pause before each
-// of them.
+// eventsPerAnswer is the number of events in each engine's answer, and eventInterval is the delay
+// before each event.
 const (
-	events = 12
-	pace   = 5 * time.Millisecond
+	eventsPerAnswer = 12
+	eventInterval   = 5 * time.Millisecond
 )
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	options Options
 	store   *platformtest.Store
 	engines []*engineLink
 	nodes   []*nodeProcess
 	judge   *judge
-	ids     numbers
+	ids     idGenerator
 	keys    *keyring
 
-	addresses addresses // used by build alone
-
-	// calm is held by a fault that must be alone, and for reading by those of a series.
-	calm sync.RWMutex
-	// silence is held by a fault that has the store's feed tell nothing.
-	silence sync.Mutex
-	// replacing counts the engines that are to be replaced.
-	replacing sync.WaitGroup
-	// jumps counts the reads that are still to be made of what has just been read.
-	jumps sync.WaitGroup
-
-	mu           sync.Mutex // guards the rest
-	version      int
-	written      time.Time // when version was
-	struck       time.Time // when a fault last struck what all nodes share
-	lasting      int       // faults of what all nodes share that are not over
-	storeStruck  time.Time // when one last struck the store
-	storeLasting int       // those of the store that are not over
-	counts       map[string]int
-	engineNo     int
+	addresses addresses // used only by build
+
+	// exclusive is write-locked by a fault that must not overlap with others, and read-locked by
+	// the faults of the additional kinds (see injectKinds).
+	exclusive sync.RWMutex
+	// feedControl is held by a fault that stops the events of the store's feed.
+	feedControl sync.Mutex
+	// replacements waits for the engines that are about to be replaced.
+	replacements sync.WaitGroup
+	// rereads waits for the scheduled reads of results that were just read for the first time.
+	rereads sync.WaitGroup
+
+	mu               sync.Mutex // guards the rest
+	version          int
+	versionWritten   time.Time // when version was written
+	sharedFaultAt    time.Time // when a fault last affected a resource that all nodes share
+	sharedFaults     int       // number of active faults of shared resources
+	storeFaultAt     time.Time // when a fault last affected the store
+	storeFaults      int       // number of active faults of the store
+	counts           map[string]int
+	lastEngineNumber int
 }
 
-// engineLink is an engine behind a link.
+// engineLink is an engine behind a proxy.
 type engineLink struct {
 	*platformtest.Engine
-	link  *proxy
-	zone  string
-	taken bool // a fault ends it; guarded by soak.mu
+	link     *proxy
+	zone     string
+	reserved bool // a fault is ending or draining it; guarded by soak.mu
 }
 
-// Run runs a soak. An error says that it could not be run.
+// Run runs a soak and returns its report. It returns an error if the soak could not be run or ctx
+// ended.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if err := options.Validate(); err != nil {
 		return Report{}, err
 	}
 	s := &soak{
-		options: options, store: platformtest.NewStore(), judge: newJudge(events), keys: newKeyring(),
-		addresses: addresses{given: make(map[string]bool)}, counts: make(map[string]int),
+		options: options, store: platformtest.NewStore(), judge: newJudge(eventsPerAnswer), keys: newKeyring(),
+		addresses: addresses{used: make(map[string]bool)}, counts: make(map[string]int),
 	}
 	defer s.close()
 	if err := s.build(); err != nil {
 		return Report{}, err
 	}
-	if !s.awaitReady(ctx, startTime) {
+	if !s.awaitReady(ctx, startTimeout) {
 		return Report{}, errors.New("not all nodes became ready at the start; see their logs")
 	}
 	s.load(ctx)
@@ -149,14 +150,14 @@
 	return report, ctx.Err()
 }
 
-const startTime = 20 * time.Second
+const startTimeout = 20 * time.Second
 
-// nodesPerJobCaller is how many nodes have one more caller that hands jobs in, and two more
-// that read, beside the first ones.
+// nodesPerJobCaller is the number of nodes for which one more caller submits jobs and two more read
+// results, in addition to the first ones.
 const nodesPerJobCaller = 20
 
-// callersPerKeyed is how many callers have one more beside them that sends requests under keys.
-const callersPerKeyed = 5
+// callersPerKeyedCaller is the number of callers for which one more sends requests with API keys.
+const callersPerKeyedCaller = 5
 
 func (s *soak) build() error {
 	s.writeVersion()
@@ -172,7 +173,7 @@
 			return err
 		}
 		s.nodes = append(s.nodes, node)
-		seed = s.nodes[0].peer
+		seed = s.nodes[0].peerAddress
 		if err := node.start(); err != nil {
 			return err
 		}
@@ -194,57 +195,57 @@
 func (s *soak) addEngine() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.engineNo++
-	engine := platformtest.NewEngine(fmt.Sprintf("e%d", s.engineNo), events)
-	engine.Pace(pace)
+	s.lastEngineNumber++
+	engine := platformtest.NewEngine(fmt.Sprintf("e%d", s.lastEngineNumber), eventsPerAnswer)
+	engine.Pace(eventInterval)
 	engine.Born = time.Now().UnixMilli()
 	link, err := newProxy(engine.Address())
 	if err != nil {
 		return err
 	}
 	engine.Front = link.address()
-	linked := &engineLink{Engine: engine, link: link, zone: fmt.Sprintf("z%d", s.engineNo%2)}
-	engine.EndUnder(deadlyBody, func() { s.engineEnded(linked) })
+	linked := &engineLink{Engine: engine, link: link, zone: fmt.Sprintf("z%d", s.lastEngineNumber%2)}
+	engine.EndUnder(deadlyBodyPrefix, func() { s.engineEnded(linked) })
 	s.engines = append(s.engines, linked)
 	s.store.List(engine, linked.zone, "ready")
 	return nil
 }
 
-// engineList gives the engines, the ended ones too.
+// engineList returns all engines, including those that have ended.
 func (s *soak) engineList() []*engineLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*engineLink(nil), s.engines...)
 }
 
-// keptProbes is how many versions' routes stay.
-const keptProbes = 3
+// keptProbeRoutes is the number of configuration versions whose probe routes are kept.
+const keptProbeRoutes = 3
 
-// writeVersion has the operator write the next configuration.
+// writeVersion writes the next version of the configuration, as an operator does.
 func (s *soak) writeVersion() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	var probes []int
-	for version := max(s.version-keptProbes+1, 1); version <= s.version; version++ {
+	for version := max(s.version-keptProbeRoutes+1, 1); version <= s.version; version++ {
 		probes = append(probes, version)
 	}
 	s.store.Configure(s.version, probes, s.keys.tenants())
-	s.written = time.Now()
-	s.keys.written(s.written)
+	s.versionWritten = time.Now()
+	s.keys.recordWritten(s.versionWritten)
 }
 
-func (s *soak) newest() (version int, written time.Time) {
+func (s *soak) newestVersion() (version int, written time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.version, s.written
+	return s.version, s.versionWritten
 }
 
 func (s *soak) awaitReady(ctx context.Context, limit time.Duration) bool {
-	until := time.Now().Add(limit)
-	for time.Now().Before(until) {
+	deadline := time.Now().Add(limit)
+	for time.Now().Before(deadline) {
 		var ready atomic.Int32
-		atATime(asksAtATime, len(s.nodes), func(number int) {
+		runConcurrently(maxConcurrentProbes, len(s.nodes), func(number int) {
 			if s.nodes[number].isReady() {
 				ready.Add(1)
 			}
@@ -259,13 +260,13 @@
 	return false
 }
 
-// Times after the last fault.
+// Timeouts after the last fault.
 const (
-	recoveryTime = 12 * time.Second
-	finishTime   = 25 * time.Second
+	recoveryTimeout = 12 * time.Second
+	finishTimeout   = 25 * time.Second
 )
 
-// load runs callers and faults, then waits for what was taken to be done.
+// load runs callers and faults, then waits until the accepted jobs are done.
 func (s *soak) load(ctx context.Context) {
 	calling, stop := context.WithCancel(ctx)
 	var callers sync.WaitGroup
@@ -279,42 +280,42 @@
 		begin(s.call)
 	}
 	for range s.options.Callers/2 + 1 {
-		begin(s.callOnKept)
+		begin(s.callKeepAlive)
 	}
-	begin(s.handIn)
-	begin(s.read)
-	begin(s.read)
+	begin(s.submitJobs)
+	begin(s.readJobs)
+	begin(s.readJobs)
 	for _, node := range s.nodes {
-		begin(func(ctx context.Context, _ *rand.Rand) { s.probe(ctx, node) })
+		begin(func(ctx context.Context, _ *rand.Rand) { s.probeConfiguration(ctx, node) })
 	}
 	for range s.options.Nodes / nodesPerJobCaller {
-		begin(s.handIn)
-		begin(s.read)
-		begin(s.read)
+		begin(s.submitJobs)
+		begin(s.readJobs)
+		begin(s.readJobs)
 	}
-	for range s.options.Callers/callersPerKeyed + 1 {
+	for range s.options.Callers/callersPerKeyedCaller + 1 {
 		begin(s.callWithKeys)
 	}
 	var series sync.WaitGroup
-	series.Go(func() { s.strikeInSeries(ctx) })
-	series.Go(func() { s.strikeWithStalls(ctx) })
-	series.Go(func() { s.strikeTenants(ctx) })
-	series.Go(func() { s.strikeWithRestarts(ctx) })
+	series.Go(func() { s.injectSeries(ctx) })
+	series.Go(func() { s.injectStalls(ctx) })
+	series.Go(func() { s.injectTenantFaults(ctx) })
+	series.Go(func() { s.injectRestarts(ctx) })
 	series.Go(func() { s.rollBuilds(ctx) })
-	s.strikeAtRandom(ctx)
+	s.injectRandomFaults(ctx)
 	series.Wait()
-	s.replacing.Wait()
-	s.recover(ctx)
+	s.replacements.Wait()
+	s.awaitRecovery(ctx)
 	stop()
 	callers.Wait()
-	s.finish(ctx)
-	s.jumps.Wait()
+	s.finishJobs(ctx)
+	s.rereads.Wait()
 	s.sweep(ctx)
-	s.jumps.Wait()
+	s.rereads.Wait()
 	var runs []engineRun
 	for _, engine := range s.engineList() {
 		for _, run := range engine.Runs() {
-			if len(run.ID) > 0 && run.ID[0] != 'p' { // probes are not kept
+			if len(run.ID) > 0 && run.ID[0] != 'p' { // runs of probes are ignored
 				runs = append(runs, engineRun{engine: engine.ID, run: run})
 			}
 		}
@@ -323,41 +324,44 @@
 	s.judge.conclude(s.judge.concludeKeyed(s.judge.concludeDeadly(runs), s.keys))
 }
 
-// recover has all nodes ready in time once no fault strikes.
-func (s *soak) recover(ctx context.Context) {
+// awaitRecovery waits until all nodes are ready after the last fault, and records a violation if
+// they are not ready in time.
+func (s *soak) awaitRecovery(ctx context.Context) {
 	begun := time.Now()
-	if !s.awaitReady(ctx, recoveryTime) && ctx.Err() == nil {
-		s.judge.violate("recovers", "fleet", "not all nodes were ready in time: "+recoveryTime.String())
+	if !s.awaitReady(ctx, recoveryTimeout) && ctx.Err() == nil {
+		s.judge.recordViolation("recovers", "fleet", "not all nodes were ready in time: "+recoveryTimeout.String())
 	}
 	s.counts["recovery_ms"] = int(time.Since(begun).Milliseconds())
-	wait.For(ctx, settled)
+	wait.For(ctx, settleTime)
 }
 
-// finish reads the jobs that are not done until all are, or the time is up.
-func (s *soak) finish(ctx context.Context) {
-	until := time.Now().Add(finishTime)
-	for round := 0; time.Now().Before(until) && wait.For(ctx, readPause); round++ {
-		undone := s.judge.undone()
+// finishJobs reads the unfinished jobs until all of them are done or the time is up.
+func (s *soak) finishJobs(ctx context.Context) {
+	deadline := time.Now().Add(finishTimeout)
+	for round := 0; time.Now().Before(deadline) && wait.For(ctx, readPause); round++ {
+		undone := s.judge.unfinishedJobs()
 		if len(undone) == 0 {
 			return
 		}
-		atATime(asksAtATime, len(undone), func(number int) {
+		runConcurrently(maxConcurrentProbes, len(undone), func(number int) {
 			s.readJob(ctx, undone[number], s.nodes[(round+number)%len(s.nodes)], 0, 0)
 		})
 	}
 }
 
-// asksAtATime is how many questions to nodes are under way at the same time, beside those of callers.
-const asksAtATime = 8
+// maxConcurrentProbes bounds the readiness checks and reads in flight at the same time, not
+// counting those of callers.
+const maxConcurrentProbes = 8
 
-// atATime does numbered work, so much of it at the same time, and returns when all is done.
-func atATime(most, count int, work func(number int)) {
+// runConcurrently calls work for each number below count, at most limit at a time, and returns when
+// all calls have ended.
+func runConcurrently(limit, count int, work func(number int)) {
 	var working sync.WaitGroup
-	room := make(chan struct{}, most)
+	slots := make(chan struct{}, limit)
 	for number := range count {
-		room <- struct{}{}
+		slots <- struct{}{}
 		working.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			work(number)
 		})
 	}
@@ -370,8 +374,8 @@
 	defer j.mu.Unlock()
 	report := Report{
 		Seed: s.options.Seed, Faults: make(map[string]int), Requests: len(j.requests), Statuses: j.statuses, Jobs: len(j.jobs),
-		Runs: s.counts["engine_runs"], Recovery: time.Duration(s.counts["recovery_ms"]) * time.Millisecond, Broken: j.broken, Violations: j.violations,
-		Deadly: j.deadly.report, Stays: j.stays, Tenants: j.tenants, Restarts: j.restartsReport,
+		Runs: s.counts["engine_runs"], Recovery: time.Duration(s.counts["recovery_ms"]) * time.Millisecond, ViolationCounts: j.violationCounts, Violations: j.violations,
+		Deadly: j.deadly.report, Rereads: j.rereads, Tenants: j.tenants, Restarts: j.restartsReport,
 	}
 	for name, count := range s.counts {
 		if name != "engine_runs" && name != "recovery_ms" {
@@ -379,17 +383,17 @@
 		}
 	}
 	for _, job := range j.jobs {
-		if job.taken {
-			report.Taken++
+		if job.accepted {
+			report.JobsAccepted++
 		}
 	}
 	for _, node := range s.nodes {
-		report.Lives += node.condition().life
+		report.ProcessStarts += node.condition().incarnation
 	}
 	return report
 }
 
-// logs gives the files of the nodes' logs.
+// logs returns the paths of the nodes' log files.
 func (s *soak) logs() []string {
 	var names []string
 	for _, node := range s.nodes {
--- a/internal/bench/soak/stays.go
+++ b/internal/bench/soak/stays.go
@@ -13,31 +13,32 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// staysAfter is how long after a position of a job's results was read anywhere each node in
-// touch must give it.
-const staysAfter = time.Second
+// visibilityBound is how long after the first read of a position of a job's results every
+// undisturbed node must return that position.
+const visibilityBound = time.Second
 
-// resultRead is one read of a job's results, from a position on, as its reader saw it.
+// resultRead is one read of a job's results, starting at a position, as the reader saw it.
 type resultRead struct {
-	node     string
-	from     int
-	sent     time.Time // before the call was begun
-	answered time.Time // after the answer was whole
-	status   int
-	given    int // results, at from and the positions after it
-	// inTouch: the process ran, and no fault struck it, its links or the store, from
-	// quietBefore before the call was sent until the answer had come.
-	inTouch bool
+	node        string
+	from        int
+	sent        time.Time // before the call started
+	answered    time.Time // after the whole answer was received
+	status      int
+	resultCount int // number of results, at from and the following positions
+	// undisturbed is true if the process was running and no fault affected it, its links or the
+	// store, from quietPeriod before the call was sent until the answer was received.
+	undisturbed bool
 }
 
-// denies says whether the answer tells that there is nothing at the position asked for.
-func (r resultRead) denies() bool {
+// reportsNoResult reports whether the answer says that there is no result at the requested
+// position.
+func (r resultRead) reportsNoResult() bool {
 	switch r.status {
 	case http.StatusOK:
-		return r.given == 0
+		return r.resultCount == 0
 	case http.StatusNotFound, http.StatusGone:
 		return true
-	default: // no word about the position
+	default: // the answer says nothing about the position
 		return false
 	}
 }
@@ -48,94 +49,95 @@
 	answered time.Time
 }
 
-// StaysReport is what came of reads of positions that had been read before, each sent later
-// than staysAfter after that.
-type StaysReport struct {
-	Reads            int `json:"reads"`               // that nodes in touch answered with a result or none
-	Denied           int `json:"denied"`              // of these
-	OutOfTouch       int `json:"out_of_touch"`        // such reads of nodes out of touch, which nothing binds
-	OutOfTouchDenied int `json:"out_of_touch_denied"` // of those
+// RereadsReport counts the reads of positions that had been read before. It includes only reads
+// sent more than visibilityBound after the first read was answered.
+type RereadsReport struct {
+	Reads            int `json:"reads"`               // conclusive answers of undisturbed nodes
+	Denied           int `json:"denied"`              // those of Reads without a result
+	OutOfTouch       int `json:"out_of_touch"`        // conclusive answers of disturbed nodes, to which the promise does not apply
+	OutOfTouchDenied int `json:"out_of_touch_denied"` // those of OutOfTouch without a result
 	Unanswered       int `json:"unanswered"`          // another status, or no answer
 }
 
-// readAgain judges a read by what was read before it, and gives the positions that nobody
+// recordRead judges a read by the earlier reads of the job, and returns the positions that nobody
 // had read before.
-func (j *judge) readAgain(job *jobRecord, read resultRead) []int {
+func (j *judge) recordRead(job *jobRecord, read resultRead) []int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if first, seen := job.firstReads[read.from]; seen && read.sent.Sub(first.answered) > staysAfter {
-		j.judgeStays(job, read, first)
+	if first, seen := job.firstReads[read.from]; seen && read.sent.Sub(first.answered) > visibilityBound {
+		j.judgeReread(job, read, first)
 	}
-	var fresh []int
-	for position := read.from; read.status == http.StatusOK && position < read.from+read.given; position++ {
+	var newPositions []int
+	for position := read.from; read.status == http.StatusOK && position < read.from+read.resultCount; position++ {
 		first, seen := job.firstReads[position]
 		if !seen {
-			fresh = append(fresh, position)
+			newPositions = append(newPositions, position)
 		}
 		if !seen || read.answered.Before(first.answered) {
 			job.firstReads[position] = firstRead{node: read.node, answered: read.answered}
 		}
 	}
-	return fresh
+	return newPositions
 }
 
-// judgeStays counts a read of what was read before, and names a denial; the caller holds mu.
-func (j *judge) judgeStays(job *jobRecord, read resultRead, first firstRead) {
-	report := &j.stays
-	told := read.status == http.StatusOK || read.denies()
+// judgeReread counts a read of a position that had been read before, and records a violation if its
+// result is missing. The caller holds mu.
+func (j *judge) judgeReread(job *jobRecord, read resultRead, first firstRead) {
+	report := &j.rereads
+	conclusive := read.status == http.StatusOK || read.reportsNoResult()
 	switch {
-	case !told:
+	case !conclusive:
 		report.Unanswered++
-	case !read.inTouch:
+	case !read.undisturbed:
 		report.OutOfTouch++
-		if read.denies() {
+		if read.reportsNoResult() {
 			report.OutOfTouchDenied++
 		}
 	default:
 		report.Reads++
-		if read.denies() {
+		if read.reportsNoResult() {
 			report.Denied++
-			j.violateLocked("what_was_read_stays", job.id, fmt.Sprintf(
+			j.recordViolationLocked("what_was_read_stays", job.id, fmt.Sprintf(
 				"position %d: %s answered %d without a result to a read sent %v after the first read of it was answered, at %s (%s); the answer took %v",
 				read.from, read.node, read.status, read.sent.Sub(first.answered), first.node, first.answered.UTC().Format(time.RFC3339Nano), read.answered.Sub(read.sent)))
 		}
 	}
 }
 
-// inTouchThroughout says whether a node was in touch from quietBefore before a call was sent
-// until now; before is its condition when the call was sent.
-func (s *soak) inTouchThroughout(node *nodeProcess, before condition, sent time.Time) bool {
+// undisturbedThroughout reports whether a node was undisturbed from quietPeriod before a call was
+// sent until now. The argument before is the node's condition when the call was sent.
+func (s *soak) undisturbedThroughout(node *nodeProcess, before condition, sent time.Time) bool {
 	after := node.condition()
-	quiet := sent.Add(-quietBefore)
-	running := before.state == nodeRunning && after.state == nodeRunning && before.life == after.life
+	quiet := sent.Add(-quietPeriod)
+	running := before.state == nodeRunning && after.state == nodeRunning && before.incarnation == after.incarnation
 	return running && after.disturbed.Before(quiet) && s.lastStoreFault().Before(quiet)
 }
 
-// Reads of what has just been read, at other nodes.
+// Parameters of the additional reads, at other nodes, of results that were just read.
 const (
-	jumpNodes = 3
-	jumpLeast = staysAfter + time.Millisecond
-	jumpMost  = 2500 * time.Millisecond
-	jumpHold  = time.Second // what half of them allow the node to wait for a result
+	rereadNodes    = 3
+	rereadMinDelay = visibilityBound + time.Millisecond
+	rereadMaxDelay = 2500 * time.Millisecond
+	rereadHold     = time.Second // how long half of the reads allow the node to wait for a result
 )
 
-// jump reads the newest of the positions that were just read for the first time at other
-// nodes, soon after the moment from which on they must give it.
-func (s *soak) jump(ctx context.Context, job *jobRecord, from *nodeProcess, fresh []int) {
-	if len(fresh) == 0 {
+// rereadElsewhere schedules reads of the newest position that was just read for the first time. The
+// reads go to other nodes, soon after visibilityBound has passed.
+func (s *soak) rereadElsewhere(ctx context.Context, job *jobRecord, from *nodeProcess, newPositions []int) {
+	if len(newPositions) == 0 {
 		return
 	}
-	position := fresh[len(fresh)-1]
-	// Draws of its own, so that the readers' draws stay as they are.
-	random := rand.New(rand.NewPCG(s.options.Seed, jumpStream(job.id, position)))
-	for range jumpNodes {
+	position := newPositions[len(newPositions)-1]
+	// A separate generator keeps the draws of the readers unchanged.
+	random := rand.New(rand.NewPCG(s.options.Seed, rereadStream(job.id, position)))
+	for range rereadNodes {
 		node := s.anyNode(random)
-		after := between(random, jumpLeast, jumpMost)
-		hold := time.Duration(random.IntN(2)) * jumpHold
+		after := randomDuration(random, rereadMinDelay, rereadMaxDelay)
+		hold := time.Duration(random.IntN(2)) * rereadHold
 		if node == from {
 			continue
 		}
-		s.jumps.Go(func() {
+		s.rereads.Go(func() {
 			if wait.For(ctx, after) {
 				s.readJob(ctx, job, node, position, hold)
 			}
@@ -143,46 +145,46 @@
 	}
 }
 
-func jumpStream(job string, position int) uint64 {
+func rereadStream(job string, position int) uint64 {
 	digest := fnv.New64a()
-	_, _ = fmt.Fprintf(digest, "%s/%d", job, position) // a digest takes all
+	_, _ = fmt.Fprintf(digest, "%s/%d", job, position) // writing to a hash never fails
 	return digest.Sum64()
 }
 
-// sweepNodes is at how many nodes each job is read at the end.
+// sweepNodes is the number of nodes at which each job is read at the end.
 const sweepNodes = 8
 
-// sweep reads the last known position of each job at some nodes, when no fault strikes any
-// more: a node that missed a change for good is found by it.
+// sweep reads the last known position of each job at some nodes, after the last fault. It finds
+// nodes that missed a change for good.
 func (s *soak) sweep(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.options.Seed, sweepStream))
-	known := s.judge.known()
+	known := s.judge.readableJobs()
 	nodes := random.Perm(len(s.nodes))
 	nodes = nodes[:min(sweepNodes, len(nodes))]
-	atATime(asksAtATime, len(known)*len(nodes), func(number int) {
-		// Each job is read at some nodes, and all nodes by some jobs.
+	runConcurrently(maxConcurrentProbes, len(known)*len(nodes), func(number int) {
+		// Each job is read at some of the nodes, and each node reads some of the jobs.
 		job, turn := number/len(nodes), number%len(nodes)
 		node := s.nodes[(nodes[turn]+job)%len(s.nodes)]
-		s.readJob(ctx, known[job].job, node, known[job].last, 0)
+		s.readJob(ctx, known[job].job, node, known[job].lastPosition, 0)
 	})
 }
 
-// sweepStream tells the draws of the last reads from others.
+// sweepStream is the random stream of the final reads.
 const sweepStream = 1 << 42
 
-// knownJob is a job that must be readable, and the last of its positions that was read.
-type knownJob struct {
-	job  *jobRecord
-	last int
+// readableJob is a job that must be readable, and the last of its positions that was read.
+type readableJob struct {
+	job          *jobRecord
+	lastPosition int
 }
 
-func (j *judge) known() []knownJob {
+func (j *judge) readableJobs() []readableJob {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	var list []knownJob
+	var list []readableJob
 	for _, job := range j.jobs {
-		if job.taken && len(job.firstReads) > 0 && time.Since(job.handed) < jobsKept {
-			list = append(list, knownJob{job: job, last: slices.Max(slices.Collect(maps.Keys(job.firstReads)))})
+		if job.accepted && len(job.firstReads) > 0 && time.Since(job.submitted) < jobRetention {
+			list = append(list, readableJob{job: job, lastPosition: slices.Max(slices.Collect(maps.Keys(job.firstReads)))})
 		}
 	}
 	return list
--- a/internal/bench/soak/struck.go
+++ b/internal/bench/soak/struck.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// The soak notes when a fault last struck what all nodes share, and apart from the others
-// when one of the store did: an engine's fault takes no node out of touch. A fault that lasts
-// strikes until it is over.
+// The soak records when a fault last affected a resource that all nodes share, and separately when
+// a fault last affected the store, because an engine's fault does not disturb a node. An active
+// fault counts as current until it ends.
 
-// lastFault is when a fault of the store or of an engine last struck.
+// lastFault returns when a fault last affected the store or an engine.
 func (s *soak) lastFault() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return orNow(s.struck, s.lasting)
+	return nowIfActive(s.sharedFaultAt, s.sharedFaults)
 }
 
-// lastStoreFault is when a fault of the store last struck.
+// lastStoreFault returns when a fault last affected the store.
 func (s *soak) lastStoreFault() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return orNow(s.storeStruck, s.storeLasting)
+	return nowIfActive(s.storeFaultAt, s.storeFaults)
 }
 
-// orNow gives when a fault last struck: now, while some last.
-func orNow(struck time.Time, lasting int) time.Time {
-	if lasting > 0 {
+// nowIfActive returns the current time while faults are active, and last otherwise.
+func nowIfActive(last time.Time, active int) time.Time {
+	if active > 0 {
 		return time.Now()
 	}
-	return struck
+	return last
 }
 
-// strike notes a fault of what all nodes share that is over at once.
-func (s *soak) strike() { s.shift(0, 0) }
+// recordFault records an instantaneous fault of a resource that all nodes share.
+func (s *soak) recordFault() { s.recordFaultChange(0, 0) }
 
-// beginFault notes a fault of engines that lasts until endFault.
-func (s *soak) beginFault() { s.shift(1, 0) }
+// beginFault records a fault of engines that lasts until endFault.
+func (s *soak) beginFault() { s.recordFaultChange(1, 0) }
 
-func (s *soak) endFault() { s.shift(-1, 0) }
+func (s *soak) endFault() { s.recordFaultChange(-1, 0) }
 
-// beginStoreFault notes a fault of the store that lasts until endStoreFault.
-func (s *soak) beginStoreFault() { s.shift(1, 1) }
+// beginStoreFault records a fault of the store that lasts until endStoreFault.
+func (s *soak) beginStoreFault() { s.recordFaultChange(1, 1) }
 
-func (s *soak) endStoreFault() { s.shift(-1, -1) }
+func (s *soak) endStoreFault() { s.recordFaultChange(-1, -1) }
 
-func (s *soak) shift(lasting, storeLasting int) {
+func (s *soak) recordFaultChange(sharedChange, storeChange int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.struck = now
-	s.lasting += lasting
-	if storeLasting != 0 {
-		s.storeStruck = now
-		s.storeLasting += storeLasting
+	s.sharedFaultAt = now
+	s.sharedFaults += sharedChange
+	if storeChange != 0 {
+		s.storeFaultAt = now
+		s.storeFaults += storeChange
 	}
 }
--- a/internal/bench/soak/workload.go
+++ b/internal/bench/soak/workload.go
@@ -13,7 +13,7 @@
 	"ringstream.example/ringstream/platform/platformtest"
 )
 
-// The routes that callers use beside the job route.
+// The routes that callers use besides the job route.
 const (
 	routeSafe      = "safe"
 	routeUnsafe    = "unsafe"
@@ -29,54 +29,53 @@
 	jobPause       = 250 * time.Millisecond
 	readPause      = 40 * time.Millisecond
 	probePause     = 120 * time.Millisecond
-	jobTries       = 6
-	jobItems       = 4
-	endShare       = 5 // one job of so many is ended
+	maxJobTries    = 6
+	maxJobItems    = 4
+	jobEndInterval = 5 // one job in this many is ended
 )
 
-// numbers gives unlike ids.
-type numbers struct{ last atomic.Int64 }
+// idGenerator generates unique ids.
+type idGenerator struct{ last atomic.Int64 }
 
-func (n *numbers) next(prefix string) string { return fmt.Sprintf("%s-%d", prefix, n.last.Add(1)) }
+func (n *idGenerator) next(prefix string) string { return fmt.Sprintf("%s-%d", prefix, n.last.Add(1)) }
 
-// callOnKept sends online requests as call does, and keeps its connections open until the
-// process at their end is gone.
-func (s *soak) callOnKept(ctx context.Context, random *rand.Rand) {
-	kept := &http.Transport{DisableCompression: true}
-	defer kept.CloseIdleConnections()
-	s.callBy(ctx, random, kept)
+// callKeepAlive sends online requests as call does, and keeps its connections open until the
+// process at the other end is gone.
+func (s *soak) callKeepAlive(ctx context.Context, random *rand.Rand) {
+	transport := &http.Transport{DisableCompression: true}
+	defer transport.CloseIdleConnections()
+	s.callOver(ctx, random, transport)
 }
 
-// call sends online requests, one after another.
-func (s *soak) call(ctx context.Context, random *rand.Rand) { s.callBy(ctx, random, nil) }
+// call sends online requests, one after another, each on a new connection.
+func (s *soak) call(ctx context.Context, random *rand.Rand) { s.callOver(ctx, random, nil) }
 
-func (s *soak) callBy(ctx context.Context, random *rand.Rand, kept *http.Transport) {
+func (s *soak) callOver(ctx context.Context, random *rand.Rand, transport *http.Transport) {
 	for wait.For(ctx, callerPause) {
 		node := s.nodes[random.IntN(len(s.nodes))]
 		route := onlineRoutes[random.IntN(len(onlineRoutes))]
 		id := s.ids.next("r")
 		s.judgePlannedStop(node, id, func() platformtest.Reply {
-			// A caller outlives the soak's end: what it asked is judged too.
+			// The call continues after the end of the soak, so that its outcome is judged too.
 			reply := platformtest.Send(context.WithoutCancel(ctx), platformtest.Call{
-				Node: node.link.address(), Method: http.MethodPost, Path: "/" + route + "/x", ID: id, Body: "prompt of " + id, Deadline: onlineDeadline, Keep: kept,
+				Node: node.callerLink.address(), Method: http.MethodPost, Path: "/" + route + "/x", ID: id, Body: "prompt of " + id, Deadline: onlineDeadline, Keep: transport,
 			})
-			s.judge.answered(requestRecord{id: id, route: route, reply: reply})
+			s.judge.addAnswer(requestRecord{id: id, route: route, reply: reply})
 			return reply
 		})
 	}
 }
 
-// quietBefore is how long before a request no fault may have struck for a
-// planned stop to be judged by it.
-const quietBefore = 4 * time.Second
+// quietPeriod is how long before a request no fault may have happened for the request to be judged
+// against a planned stop or a node's promises.
+const quietPeriod = 4 * time.Second
 
-// lossSlack is how long after a request was sent its connection may still end
-// without an answer, when no engine has got it: the process need not have read
-// it yet.
-const lossSlack = 200 * time.Millisecond
+// unreadSlack is how long after a request was sent its connection may still end without an answer
+// if no engine received the request, because the process may not have read it yet.
+const unreadSlack = 200 * time.Millisecond
 
-// judgePlannedStop makes a call; one that a planned stop cut, with no fault
-// near it, breaks a promise.
+// judgePlannedStop makes a call, and records a cut if a planned stop ended the call without an
+// answer and no fault was near.
 func (s *soak) judgePlannedStop(node *nodeProcess, id string, send func() platformtest.Reply) {
 	before := node.condition()
 	begun := time.Now()
@@ -85,41 +84,41 @@
 	if reply.Err == nil || !reply.Sent || before.state == nodeDead {
 		return
 	}
-	quiet := begun.Add(-quietBefore)
-	// The process's own end notes itself as a disturbance.
-	calm := before.disturbed.Before(quiet) && s.lastFault().Before(quiet) && after.life == before.life
-	planned := after.stopping.After(begun.Add(-stopGrace))
+	quiet := begun.Add(-quietPeriod)
+	// The end of the process is itself recorded as a disturbance.
+	calm := before.disturbed.Before(quiet) && s.lastFault().Before(quiet) && after.incarnation == before.incarnation
+	planned := after.stopSentAt.After(begun.Add(-stopTimeout))
 	if calm && planned {
 		elapsed := time.Since(begun)
-		s.judge.cut(id, elapsed > lossSlack, fmt.Sprintf("%s: %v after %v", node.name, reply.Err, elapsed))
+		s.judge.addCut(id, elapsed > unreadSlack, fmt.Sprintf("%s: %v after %v", node.name, reply.Err, elapsed))
 	}
 }
 
-// handIn sends jobs, each until a node takes it or the tries are used.
-func (s *soak) handIn(ctx context.Context, random *rand.Rand) {
+// submitJobs submits jobs, each until a node accepts it or the tries are used up.
+func (s *soak) submitJobs(ctx context.Context, random *rand.Rand) {
 	for wait.For(ctx, jobPause) {
 		job := &jobRecord{id: s.ids.next("j"), refused: true}
-		for range 1 + random.IntN(jobItems) {
+		for range 1 + random.IntN(maxJobItems) {
 			job.items = append(job.items, s.ids.next("i"))
 		}
-		s.judge.add(job)
-		s.tryJob(ctx, job, random)
-		if random.IntN(endShare) == 0 {
+		s.judge.addJob(job)
+		s.submitJob(ctx, job, random)
+		if random.IntN(jobEndInterval) == 0 {
 			s.endJob(ctx, job, random)
 		}
 	}
 }
 
-func (s *soak) tryJob(ctx context.Context, job *jobRecord, random *rand.Rand) {
-	for range jobTries {
+func (s *soak) submitJob(ctx context.Context, job *jobRecord, random *rand.Rand) {
+	for range maxJobTries {
 		node := s.nodes[random.IntN(len(s.nodes))]
-		reply := platformtest.Send(ctx, platformtest.HandIn(node.link.address(), job.id, job.items))
+		reply := platformtest.Send(ctx, platformtest.HandIn(node.callerLink.address(), job.id, job.items))
 		s.judge.mu.Lock()
-		job.taken = job.taken || (reply.Err == nil && reply.Status == http.StatusAccepted)
-		job.refused = job.refused && (reply.Err == nil && isPromise(reply.Status) || reply.Err != nil && !reply.Sent)
-		taken := job.taken
+		job.accepted = job.accepted || (reply.Err == nil && reply.Status == http.StatusAccepted)
+		job.refused = job.refused && (reply.Err == nil && promisesNotRun(reply.Status) || reply.Err != nil && !reply.Sent)
+		accepted := job.accepted
 		s.judge.mu.Unlock()
-		if taken || !wait.For(ctx, jobPause) {
+		if accepted || !wait.For(ctx, jobPause) {
 			return
 		}
 	}
@@ -127,9 +126,9 @@
 
 func (s *soak) endJob(ctx context.Context, job *jobRecord, random *rand.Rand) {
 	wait.For(ctx, time.Duration(random.IntN(400))*time.Millisecond)
-	for range jobTries {
+	for range maxJobTries {
 		node := s.nodes[random.IntN(len(s.nodes))]
-		reply := platformtest.Send(ctx, platformtest.End(node.link.address(), job.id))
+		reply := platformtest.Send(ctx, platformtest.End(node.callerLink.address(), job.id))
 		if reply.Err == nil && reply.Status == http.StatusOK {
 			s.judge.mu.Lock()
 			job.ended = time.Now()
@@ -137,32 +136,33 @@
 			return
 		}
 		s.judge.mu.Lock()
-		job.ended = time.Now().Add(time.Hour) // it may have ended: nothing is owed, and nothing is over
+		job.ended = time.Now().Add(time.Hour) // it may have ended: it need not be done, and its items may still run
 		s.judge.mu.Unlock()
 	}
 }
 
-// settled is how long after a job was taken all nodes must know it.
-const settled = time.Second
+// settleTime is how long after a job was accepted all nodes must know it.
+const settleTime = time.Second
 
-// read looks at jobs all the time, at any node and from any position.
-func (s *soak) read(ctx context.Context, random *rand.Rand) {
+// readJobs continually reads jobs at random nodes, from the start or from a random position.
+func (s *soak) readJobs(ctx context.Context, random *rand.Rand) {
 	for wait.For(ctx, readPause) {
-		if job := s.judge.pick(random.IntN(1 << 30)); job != nil {
-			s.readJob(ctx, job, s.nodes[random.IntN(len(s.nodes))], random.IntN(jobItems+1)*random.IntN(2), 0)
+		if job := s.judge.pickJob(random.IntN(1 << 30)); job != nil {
+			s.readJob(ctx, job, s.nodes[random.IntN(len(s.nodes))], random.IntN(maxJobItems+1)*random.IntN(2), 0)
 		}
 	}
 }
 
-// readJob reads a job at a node from a position on, and has what it gives for the first time
-// read at other nodes. The node may hold the answer until there is a result.
+// readJob reads a job at a node from a position on, and schedules reads at other nodes of what it
+// returns for the first time. The node may hold the answer for the given time until there is a
+// result.
 func (s *soak) readJob(ctx context.Context, job *jobRecord, node *nodeProcess, from int, hold time.Duration) {
 	before := node.condition()
 	sent := time.Now()
-	call := platformtest.Read(node.link.address(), job.id, from)
+	call := platformtest.Read(node.callerLink.address(), job.id, from)
 	call.Wait = hold
 	reply := platformtest.Send(ctx, call)
-	read := resultRead{node: node.name, from: from, sent: sent, answered: time.Now(), inTouch: s.inTouchThroughout(node, before, sent)}
+	read := resultRead{node: node.name, from: from, sent: sent, answered: time.Now(), undisturbed: s.undisturbedThroughout(node, before, sent)}
 	var results platformtest.Results
 	if reply.Err == nil {
 		read.status = reply.Status
@@ -170,35 +170,35 @@
 	switch read.status {
 	case http.StatusOK:
 		if err := json.Unmarshal([]byte(reply.Body), &results); err != nil {
-			s.judge.violate("whole_answer", job.id, fmt.Sprintf("results are no document: %v", err))
+			s.judge.recordViolation("whole_answer", job.id, fmt.Sprintf("results are no document: %v", err))
 			return
 		}
-		read.given = len(results.Results)
-		s.judge.read(job, from, results)
+		read.resultCount = len(results.Results)
+		s.judge.addResults(job, from, results)
 	case http.StatusNotFound, http.StatusGone:
-		s.judge.violate("taken_jobs_are_found", job.id, fmt.Sprintf("%s answered %d", node.name, reply.Status))
+		s.judge.recordViolation("taken_jobs_are_found", job.id, fmt.Sprintf("%s answered %d", node.name, reply.Status))
 	}
-	s.jump(ctx, job, node, s.judge.readAgain(job, read))
+	s.rereadElsewhere(ctx, job, node, s.judge.recordRead(job, read))
 }
 
-// probe asks a node for the route that the newest version added: once it has
-// been seen there, it stays for the life of the process, and it is there in
-// time where no fault struck.
-func (s *soak) probe(ctx context.Context, node *nodeProcess) {
-	seen := make(map[int]int) // newest version seen, by life
+// probeConfiguration calls the route that the newest version added. Once the route was seen, it
+// must stay for the incarnation of the process. It must also be in force in time if no fault
+// happened.
+func (s *soak) probeConfiguration(ctx context.Context, node *nodeProcess) {
+	seen := make(map[int]int) // newest version seen, by incarnation
 	for wait.For(ctx, probePause) {
-		version, written := s.newest()
+		version, written := s.newestVersion()
 		before := node.condition()
 		begun := time.Now()
 		reply := platformtest.Send(ctx, platformtest.Call{
-			Node: node.front, Method: http.MethodPost, Path: "/" + platformtest.ProbeRoute(version) + "/x", ID: s.ids.next("p"), Body: "probe", Deadline: time.Second,
+			Node: node.callerAddress, Method: http.MethodPost, Path: "/" + platformtest.ProbeRoute(version) + "/x", ID: s.ids.next("p"), Body: "probe", Deadline: time.Second,
 		})
 		after := node.condition()
-		newest, _ := s.newest()
-		if reply.Err != nil || before.life != after.life || newest != version {
+		newest, _ := s.newestVersion()
+		if reply.Err != nil || before.incarnation != after.incarnation || newest != version {
 			continue
 		}
-		life := before.life
+		life := before.incarnation
 		if reply.Status != http.StatusNotFound {
 			if reply.Status == http.StatusOK {
 				seen[life] = version
@@ -206,14 +206,14 @@
 			continue
 		}
 		if seen[life] >= version {
-			s.judge.violate("configuration_does_not_go_back", node.name, fmt.Sprintf("life %d: version %d", life, version))
+			s.judge.recordViolation("configuration_does_not_go_back", node.name, fmt.Sprintf("life %d: version %d", life, version))
 		}
-		quiet := begun.Add(-quietBefore)
-		if begun.Sub(written) > inForce && before.disturbed.Before(quiet) && s.lastFault().Before(quiet) {
-			s.judge.violate("configuration_in_force", node.name, fmt.Sprintf("version %d after %v", version, begun.Sub(written)))
+		quiet := begun.Add(-quietPeriod)
+		if begun.Sub(written) > configurationBound && before.disturbed.Before(quiet) && s.lastFault().Before(quiet) {
+			s.judge.recordViolation("configuration_in_force", node.name, fmt.Sprintf("version %d after %v", version, begun.Sub(written)))
 		}
 	}
 }
 
-// inForce is how long a version may take to be in force.
-const inForce = 2 * time.Second
+// configurationBound is how long a version may take to be in force on undisturbed nodes.
+const configurationBound = 2 * time.Second
