--- a/internal/bench/checker/checker.go
+++ b/internal/bench/checker/checker.go
@@ -121,14 +121,14 @@
 	}
 	for _, runs := range byEngine {
 		for _, online := range runs {
-			if online.Online && !online.Taken.IsZero() {
+			if online.Online && !online.Accepted.IsZero() {
 				c.onlineRun(online, runs)
 			}
 		}
 	}
 	for _, refusal := range c.evidence.Refusals {
-		if refusal.Online && refusal.Code == "saturated" && refusal.Batch > 0 {
-			c.violated(OnlineFirst, refusal.Name, "refused by %s as saturated beside %d batch sequences", refusal.Engine, refusal.Batch)
+		if refusal.Online && refusal.Code == "saturated" && refusal.RunningBatch > 0 {
+			c.violated(OnlineFirst, refusal.Name, "refused by %s as saturated beside %d batch sequences", refusal.Engine, refusal.RunningBatch)
 		}
 	}
 }
@@ -138,18 +138,18 @@
 	if until.IsZero() {
 		until = c.endOf(online)
 	}
-	deadline := c.waitDeadline(online.Engine, online.Taken)
+	deadline := c.waitDeadline(online.Engine, online.Accepted)
 	for _, batch := range onEngine {
 		if batch.Online || batch.Started.IsZero() || !batch.Started.Before(until) {
 			continue
 		}
-		if batch.Started.After(online.Taken) {
+		if batch.Started.After(online.Accepted) {
 			c.violated(OnlineFirst, online.Name, "waited on %s while batch %s was started before it", online.Engine, batch.Name)
 			return
 		}
 		if until.After(deadline) && c.endOf(batch).After(deadline) {
 			c.violated(OnlineFirst, online.Name, "waited %s on %s while batch %s ran there",
-				until.Sub(online.Taken).Round(time.Millisecond), online.Engine, batch.Name)
+				until.Sub(online.Accepted).Round(time.Millisecond), online.Engine, batch.Name)
 			return
 		}
 	}
@@ -250,7 +250,7 @@
 		if runs := c.evidence.RunsOf(name); len(runs) > 0 {
 			c.violated(NotRunTrue, name, "claimed not run, and %s took attempt %s", runs[0].Engine, runs[0].Attempt)
 		}
-		if slices.Contains(c.evidence.SiteRuns, name) {
+		if slices.Contains(c.evidence.OtherSiteRuns, name) {
 			c.violated(NotRunTrue, name, "claimed not run, and the other site took it")
 		}
 	}
@@ -261,7 +261,7 @@
 func (c *check) leavingGetsNone() {
 	for _, departure := range c.evidence.Departures {
 		for _, run := range c.evidence.Runs {
-			late := run.Taken.Sub(departure.At)
+			late := run.Accepted.Sub(departure.At)
 			if run.Engine == departure.Engine && late > LeavingGrace {
 				c.violated(LeavingGetsNone, departure.Engine, "took %s %s after the word", run.Name, late.Round(time.Millisecond))
 			}
@@ -284,7 +284,7 @@
 		}
 		for _, request := range c.evidence.Requests {
 			inFlight := request.Node == stop.Node && request.Sent.Before(stop.Ended) && request.Finished.After(stop.At)
-			cut := (request.End == ledger.EndFailed || request.End == ledger.EndUnknown) && !request.Left
+			cut := (request.End == ledger.EndFailed || request.End == ledger.EndUnknown) && !request.Abandoned
 			if inFlight && cut && !c.keyUnrecorded(request) {
 				c.violated(StopCutsNone, request.Name, "ended %s while node %d was stopping: %s", request.End, stop.Node, request.Error)
 			}
--- a/internal/bench/checker/checker_test.go
+++ b/internal/bench/checker/checker_test.go
@@ -26,7 +26,7 @@
 		Ended: at(20000),
 		Requests: []ledger.Request{
 			{Name: "a", Tenant: "t", Key: "k", Prompt: "pa", MaxTokens: 3, Node: 1, Sent: at(0), Finished: at(900), End: ledger.EndCompleted, Text: "pa*3"},
-			{Name: "a", Tenant: "t", Key: "k", Again: true, Prompt: "pa", MaxTokens: 3, Sent: at(1000), Finished: at(1100), End: ledger.EndCompleted, Text: "pa*3"},
+			{Name: "a", Tenant: "t", Key: "k", Resend: true, Prompt: "pa", MaxTokens: 3, Sent: at(1000), Finished: at(1100), End: ledger.EndCompleted, Text: "pa*3"},
 			{Name: "r", Tenant: "t", Prompt: "pr", MaxTokens: 3, Sent: at(0), Finished: at(10), End: ledger.EndRefused},
 		},
 		Jobs: []ledger.Job{
@@ -48,13 +48,13 @@
 			},
 		},
 		Runs: []ledger.Run{
-			{Engine: "e1", Attempt: "1", Name: "a", Online: true, Taken: at(200), Started: at(210), Finished: at(890), End: ledger.RunFinished},
-			{Engine: "e1", Attempt: "2", Name: "once-0", Taken: at(150), Started: at(160), Finished: at(1500), End: ledger.RunFinished},
-			{Engine: "e2", Attempt: "3", Name: "once-1", Taken: at(150), Started: at(160), Finished: at(1500), End: ledger.RunLost},
-			{Engine: "e1", Attempt: "4", Name: "stopped-0", Taken: at(150), Started: at(160), Finished: at(1300), End: ledger.RunCancelled},
+			{Engine: "e1", Attempt: "1", Name: "a", Online: true, Accepted: at(200), Started: at(210), Finished: at(890), End: ledger.RunFinished},
+			{Engine: "e1", Attempt: "2", Name: "once-0", Accepted: at(150), Started: at(160), Finished: at(1500), End: ledger.RunFinished},
+			{Engine: "e2", Attempt: "3", Name: "once-1", Accepted: at(150), Started: at(160), Finished: at(1500), End: ledger.RunLost},
+			{Engine: "e1", Attempt: "4", Name: "stopped-0", Accepted: at(150), Started: at(160), Finished: at(1300), End: ledger.RunCancelled},
 		},
 		Departures: []ledger.Departure{{Engine: "e1", At: at(500)}},
-		Stops:      []ledger.NodeStop{{Node: 1, At: at(500), Ended: at(950), Back: at(1500), Planned: true}},
+		Stops:      []ledger.NodeStop{{Node: 1, At: at(500), Ended: at(950), Ready: at(1500), Planned: true}},
 		Edits:      []ledger.Edit{{Row: "row", Revision: 7, Accepted: at(8000)}},
 		Sightings: []ledger.Sighting{
 			{At: at(7000), Node: 0, Row: "row", Revision: 5},
@@ -83,18 +83,18 @@
 	}},
 	{"work that a paused node could not stop", func(e *ledger.Evidence) {
 		e.Disturbances = []ledger.Disturbance{{At: at(900), Until: at(6000), Node: "n1"}}
-		e.Runs[3].From, e.Runs[3].Finished = "n1", at(7900)
+		e.Runs[3].NodeHost, e.Runs[3].Finished = "n1", at(7900)
 	}},
 	{"work that a lost node left on an engine", func(e *ledger.Evidence) {
 		e.Disturbances = []ledger.Disturbance{{At: at(900), Until: at(1000), Node: "n1", Lost: true}}
-		e.Runs[3].From, e.Runs[3].Finished = "n1", at(9000)
+		e.Runs[3].NodeHost, e.Runs[3].Finished = "n1", at(9000)
 	}},
 	{"online on an engine that stands still", func(e *ledger.Evidence) {
 		e.Disturbances = []ledger.Disturbance{{At: at(5), Until: at(550), Engine: "e1"}}
 		e.Runs[0].Started = at(600)
 	}},
 	{"an item whose answer was lost with its engine and its node", func(e *ledger.Evidence) {
-		e.Runs[2].End, e.Runs[2].From = ledger.RunFinished, "n1"
+		e.Runs[2].End, e.Runs[2].NodeHost = ledger.RunFinished, "n1"
 		e.Disturbances = []ledger.Disturbance{
 			{At: at(1600), Until: at(1700), Engine: "e2", Lost: true}, {At: at(1400), Until: at(1700), Node: "n1", Lost: true},
 		}
@@ -116,7 +116,7 @@
 		e.Runs[0].Started = at(415)
 	}},
 	{"a caller that went away from a stopping node", func(e *ledger.Evidence) {
-		e.Requests[0].End, e.Requests[0].Left = ledger.EndUnknown, true
+		e.Requests[0].End, e.Requests[0].Abandoned = ledger.EndUnknown, true
 	}},
 }
 
@@ -160,11 +160,11 @@
 	{"a job that became two", checker.ItemOnce, func(e *ledger.Evidence) { e.Jobs[0].ResentIDs[0] = "j9" }},
 	{"unknown without a lost engine", checker.ItemOnce, func(e *ledger.Evidence) { e.Runs[2].End = ledger.RunFinished }},
 	{"unknown though its node had the answer", checker.ItemOnce, func(e *ledger.Evidence) {
-		e.Runs[2].End, e.Runs[2].From = ledger.RunFinished, "n1"
+		e.Runs[2].End, e.Runs[2].NodeHost = ledger.RunFinished, "n1"
 		e.Disturbances = []ledger.Disturbance{{At: at(1600), Until: at(1700), Engine: "e2", Lost: true}}
 	}},
 	{"unknown though its engine had the answer", checker.ItemOnce, func(e *ledger.Evidence) {
-		e.Runs[2].End, e.Runs[2].From = ledger.RunFinished, "n1"
+		e.Runs[2].End, e.Runs[2].NodeHost = ledger.RunFinished, "n1"
 		e.Disturbances = []ledger.Disturbance{{At: at(1400), Until: at(1700), Node: "n1", Lost: true}}
 	}},
 	{"unknown on an engine that hung and was not lost", checker.ItemOnce, func(e *ledger.Evidence) {
@@ -184,14 +184,14 @@
 	}},
 	{"online waits behind batch", checker.OnlineFirst, func(e *ledger.Evidence) { e.Runs[0].Started = at(600) }},
 	{"batch is started before online that waits", checker.OnlineFirst, func(e *ledger.Evidence) {
-		e.Runs[1].Taken, e.Runs[1].Started = at(203), at(205)
+		e.Runs[1].Accepted, e.Runs[1].Started = at(203), at(205)
 	}},
 	{"online waits behind batch besides short standstills", checker.OnlineFirst, func(e *ledger.Evidence) {
 		e.Standstills = []ledger.Standstill{{From: at(300), Until: at(340), Engine: "e1"}, {From: at(30), Until: at(60), Engine: "e1"}}
 		e.Runs[0].Started = at(420)
 	}},
 	{"online refused beside batch", checker.OnlineFirst, func(e *ledger.Evidence) {
-		e.Refusals = []ledger.EngineRefusal{{At: at(300), Engine: "e1", Name: "a", Online: true, Code: "saturated", Batch: 2}}
+		e.Refusals = []ledger.EngineRefusal{{At: at(300), Engine: "e1", Name: "a", Online: true, Code: "saturated", RunningBatch: 2}}
 	}},
 	{"another request's answer", checker.OwnAnswer, func(e *ledger.Evidence) {
 		e.Requests[0].Text, e.Requests[1].Text = "pr*3", "pr*3"
@@ -205,9 +205,9 @@
 		}
 	}},
 	{"refused and run", checker.NotRunTrue, func(e *ledger.Evidence) {
-		e.Runs = append(e.Runs, ledger.Run{Engine: "e2", Name: "r", Online: true, Taken: at(5), Started: at(6), Finished: at(7)})
+		e.Runs = append(e.Runs, ledger.Run{Engine: "e2", Name: "r", Online: true, Accepted: at(5), Started: at(6), Finished: at(7)})
 	}},
-	{"refused and run at the other site", checker.NotRunTrue, func(e *ledger.Evidence) { e.SiteRuns = []string{"r"} }},
+	{"refused and run at the other site", checker.NotRunTrue, func(e *ledger.Evidence) { e.OtherSiteRuns = []string{"r"} }},
 	{"an item run twice", checker.RunOnce, func(e *ledger.Evidence) {
 		again := e.Runs[1]
 		again.Engine, again.Attempt = "e2", "9"
@@ -215,7 +215,7 @@
 	}},
 	{"new work on a leaving engine", checker.LeavingGetsNone, func(e *ledger.Evidence) {
 		late := e.Runs[0]
-		late.Taken, late.Started, late.Finished = at(2600), at(2601), at(2700)
+		late.Accepted, late.Started, late.Finished = at(2600), at(2601), at(2700)
 		e.Runs = append(e.Runs, late)
 	}},
 	{"new work sent to a leaving engine that refuses it", checker.LeavingGetsNone, func(e *ledger.Evidence) {
@@ -231,15 +231,15 @@
 	}},
 	{"work after a cancel that a paused node heard late", checker.CancelStops, func(e *ledger.Evidence) {
 		e.Disturbances = []ledger.Disturbance{{At: at(900), Until: at(6000), Node: "n1"}}
-		e.Runs[3].From, e.Runs[3].Finished = "n1", at(8100)
+		e.Runs[3].NodeHost, e.Runs[3].Finished = "n1", at(8100)
 	}},
 	{"work after a cancel while another node was paused", checker.CancelStops, func(e *ledger.Evidence) {
 		e.Disturbances = []ledger.Disturbance{{At: at(900), Until: at(6000), Node: "n1"}}
-		e.Runs[3].From, e.Runs[3].Finished = "n2", at(3200)
+		e.Runs[3].NodeHost, e.Runs[3].Finished = "n2", at(3200)
 	}},
 	{"work that began on a new node after a cancel", checker.CancelStops, func(e *ledger.Evidence) {
 		e.Disturbances = []ledger.Disturbance{{At: at(900), Until: at(1000), Node: "n1", Lost: true}}
-		e.Runs[3].From, e.Runs[3].Taken, e.Runs[3].Finished = "n1", at(2000), at(3200)
+		e.Runs[3].NodeHost, e.Runs[3].Accepted, e.Runs[3].Finished = "n1", at(2000), at(3200)
 	}},
 	{"online waits behind batch after a standstill", checker.OnlineFirst, func(e *ledger.Evidence) {
 		e.Disturbances = []ledger.Disturbance{{At: at(5), Until: at(200), Engine: "e1"}}
--- a/internal/bench/checker/jobs.go
+++ b/internal/bench/checker/jobs.go
@@ -71,13 +71,13 @@
 
 func (c *check) engineLostAfter(run ledger.Run) bool {
 	return slices.ContainsFunc(c.evidence.Disturbances, func(d ledger.Disturbance) bool {
-		return d.Lost && d.Engine == run.Engine && d.At.After(run.Taken)
+		return d.Lost && d.Engine == run.Engine && d.At.After(run.Accepted)
 	})
 }
 
 func (c *check) nodeDisturbed(run ledger.Run) bool {
 	return slices.ContainsFunc(c.evidence.Disturbances, func(d ledger.Disturbance) bool {
-		return run.From != "" && d.Node == run.From && d.Until.After(run.Taken)
+		return run.NodeHost != "" && d.Node == run.NodeHost && d.Until.After(run.Accepted)
 	})
 }
 
@@ -157,11 +157,11 @@
 func (c *check) cancelDeadline(job ledger.Job, run ledger.Run) (deadline time.Time, bounded bool) {
 	deadline = job.CancelAnswered.Add(CancelGrace)
 	for _, disturbance := range c.evidence.Disturbances {
-		concerned := disturbance.Engine == run.Engine || (run.From != "" && disturbance.Node == run.From)
-		if !concerned || disturbance.At.After(deadline) || disturbance.Until.Before(run.Taken) {
+		concerned := disturbance.Engine == run.Engine || (run.NodeHost != "" && disturbance.Node == run.NodeHost)
+		if !concerned || disturbance.At.After(deadline) || disturbance.Until.Before(run.Accepted) {
 			continue
 		}
-		if disturbance.Lost && disturbance.Node != "" && !run.Taken.After(disturbance.Until) {
+		if disturbance.Lost && disturbance.Node != "" && !run.Accepted.After(disturbance.Until) {
 			return time.Time{}, false
 		}
 		if end := disturbance.Until.Add(CancelGrace); end.After(deadline) {
@@ -227,7 +227,7 @@
 // downAt tells whether a node was stopped at a time, or within the bound after it.
 func (c *check) downAt(node int, at time.Time) bool {
 	return slices.ContainsFunc(c.evidence.Stops, func(stop ledger.NodeStop) bool {
-		return stop.Node == node && stop.At.Before(at.Add(EditBound)) && (stop.Back.IsZero() || stop.Back.After(at))
+		return stop.Node == node && stop.At.Before(at.Add(EditBound)) && (stop.Ready.IsZero() || stop.Ready.After(at))
 	})
 }
 
--- a/internal/bench/client/jobs.go
+++ b/internal/bench/client/jobs.go
@@ -41,7 +41,7 @@
 	}
 	follow := follower{client: c, node: planned.Node, job: &record, planned: planned}
 	if follow.submit(ctx) {
-		if planned.Resent {
+		if planned.SubmitTwice {
 			follow.submitAgain(ctx)
 		}
 		if planned.CancelAfter > 0 && wait.Until(ctx, record.Accepted.Add(planned.CancelAfter)) {
--- a/internal/bench/client/online.go
+++ b/internal/bench/client/online.go
@@ -41,7 +41,7 @@
 	ctx, cancel := context.WithTimeout(ctx, longestRequest)
 	defer cancel()
 	record := ledger.Request{
-		Name: request.Name, Class: request.Class, Tenant: request.Tenant, Key: request.Key, Again: request.Again,
+		Name: request.Name, Class: request.Class, Tenant: request.Tenant, Key: request.Key, Resend: request.Resend,
 		Prompt: request.Prompt, MaxTokens: request.MaxTokens, Node: request.Node, Scheduled: c.started.Add(request.At),
 	}
 	for range c.directory.Nodes() {
@@ -52,7 +52,7 @@
 		record.Node = (record.Node + 1) % c.directory.Nodes()
 	}
 	record.Finished = time.Now()
-	record.Left = caller.Err() != nil && record.End == ledger.EndUnknown
+	record.Abandoned = caller.Err() != nil && record.End == ledger.EndUnknown
 	c.ledger.AddRequest(record)
 }
 
@@ -93,7 +93,7 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	record.Status = answer.StatusCode
-	record.Served = answer.Header.Get("X-Request-Id")
+	record.RequestID = answer.Header.Get("X-Request-Id")
 	if answer.StatusCode != http.StatusOK {
 		read := readRefusal(answer.Body)
 		record.End, record.Code, record.Error = read.endOf(), read.Code, read.Message
--- a/internal/bench/faults/cell.go
+++ b/internal/bench/faults/cell.go
@@ -277,13 +277,13 @@
 	since := time.Since(c.started)
 	for _, request := range c.plan.Requests {
 		if request.Key != "" && request.At <= since {
-			request.At, request.Again, request.Node = 0, true, (request.Node+2)%c.fleet.Nodes()
+			request.At, request.Resend, request.Node = 0, true, (request.Node+2)%c.fleet.Nodes()
 			again.Requests = append(again.Requests, request)
 		}
 	}
 	for _, job := range c.plan.Jobs {
 		if job.At <= since && job.CancelAfter == 0 {
-			job.At, job.Resent, job.Node = 0, false, (job.Node+1)%c.fleet.Nodes()
+			job.At, job.SubmitTwice, job.Node = 0, false, (job.Node+1)%c.fleet.Nodes()
 			again.Jobs = append(again.Jobs, job)
 		}
 	}
--- a/internal/bench/faults/faults.go
+++ b/internal/bench/faults/faults.go
@@ -87,7 +87,7 @@
 		c.noteFailure("start", c.fleet.startNode(node))
 	}
 	c.noteFailure("ready", c.fleet.awaitReady(c.ctx, node))
-	stopped.Back = time.Now()
+	stopped.Ready = time.Now()
 	c.records.AddStop(stopped)
 }
 
@@ -129,9 +129,9 @@
 
 // backAgain records the end of a time in which a node could not be reached.
 func (c *cell) backAgain(away ledger.NodeStop, host netip.Addr) {
-	away.Ended, away.Back = time.Now(), time.Now()
+	away.Ended, away.Ready = time.Now(), time.Now()
 	c.records.AddStop(away)
-	c.records.AddDisturbance(ledger.Disturbance{At: away.At, Until: away.Back, Node: host.String()})
+	c.records.AddDisturbance(ledger.Disturbance{At: away.At, Until: away.Ready, Node: host.String()})
 }
 
 // lost records that a node's process is gone with all that it knew.
--- a/internal/bench/faults/judge.go
+++ b/internal/bench/faults/judge.go
@@ -133,14 +133,14 @@
 		if entry.Refused != "" {
 			into.Refusals = append(into.Refusals, ledger.EngineRefusal{
 				At: entry.OfferedAt, Engine: entry.Engine, Name: name, Online: online, Code: entry.Refused,
-				Batch: entry.BatchRunning, Waiting: entry.Queued,
+				RunningBatch: entry.BatchRunning, Queued: entry.Queued,
 			})
 			continue
 		}
 		into.Runs = append(into.Runs, ledger.Run{
-			Engine: entry.Engine, Attempt: entry.Attempt, Name: name, Online: online, Kept: entry.Kept,
-			Taken: entry.OfferedAt, Started: entry.StartedAt, Finished: entry.EndedAt, End: engineledger.RunEnd(entry.End), Tokens: entry.Tokens,
-			From: entry.From,
+			Engine: entry.Engine, Attempt: entry.Attempt, Name: name, Online: online, KeptTokens: entry.Kept,
+			Accepted: entry.OfferedAt, Started: entry.StartedAt, Finished: entry.EndedAt, End: engineledger.RunEnd(entry.End), Tokens: entry.Tokens,
+			NodeHost: entry.From,
 		})
 	}
 	into.Ended = time.Now()
--- a/internal/bench/faults/plan.go
+++ b/internal/bench/faults/plan.go
@@ -41,13 +41,13 @@
 		}
 		request.Key = "key-" + request.Name
 		again := request
-		again.At, again.Node, again.Again = at+resendAfter, (request.Node+1)%len(zones), true
+		again.At, again.Node, again.Resend = at+resendAfter, (request.Node+1)%len(zones), true
 		plan.Requests = append(plan.Requests, request, again)
 	}
 	sortRequests(plan.Requests)
 	for round, at := range []time.Duration{time.Second, 8 * time.Second} {
 		plan.Jobs = append(plan.Jobs,
-			makeJob(source, workload.Job{At: at, Key: fmt.Sprintf("repeat-%d", round), Repeatable: true, Resent: true}, 20, 60),
+			makeJob(source, workload.Job{At: at, Key: fmt.Sprintf("repeat-%d", round), Repeatable: true, SubmitTwice: true}, 20, 60),
 			makeJob(source, workload.Job{At: at + 200*time.Millisecond, Key: fmt.Sprintf("once-%d", round)}, 12, 60),
 			makeJob(source, workload.Job{
 				At: at + 400*time.Millisecond, Key: fmt.Sprintf("cancelled-%d", round), Repeatable: true, CancelAfter: 1500 * time.Millisecond,
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -60,8 +60,8 @@
 // EngineConfig is the engine model of a scenario.
 func EngineConfig(from scenario.Scenario) emulator.EngineConfig {
 	config := emulator.DefaultEngineConfig()
-	if from.EnginePlaces > 0 {
-		config.MaxRunning = from.EnginePlaces
+	if from.EngineSlots > 0 {
+		config.MaxRunning = from.EngineSlots
 	}
 	return config
 }
@@ -248,11 +248,11 @@
 func Model(from scenario.Scenario, stand *emulator.Fleet) measure.EngineModel {
 	engine := EngineConfig(from)
 	model := measure.EngineModel{
-		Places: map[string]int{}, PrefixTokens: map[string]int{},
+		Slots: map[string]int{}, PrefixTokens: map[string]int{},
 		StepBase: engine.StepBase, StepPerSequence: engine.StepPerSequence, StepPerPrefill: engine.StepPerPrefill,
 	}
 	for _, engine := range stand.Engines {
-		model.Places[engine.ID()] = engine.MaxRunning()
+		model.Slots[engine.ID()] = engine.MaxRunning()
 	}
 	for _, stream := range from.Batch {
 		model.PrefixTokens[stream.Name] = stream.Prefixes.Tokens
@@ -274,7 +274,7 @@
 	fillRefusals(into)
 	for _, run := range stand.Site.Runs() {
 		if !run.Forwarded {
-			into.SiteRuns = append(into.SiteRuns, names[run.PromptHash])
+			into.OtherSiteRuns = append(into.OtherSiteRuns, names[run.PromptHash])
 		}
 	}
 	into.Ended = time.Now()
@@ -290,8 +290,8 @@
 		return
 	}
 	into.Runs = append(into.Runs, ledger.Run{
-		Engine: engine, Attempt: entry.Attempt, Name: name, Online: online, Kept: entry.Kept,
-		Taken: entry.OfferedAt, Started: entry.StartedAt, FirstToken: entry.FirstTokenAt, Finished: entry.EndedAt,
+		Engine: engine, Attempt: entry.Attempt, Name: name, Online: online, KeptTokens: entry.Kept,
+		Accepted: entry.OfferedAt, Started: entry.StartedAt, FirstToken: entry.FirstTokenAt, Finished: entry.EndedAt,
 		End: engineledger.RunEnd(entry.End), Tokens: entry.Tokens, Preemptions: entry.Preemptions,
 	})
 }
@@ -303,7 +303,7 @@
 		for _, run := range into.Runs {
 			running := !run.Started.IsZero() && run.Started.Before(refusal.At) && (run.Finished.IsZero() || run.Finished.After(refusal.At))
 			if run.Engine == refusal.Engine && !run.Online && running {
-				refusal.Batch++
+				refusal.RunningBatch++
 			}
 		}
 	}
--- a/internal/bench/ledger/ledger.go
+++ b/internal/bench/ledger/ledger.go
@@ -25,7 +25,7 @@
 	Class     string
 	Tenant    string
 	Key       string
-	Again     bool
+	Resend    bool
 	Prompt    string
 	MaxTokens int
 	Node      int
@@ -36,13 +36,13 @@
 	Finished   time.Time
 	TokenTimes []time.Time
 
-	Status int    // HTTP; zero: no answer
-	Code   string // of a refusal
-	End    End
-	Text   string
-	Error  string
-	Served string // the request id that the node answered with
-	Left   bool   // the caller went away before the end
+	Status    int    // HTTP; zero: no answer
+	Code      string // of a refusal
+	End       End
+	Text      string
+	Error     string
+	RequestID string // the request id that the node answered with
+	Abandoned bool   // the caller went away before the end
 }
 
 // Result is one line of a job's results as its client read it.
@@ -120,21 +120,21 @@
 
 // Run is an attempt as the engine that took it recorded it.
 type Run struct {
-	Engine  string
-	Attempt string
-	Name    string // found in the prompt
-	Online  bool
-	Kept    int // tokens that the attempt started with
-	Taken   time.Time
-	Started time.Time // when it entered the running batch; zero: never
+	Engine     string
+	Attempt    string
+	Name       string // found in the prompt
+	Online     bool
+	KeptTokens int // tokens that the attempt started with
+	Accepted   time.Time
+	Started    time.Time // when it entered the running batch; zero: never
 	// FirstToken is when the engine made its first token here; zero: none.
 	FirstToken  time.Time
 	Finished    time.Time // zero while open
 	End         RunEnd
 	Tokens      int // produced here
 	Preemptions int // by the engine itself
-	// From is the host of the node that sent it; empty: not told apart.
-	From string
+	// NodeHost is the host of the node that sent it; empty: not told apart.
+	NodeHost string
 }
 
 // Standstill is a time in which the machine that runs the bench did not let an
@@ -160,13 +160,13 @@
 
 // EngineRefusal is a request that an engine did not take.
 type EngineRefusal struct {
-	At      time.Time
-	Engine  string
-	Name    string
-	Online  bool
-	Code    string
-	Batch   int // batch sequences that it was running then
-	Waiting int
+	At           time.Time
+	Engine       string
+	Name         string
+	Online       bool
+	Code         string
+	RunningBatch int // batch sequences that it was running then
+	Queued       int
 }
 
 // Departure is an engine that was told to take no new work.
@@ -180,7 +180,7 @@
 	Node    int
 	At      time.Time
 	Ended   time.Time
-	Back    time.Time // ready again
+	Ready   time.Time // ready again
 	Planned bool
 }
 
@@ -240,17 +240,17 @@
 
 // Evidence is everything known of a run once it has ended.
 type Evidence struct {
-	Requests   []Request
-	Jobs       []Job
-	Edits      []Edit
-	Sightings  []Sighting
-	Departures []Departure
-	Stops      []NodeStop
-	Runs       []Run
-	Refusals   []EngineRefusal
-	SiteRuns   []string // names that the other site ran
-	Nodes      int
-	Ended      time.Time
+	Requests      []Request
+	Jobs          []Job
+	Edits         []Edit
+	Sightings     []Sighting
+	Departures    []Departure
+	Stops         []NodeStop
+	Runs          []Run
+	Refusals      []EngineRefusal
+	OtherSiteRuns []string // names that the other site ran
+	Nodes         int
+	Ended         time.Time
 	// Interrupted: the run was broken off, and jobs were not followed to their end.
 	Interrupted bool
 	// Disturbances bound what can be asked of the machines that they name.
--- a/internal/bench/measure/ideal.go
+++ b/internal/bench/measure/ideal.go
@@ -9,7 +9,7 @@
 
 // EngineModel is the stand-ins' own timing.
 type EngineModel struct {
-	Places          map[string]int // sequences that fit at once, by engine
+	Slots           map[string]int // sequences that fit at once, by engine
 	StepBase        time.Duration
 	StepPerSequence time.Duration
 	StepPerPrefill  time.Duration
@@ -47,7 +47,7 @@
 		return Ideal{}
 	}
 	total := 0
-	for _, places := range engines.Places {
+	for _, places := range engines.Slots {
 		total += places
 	}
 	machine := idealMachine{engines: engines, places: total, online: onlineBusy(evidence)}
@@ -148,7 +148,7 @@
 
 // advance gives the first room items the tokens of one tick.
 func (m idealMachine) advance(active []idealItem, room, online int, prefill time.Duration) []idealItem {
-	count := len(m.engines.Places)
+	count := len(m.engines.Slots)
 	moving := min(room, len(active))
 	perEngine := float64(moving+online) / float64(count)
 	step := m.engines.StepBase + time.Duration(perEngine*float64(m.engines.StepPerSequence))
--- a/internal/bench/measure/measure.go
+++ b/internal/bench/measure/measure.go
@@ -16,7 +16,7 @@
 // off each request's time to give what a node adds.
 func OnlineFigures(evidence ledger.Evidence, directOverhead time.Duration) report.Online {
 	var figures report.Online
-	first, between, added := report.NewMilliseconds(), report.NewMilliseconds(), report.NewMilliseconds()
+	first, between, added := report.NewDurationHistogram(), report.NewDurationHistogram(), report.NewDurationHistogram()
 	engineTime := engineTimes(evidence)
 	for _, request := range evidence.Requests {
 		figures.Requests++
@@ -30,7 +30,7 @@
 		default:
 			figures.Unknown++
 		}
-		if request.End != ledger.EndCompleted || request.Again || request.FirstToken.IsZero() {
+		if request.End != ledger.EndCompleted || request.Resend || request.FirstToken.IsZero() {
 			continue
 		}
 		first.Add(request.FirstToken.Sub(request.Scheduled))
@@ -62,7 +62,7 @@
 	for _, run := range evidence.Runs {
 		taken[run.Name]++
 		if run.Online && !run.FirstToken.IsZero() {
-			times[run.Name] = run.FirstToken.Sub(run.Taken)
+			times[run.Name] = run.FirstToken.Sub(run.Accepted)
 		}
 	}
 	for _, refusal := range evidence.Refusals {
@@ -156,10 +156,10 @@
 // yields gives, for each online request that met an engine whose places were
 // all taken, some of them by batch, the time from the caller's send until the
 // engine had stopped a batch sequence for it.
-func yields(evidence ledger.Evidence, engines EngineModel) report.Milliseconds {
+func yields(evidence ledger.Evidence, engines EngineModel) report.DurationHistogram {
 	sent := map[string]time.Time{}
 	for _, request := range evidence.Requests {
-		if !request.Again {
+		if !request.Resend {
 			sent[request.Name] = request.Sent
 		}
 	}
@@ -167,14 +167,14 @@
 	for _, run := range evidence.Runs {
 		byEngine[run.Engine] = append(byEngine[run.Engine], run)
 	}
-	all := report.NewMilliseconds()
+	all := report.NewDurationHistogram()
 	for engine, runs := range byEngine {
 		for _, online := range runs {
 			if !online.Online || online.Started.IsZero() {
 				continue
 			}
-			running, batch := runningAt(runs, online.Taken)
-			if running >= engines.Places[engine] && batch > 0 {
+			running, batch := runningAt(runs, online.Accepted)
+			if running >= engines.Slots[engine] && batch > 0 {
 				all.Add(online.Started.Sub(sent[online.Name]))
 			}
 		}
@@ -198,7 +198,7 @@
 // ConfigFigures gives how long accepted edits took to be in force everywhere.
 func ConfigFigures(evidence ledger.Evidence) report.Config {
 	figures := report.Config{Edits: len(evidence.Edits)}
-	all := report.NewMilliseconds()
+	all := report.NewDurationHistogram()
 	for _, edit := range evidence.Edits {
 		slowest, everywhere := time.Duration(0), false
 		for node := range evidence.Nodes {
--- a/internal/bench/measure/measure_test.go
+++ b/internal/bench/measure/measure_test.go
@@ -16,7 +16,7 @@
 
 // engines is one engine of four places that makes a token of each sequence in
 // 20 ms whatever its fill.
-var engines = measure.EngineModel{Places: map[string]int{"e": 4}, StepBase: 20 * time.Millisecond}
+var engines = measure.EngineModel{Slots: map[string]int{"e": 4}, StepBase: 20 * time.Millisecond}
 
 func jobOf(items, tokens int) ledger.Job {
 	job := ledger.Job{Key: "j", ID: "j", Accepted: at(0), Deadline: at(60000), Repeatable: true}
@@ -76,7 +76,7 @@
 		evidence.Runs = append(evidence.Runs, run)
 	}
 	evidence.Runs = append(evidence.Runs, ledger.Run{
-		Engine: "e", Name: "o", Online: true, Taken: at(1005), Started: at(1020), FirstToken: at(1060), Finished: at(2000), End: ledger.RunFinished,
+		Engine: "e", Name: "o", Online: true, Accepted: at(1005), Started: at(1020), FirstToken: at(1060), Finished: at(2000), End: ledger.RunFinished,
 	})
 	evidence.Requests = []ledger.Request{{
 		Name: "o", Scheduled: at(995), Sent: at(1000), FirstToken: at(1062), End: ledger.EndCompleted,
--- a/internal/bench/measure/series.go
+++ b/internal/bench/measure/series.go
@@ -14,7 +14,7 @@
 func Points(evidence ledger.Evidence, started time.Time) []report.Point {
 	var points []report.Point
 	for _, request := range evidence.Requests {
-		if request.End != ledger.EndCompleted || request.Again || request.FirstToken.IsZero() {
+		if request.End != ledger.EndCompleted || request.Resend || request.FirstToken.IsZero() {
 			continue
 		}
 		point := report.Point{
@@ -41,7 +41,7 @@
 	}
 	slots := make([]report.Slots, int(length/slotInterval)+1)
 	total := 0
-	for _, places := range engines.Places {
+	for _, places := range engines.Slots {
 		total += places
 	}
 	for i := range slots {
--- a/internal/bench/naive/naive.go
+++ b/internal/bench/naive/naive.go
@@ -24,7 +24,7 @@
 // Engine is one engine and the number of sequences that it runs at once.
 type Engine struct {
 	Engine backend.Engine
-	Places int
+	Slots  int
 }
 
 // System is a number of naive nodes over one set of engines.
@@ -62,7 +62,7 @@
 		s.queues = append(s.queues, made)
 	}
 	for i, engine := range engines {
-		for range engine.Places {
+		for range engine.Slots {
 			s.tasks.Go(func() { s.serve(s.queues[i%nodes], engine.Engine) })
 		}
 	}
@@ -151,7 +151,7 @@
 		}
 	})
 	for _, request := range plan.Requests {
-		if request.Again {
+		if request.Resend {
 			continue
 		}
 		if !wait.Until(ctx, started.Add(request.At)) {
--- a/internal/bench/operator/operator.go
+++ b/internal/bench/operator/operator.go
@@ -117,7 +117,7 @@
 	if err == nil {
 		err = o.fleet.AwaitReady(ctx, node)
 	}
-	stop.Back = time.Now()
+	stop.Ready = time.Now()
 	o.ledger.AddStop(stop)
 	return err
 }
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -119,23 +119,23 @@
 	RulesNot   []string                  `json:"rules_not_met"`
 }
 
-// Milliseconds collects a distribution of durations.
-type Milliseconds struct{ histogram *hdrhistogram.Histogram }
+// DurationHistogram collects a distribution of durations.
+type DurationHistogram struct{ histogram *hdrhistogram.Histogram }
 
-// NewMilliseconds makes an empty distribution from 1 µs to ten minutes.
-func NewMilliseconds() Milliseconds {
+// NewDurationHistogram makes an empty distribution from 1 µs to ten minutes.
+func NewDurationHistogram() DurationHistogram {
 	const significantFigures = 3
-	return Milliseconds{hdrhistogram.New(1, (10 * time.Minute).Microseconds(), significantFigures)}
+	return DurationHistogram{hdrhistogram.New(1, (10 * time.Minute).Microseconds(), significantFigures)}
 }
 
 // Add records a duration; what is outside the range counts as its bound.
-func (m Milliseconds) Add(duration time.Duration) {
+func (m DurationHistogram) Add(duration time.Duration) {
 	value := min(max(1, duration.Microseconds()), m.histogram.HighestTrackableValue())
 	_ = m.histogram.RecordValue(value) // the value is within the range
 }
 
 // Quantiles gives the distribution's quantiles.
-func (m Milliseconds) Quantiles() Quantiles {
+func (m DurationHistogram) Quantiles() Quantiles {
 	at := func(percent float64) float64 { return float64(m.histogram.ValueAtQuantile(percent)) / 1000 }
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), Count: int(m.histogram.TotalCount())}
 }
--- a/internal/bench/runner/phase.go
+++ b/internal/bench/runner/phase.go
@@ -154,7 +154,7 @@
 		if !found {
 			return Phase{}, fmt.Errorf("naive: no engine %s", machine.ID)
 		}
-		engines = append(engines, naive.Engine{Engine: clients.Engines.Engine(machine), Places: engine.MaxRunning()})
+		engines = append(engines, naive.Engine{Engine: clients.Engines.Engine(machine), Slots: engine.MaxRunning()})
 	}
 	settings.awaitBegin(ctx)
 	settings.awaitBegin(ctx) // the idle cost has been measured
--- a/internal/bench/scenario/scenario.go
+++ b/internal/bench/scenario/scenario.go
@@ -27,14 +27,14 @@
 	Pool        string        `yaml:"pool"`
 	Model       string        `yaml:"model"`
 	Engines     []EngineGroup `yaml:"engines"`
-	// EnginePlaces is the number of sequences that the reference engine runs
+	// EngineSlots is the number of sequences that the reference engine runs
 	// at once; zero: the stand-in's default.
-	EnginePlaces int          `yaml:"engine_places"`
-	Online       []Online     `yaml:"online"`
-	Batch        []Batch      `yaml:"batch"`
-	Rows         []policy.Row `yaml:"rows"`
-	Actions      []Action     `yaml:"actions"`
-	Rules        Rules        `yaml:"rules"`
+	EngineSlots int          `yaml:"engine_places"`
+	Online      []Online     `yaml:"online"`
+	Batch       []Batch      `yaml:"batch"`
+	Rows        []policy.Row `yaml:"rows"`
+	Actions     []Action     `yaml:"actions"`
+	Rules       Rules        `yaml:"rules"`
 }
 
 // EngineGroup is a number of engines of one size, spread over the zones.
--- a/internal/bench/workload/workload.go
+++ b/internal/bench/workload/workload.go
@@ -25,8 +25,8 @@
 	Prompt    string
 	MaxTokens int
 	Node      int // the node that the caller speaks to
-	// Again marks the second send of a keyed request.
-	Again bool
+	// Resend marks the second send of a keyed request.
+	Resend bool
 }
 
 // Job is one batch job to be submitted.
@@ -39,7 +39,7 @@
 	Repeatable  bool
 	Deadline    time.Duration // after the submission
 	CancelAfter time.Duration // zero: never
-	Resent      bool
+	SubmitTwice bool
 	Node        int
 }
 
@@ -120,7 +120,7 @@
 			again := request
 			again.At += stream.ResendAfter
 			again.Node = (request.Node + 1) % len(from.Zones)
-			again.Again = true
+			again.Resend = true
 			all = append(all, again)
 		}
 	}
@@ -144,8 +144,8 @@
 				At: at + time.Duration(source.IntN(100))*time.Millisecond, Key: key, Class: stream.Name,
 				Tenant:     stream.Tenants[source.IntN(len(stream.Tenants))],
 				Repeatable: stream.Repeatable, Deadline: stream.Deadline,
-				Resent: source.Float64() < stream.Resent,
-				Node:   source.IntN(len(from.Zones)),
+				SubmitTwice: source.Float64() < stream.Resent,
+				Node:        source.IntN(len(from.Zones)),
 			}
 			if source.Float64() < stream.Cancelled {
 				job.CancelAfter = stream.CancelAfter
