--- a/internal/bench/checker/checker.go
+++ b/internal/bench/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker judges a finished run by the invariants of the project, from
-// the records of callers and stand-ins alone. It never reads a node's counters
-// or logs, so that a node that counts wrongly cannot hide a violation.
+// Package checker checks a finished run against the invariants of the project, using only the
+// records of callers and platform stand-ins. It never reads a node's counters or logs, so that a
+// node that counts wrongly cannot hide a violation.
 package checker
 
 import (
@@ -11,7 +11,7 @@
 	"ringstream.example/ringstream/internal/bench/ledger"
 )
 
-// Invariant names one rule that must always hold.
+// Invariant is the name of a rule that must always hold.
 type Invariant string
 
 // The nine invariants.
@@ -27,52 +27,51 @@
 	EditInForce     Invariant = "edit_in_force"
 )
 
-// Invariants lists them all.
+// Invariants lists all invariants.
 var Invariants = []Invariant{
 	ItemOnce, CancelStops, OnlineFirst, OwnAnswer, NotRunTrue, RunOnce,
 	LeavingGetsNone, StopCutsNone, EditInForce,
 }
 
-// The bounds that the invariants allow.
+// Bounds that the invariants allow.
 const (
 	CancelGrace  = 2 * time.Second
 	LeavingGrace = 2 * time.Second
 	EditBound    = 5 * time.Second
-	// preemptGrace is how long an online sequence may queue on an engine that
-	// is still running batch: one engine step and the clocks' difference.
+	// preemptGrace is how long an online sequence may queue on an engine that is still running
+	// batch work: one engine step plus the difference between the clocks.
 	preemptGrace = 150 * time.Millisecond
 )
 
-// Violation is one breach, with enough to find it in the records.
+// Violation is one violation of an invariant, with enough detail to find it in the records.
 type Violation struct {
 	Invariant Invariant `json:"invariant"`
 	Subject   string    `json:"subject"`
 	Detail    string    `json:"detail"`
 }
 
-// Answer gives the text that an engine gives to a prompt when asked for at
-// most so many tokens.
+// Answer returns the text that an engine generates for a prompt, limited to maxTokens tokens.
 type Answer func(prompt string, maxTokens int) string
 
-// Check gives every violation in the evidence.
+// Check returns every violation in the evidence.
 func Check(evidence ledger.Evidence, answer Answer) []Violation {
 	evidence.Index()
-	check := &check{evidence: evidence, answer: answer, standstills: standstillsOf(evidence)}
+	check := &check{evidence: evidence, answer: answer, standstills: standstillsByEngine(evidence)}
 	for _, job := range evidence.Jobs {
-		check.itemOnce(job)
-		check.cancelStops(job)
-		check.runOnce(job)
+		check.checkItemOnce(job)
+		check.checkCancelStops(job)
+		check.checkRunOnce(job)
 	}
-	check.onlineFirst()
-	check.ownAnswer()
-	check.notRunTrue()
-	check.leavingGetsNone()
-	check.stopCutsNone()
-	check.editInForce()
+	check.checkOnlineFirst()
+	check.checkOwnAnswer()
+	check.checkNotRunTrue()
+	check.checkLeavingGetsNone()
+	check.checkStopCutsNone()
+	check.checkEditInForce()
 	return check.found
 }
 
-// Count gives the number of violations of each invariant, zeros included.
+// Count returns the number of violations of each invariant, including zeros.
 func Count(violations []Violation) map[Invariant]int {
 	counts := make(map[Invariant]int, len(Invariants))
 	for _, invariant := range Invariants {
@@ -88,12 +87,12 @@
 	evidence ledger.Evidence
 	answer   Answer
 	found    []Violation
-	// standstills holds the times in which each engine made no step, whatever
-	// the reason, in order.
+	// standstills holds, for each engine, the periods in which it completed no step for any reason,
+	// sorted by start.
 	standstills map[string][]ledger.Standstill
 }
 
-func standstillsOf(evidence ledger.Evidence) map[string][]ledger.Standstill {
+func standstillsByEngine(evidence ledger.Evidence) map[string][]ledger.Standstill {
 	byEngine := map[string][]ledger.Standstill{}
 	for _, stood := range evidence.Standstills {
 		byEngine[stood.Engine] = append(byEngine[stood.Engine], stood)
@@ -108,13 +107,13 @@
 	return byEngine
 }
 
-func (c *check) violated(invariant Invariant, subject, detail string, arguments ...any) {
+func (c *check) addViolation(invariant Invariant, subject, detail string, arguments ...any) {
 	c.found = append(c.found, Violation{Invariant: invariant, Subject: subject, Detail: fmt.Sprintf(detail, arguments...)})
 }
 
-// onlineFirst: on no engine does an online sequence wait, or get refused for
-// want of room, while batch sequences hold places there.
-func (c *check) onlineFirst() {
+// checkOnlineFirst checks that no online sequence waits on an engine, or is refused for lack of
+// capacity, while batch sequences hold slots there.
+func (c *check) checkOnlineFirst() {
 	byEngine := map[string][]ledger.Run{}
 	for _, run := range c.evidence.Runs {
 		byEngine[run.Engine] = append(byEngine[run.Engine], run)
@@ -122,21 +121,21 @@
 	for _, runs := range byEngine {
 		for _, online := range runs {
 			if online.Online && !online.Accepted.IsZero() {
-				c.onlineRun(online, runs)
+				c.checkOnlineRun(online, runs)
 			}
 		}
 	}
 	for _, refusal := range c.evidence.Refusals {
 		if refusal.Online && refusal.Code == "saturated" && refusal.RunningBatch > 0 {
-			c.violated(OnlineFirst, refusal.Name, "refused by %s as saturated beside %d batch sequences", refusal.Engine, refusal.RunningBatch)
+			c.addViolation(OnlineFirst, refusal.Name, "refused by %s as saturated beside %d batch sequences", refusal.Engine, refusal.RunningBatch)
 		}
 	}
 }
 
-func (c *check) onlineRun(online ledger.Run, onEngine []ledger.Run) {
+func (c *check) checkOnlineRun(online ledger.Run, onEngine []ledger.Run) {
 	until := online.Started
 	if until.IsZero() {
-		until = c.endOf(online)
+		until = c.endOfRun(online)
 	}
 	deadline := c.waitDeadline(online.Engine, online.Accepted)
 	for _, batch := range onEngine {
@@ -144,21 +143,20 @@
 			continue
 		}
 		if batch.Started.After(online.Accepted) {
-			c.violated(OnlineFirst, online.Name, "waited on %s while batch %s was started before it", online.Engine, batch.Name)
+			c.addViolation(OnlineFirst, online.Name, "waited on %s while batch %s was started before it", online.Engine, batch.Name)
 			return
 		}
-		if until.After(deadline) && c.endOf(batch).After(deadline) {
-			c.violated(OnlineFirst, online.Name, "waited %s on %s while batch %s ran there",
+		if until.After(deadline) && c.endOfRun(batch).After(deadline) {
+			c.addViolation(OnlineFirst, online.Name, "waited %s on %s while batch %s ran there",
 				until.Sub(online.Accepted).Round(time.Millisecond), online.Engine, batch.Name)
 			return
 		}
 	}
 }
 
-// waitDeadline gives the time at which a wait that began on an engine has used
-// up the grace. The times in which a fault, or the machine that runs the
-// stand-in, keeps the engine from its steps do not count: nothing runs there
-// then, batch work no more than online.
+// waitDeadline returns when a wait that began on an engine exceeds preemptGrace. Standstills of the
+// engine, caused by a fault or by the machine that runs the stand-in, do not count, because neither
+// batch nor online work runs during them.
 func (c *check) waitDeadline(engine string, from time.Time) time.Time {
 	deadline := from.Add(preemptGrace)
 	for _, stood := range c.standstills[engine] {
@@ -173,10 +171,10 @@
 	return deadline
 }
 
-// keyUnrecorded tells whether a request ended unknown under a key, in a time in
-// which the store could not record the key's answer: the store's fault ended
-// it so, not a stop, and the key gives the answer later.
-func (c *check) keyUnrecorded(request ledger.Request) bool {
+// endedByStoreFault reports whether a keyed request ended unknown while the store could not record
+// the answer for its key. Such an end is caused by the fault of the store and not by a stop, and
+// the key returns the answer later.
+func (c *check) endedByStoreFault(request ledger.Request) bool {
 	if request.Key == "" || request.End != ledger.EndUnknown {
 		return false
 	}
@@ -185,39 +183,39 @@
 	})
 }
 
-// endOf is when a run ended; an open one has lasted to the end of the records.
-func (c *check) endOf(run ledger.Run) time.Time {
+// endOfRun returns when a run ended. An open run lasts until the end of the records.
+func (c *check) endOfRun(run ledger.Run) time.Time {
 	if run.Finished.IsZero() {
 		return c.evidence.Ended
 	}
 	return run.Finished
 }
 
-// ownAnswer: a completed request has exactly the answer to its own prompt, and
-// every send of one key has the same.
-func (c *check) ownAnswer() {
+// checkOwnAnswer checks that a completed request has exactly the answer to its own prompt, and that
+// all sends with one key have the same answer.
+func (c *check) checkOwnAnswer() {
 	byKey := map[string]string{}
 	for _, request := range c.evidence.Requests {
 		if request.End != ledger.EndCompleted {
 			continue
 		}
 		if expected := c.answer(request.Prompt, request.MaxTokens); request.Text != expected {
-			c.violated(OwnAnswer, request.Name, "got %d bytes, its own answer has %d: %s",
-				len(request.Text), len(expected), difference(request.Text, expected))
+			c.addViolation(OwnAnswer, request.Name, "got %d bytes, its own answer has %d: %s",
+				len(request.Text), len(expected), firstDifference(request.Text, expected))
 		}
 		if request.Key == "" {
 			continue
 		}
 		key := request.Tenant + "/" + request.Key
 		if first, seen := byKey[key]; seen && first != request.Text {
-			c.violated(OwnAnswer, request.Name, "two sends of key %s got differing answers", request.Key)
+			c.addViolation(OwnAnswer, request.Name, "two sends of key %s got differing answers", request.Key)
 		}
 		byKey[key] = request.Text
 	}
 }
 
-// difference tells where two texts part.
-func difference(got, expected string) string {
+// firstDifference describes where two texts begin to differ.
+func firstDifference(got, expected string) string {
 	at := 0
 	for at < len(got) && at < len(expected) && got[at] == expected[at] {
 		at++
@@ -225,9 +223,9 @@
 	return fmt.Sprintf("they part at byte %d", at)
 }
 
-// notRunTrue: what a caller was told did not run left no trace on any engine
-// or on the other site. Sends of one name are judged together.
-func (c *check) notRunTrue() {
+// checkNotRunTrue checks that work reported to a caller as not run left no trace on any engine or
+// on the other site. All sends with one name are judged together.
+func (c *check) checkNotRunTrue() {
 	claimed, ran := map[string]bool{}, map[string]bool{}
 	for _, request := range c.evidence.Requests {
 		if request.End == ledger.EndRefused {
@@ -248,36 +246,36 @@
 			continue
 		}
 		if runs := c.evidence.RunsOf(name); len(runs) > 0 {
-			c.violated(NotRunTrue, name, "claimed not run, and %s took attempt %s", runs[0].Engine, runs[0].Attempt)
+			c.addViolation(NotRunTrue, name, "claimed not run, and %s took attempt %s", runs[0].Engine, runs[0].Attempt)
 		}
 		if slices.Contains(c.evidence.OtherSiteRuns, name) {
-			c.violated(NotRunTrue, name, "claimed not run, and the other site took it")
+			c.addViolation(NotRunTrue, name, "claimed not run, and the other site took it")
 		}
 	}
 }
 
-// leavingGetsNone: an engine is sent no new attempt later than the grace after
-// it was told to leave, whether it takes it or not.
-func (c *check) leavingGetsNone() {
+// checkLeavingGetsNone checks that no new attempt is sent to an engine more than LeavingGrace after
+// it was told to leave, whether or not the engine accepts it.
+func (c *check) checkLeavingGetsNone() {
 	for _, departure := range c.evidence.Departures {
 		for _, run := range c.evidence.Runs {
 			late := run.Accepted.Sub(departure.At)
 			if run.Engine == departure.Engine && late > LeavingGrace {
-				c.violated(LeavingGetsNone, departure.Engine, "took %s %s after the word", run.Name, late.Round(time.Millisecond))
+				c.addViolation(LeavingGetsNone, departure.Engine, "took %s %s after the word", run.Name, late.Round(time.Millisecond))
 			}
 		}
 		for _, refusal := range c.evidence.Refusals {
 			late := refusal.At.Sub(departure.At)
 			if refusal.Engine == departure.Engine && late > LeavingGrace {
-				c.violated(LeavingGetsNone, departure.Engine, "was sent %s %s after the word", refusal.Name, late.Round(time.Millisecond))
+				c.addViolation(LeavingGetsNone, departure.Engine, "was sent %s %s after the word", refusal.Name, late.Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-// stopCutsNone: a request in flight at a node when it is stopped in a planned
-// way ends whole, or is refused as not run.
-func (c *check) stopCutsNone() {
+// checkStopCutsNone checks that a request in flight at a node during a planned stop completes or is
+// refused as not run.
+func (c *check) checkStopCutsNone() {
 	for _, stop := range c.evidence.Stops {
 		if !stop.Planned {
 			continue
@@ -285,8 +283,8 @@
 		for _, request := range c.evidence.Requests {
 			inFlight := request.Node == stop.Node && request.Sent.Before(stop.Ended) && request.Finished.After(stop.At)
 			cut := (request.End == ledger.EndFailed || request.End == ledger.EndUnknown) && !request.Abandoned
-			if inFlight && cut && !c.keyUnrecorded(request) {
-				c.violated(StopCutsNone, request.Name, "ended %s while node %d was stopping: %s", request.End, stop.Node, request.Error)
+			if inFlight && cut && !c.endedByStoreFault(request) {
+				c.addViolation(StopCutsNone, request.Name, "ended %s while node %d was stopping: %s", request.End, stop.Node, request.Error)
 			}
 		}
 	}
--- a/internal/bench/checker/checker_test.go
+++ b/internal/bench/checker/checker_test.go
@@ -17,10 +17,10 @@
 
 func answer(prompt string, maxTokens int) string { return fmt.Sprintf("%s*%d", prompt, maxTokens) }
 
-// sound is the evidence of a short run that keeps every invariant: a keyed
-// request sent twice, one refused, a job that may run once, a cancelled job, a
-// departed engine, a planned stop and an edit.
-func sound() ledger.Evidence {
+// cleanEvidence is the evidence of a short run that keeps every invariant. It has a keyed request
+// that is sent twice, a refused request, a job that may run once, a cancelled job, a departed
+// engine, a planned stop and an edit.
+func cleanEvidence() ledger.Evidence {
 	return ledger.Evidence{
 		Nodes: 2,
 		Ended: at(20000),
@@ -66,14 +66,14 @@
 }
 
 func TestSoundRunHasNoViolation(t *testing.T) {
-	if found := checker.Check(sound(), answer); len(found) > 0 {
-		t.Fatalf("violations in a sound run: %v", found)
+	if found := checker.Check(cleanEvidence(), answer); len(found) > 0 {
+		t.Fatalf("violations in clean evidence: %v", found)
 	}
 }
 
-// excused holds changes of the sound run that look like breaches and are what
-// a fault leaves possible.
-var excused = []struct {
+// allowedChanges holds changes of the clean evidence that look like violations but can result from
+// a fault.
+var allowedChanges = []struct {
 	name  string
 	plant func(*ledger.Evidence)
 }{
@@ -121,9 +121,9 @@
 }
 
 func TestWhatAFaultLeavesPossibleIsNoViolation(t *testing.T) {
-	for _, excuse := range excused {
+	for _, excuse := range allowedChanges {
 		t.Run(excuse.name, func(t *testing.T) {
-			evidence := sound()
+			evidence := cleanEvidence()
 			excuse.plant(&evidence)
 			if found := checker.Check(evidence, answer); len(found) > 0 {
 				t.Errorf("violations: %v", found)
@@ -132,9 +132,9 @@
 	}
 }
 
-// planted holds, for each invariant, changes of the sound run that break it
-// and nothing else.
-var planted = []struct {
+// plantedViolations holds, for each invariant, changes of the clean evidence that violate this
+// invariant and no other.
+var plantedViolations = []struct {
 	name   string
 	breaks checker.Invariant
 	plant  func(*ledger.Evidence)
@@ -263,10 +263,10 @@
 
 func TestPlantedViolationsAreFound(t *testing.T) {
 	covered := map[checker.Invariant]bool{}
-	for _, plant := range planted {
+	for _, plant := range plantedViolations {
 		covered[plant.breaks] = true
 		t.Run(plant.name, func(t *testing.T) {
-			evidence := sound()
+			evidence := cleanEvidence()
 			plant.plant(&evidence)
 			broken := map[checker.Invariant]bool{}
 			for _, violation := range checker.Check(evidence, answer) {
--- a/internal/bench/checker/jobs.go
+++ b/internal/bench/checker/jobs.go
@@ -8,62 +8,62 @@
 	"ringstream.example/ringstream/internal/bench/ledger"
 )
 
-// itemOnce: each item of an accepted job that nobody cancelled has one final
-// outcome, the right one, and every later reading shows the same.
-func (c *check) itemOnce(job ledger.Job) {
+// checkItemOnce checks that each item of an accepted job that was not cancelled has exactly one
+// final outcome, that the outcome is correct, and that every later reading shows the same outcome.
+func (c *check) checkItemOnce(job ledger.Job) {
 	if job.Accepted.IsZero() {
 		return
 	}
 	for _, id := range job.ResentIDs {
 		if id != job.ID {
-			c.violated(ItemOnce, job.Key, "sent again, it became job %s beside %s", id, job.ID)
+			c.addViolation(ItemOnce, job.Key, "sent again, it became job %s beside %s", id, job.ID)
 		}
 	}
-	c.readingsAgree(job)
+	c.checkReadings(job)
 	if !job.CancelSent.IsZero() {
 		return
 	}
 	finished := len(job.Readings) > 0 && job.Readings[len(job.Readings)-1].Final
 	if !finished && c.evidence.Interrupted {
-		return // nobody waited for it
+		return // the job was not followed to its end
 	}
 	if !finished {
-		c.violated(ItemOnce, job.Key, "accepted %s, state %q, and not finished at the end", job.Accepted.Format(time.TimeOnly), job.State)
+		c.addViolation(ItemOnce, job.Key, "accepted %s, state %q, and not finished at the end", job.Accepted.Format(time.TimeOnly), job.State)
 		return
 	}
 	seen := make([]int, len(job.Items))
 	for _, result := range job.Readings[len(job.Readings)-1].Results {
 		if result.Index < 0 || result.Index >= len(job.Items) || result.Name != job.Items[result.Index].Name {
-			c.violated(ItemOnce, job.Key, "result %d %q is of no item", result.Index, result.Name)
+			c.addViolation(ItemOnce, job.Key, "result %d %q is of no item", result.Index, result.Name)
 			continue
 		}
 		seen[result.Index]++
-		c.result(job, job.Items[result.Index], result)
+		c.checkResult(job, job.Items[result.Index], result)
 	}
 	for index, count := range seen {
 		if count != 1 {
-			c.violated(ItemOnce, job.Items[index].Name, "has %d results", count)
+			c.addViolation(ItemOnce, job.Items[index].Name, "has %d results", count)
 		}
 	}
 }
 
-// result judges one final result.
-func (c *check) result(job ledger.Job, item ledger.Item, result ledger.Result) {
+// checkResult judges one final result.
+func (c *check) checkResult(job ledger.Job, item ledger.Item, result ledger.Result) {
 	if result.Outcome == ledger.OutcomeCompleted {
 		if expected := c.answer(item.Prompt, item.MaxTokens); result.Text != expected {
-			c.violated(OwnAnswer, item.Name, "its result is not the answer to its prompt: %s", difference(result.Text, expected))
+			c.addViolation(OwnAnswer, item.Name, "its result is not the answer to its prompt: %s", firstDifference(result.Text, expected))
 		}
 		return
 	}
-	if job.Repeatable || (!c.lost(item.Name) && !c.lostBeforeTaken(job, item, result)) {
-		c.violated(ItemOnce, item.Name, "ended %s (%s), and its engine was not lost", result.Outcome, result.Reason)
+	if job.Repeatable || (!c.answerLost(item.Name) && !c.lostBeforeAccepted(job, item, result)) {
+		c.addViolation(ItemOnce, item.Name, "ended %s (%s), and its engine was not lost", result.Outcome, result.Reason)
 	}
 }
 
-// lost tells whether an engine was lost with the only run of an item, or with
-// its answer while the node that asked for it was lost or cut off too: then an
-// item that may not be repeated cannot complete.
-func (c *check) lost(name string) bool {
+// answerLost reports whether an engine was lost with the only run of an item, or was lost with the
+// answer while the requesting node was also lost or cut off. In these cases an item that may not be
+// repeated cannot complete.
+func (c *check) answerLost(name string) bool {
 	return slices.ContainsFunc(c.evidence.RunsOf(name), func(run ledger.Run) bool {
 		return run.End == ledger.RunLost || (c.engineLostAfter(run) && c.nodeDisturbed(run))
 	})
@@ -81,10 +81,10 @@
 	})
 }
 
-// lostBeforeTaken tells whether no engine ever took the item, and the engine
-// that its result names was lost during the job: what was to be sent there may
-// have arrived and been forgotten, so that nobody can vouch that it did not run.
-func (c *check) lostBeforeTaken(job ledger.Job, item ledger.Item, result ledger.Result) bool {
+// lostBeforeAccepted reports whether no engine ever accepted the item, and the engine named in its
+// result was lost during the job. The attempt may have arrived at the engine and been lost with it,
+// so that nobody can tell that the item did not run.
+func (c *check) lostBeforeAccepted(job ledger.Job, item ledger.Item, result ledger.Result) bool {
 	if len(c.evidence.RunsOf(item.Name)) > 0 {
 		return false
 	}
@@ -93,32 +93,32 @@
 	})
 }
 
-// readingsAgree: a result once read is in every later reading, unchanged.
-func (c *check) readingsAgree(job ledger.Job) {
+// checkReadings checks that a result, once read, is in every later reading and does not change.
+func (c *check) checkReadings(job ledger.Job) {
 	earlier := map[int]ledger.Result{}
 	for _, reading := range job.Readings {
 		now := map[int]ledger.Result{}
 		for _, result := range reading.Results {
 			if _, twice := now[result.Index]; twice {
-				c.violated(ItemOnce, job.Key, "item %d has two results in one reading", result.Index)
+				c.addViolation(ItemOnce, job.Key, "item %d has two results in one reading", result.Index)
 			}
 			now[result.Index] = result
 		}
 		for index, before := range earlier {
 			after, kept := now[index]
 			if !kept {
-				c.violated(ItemOnce, job.Key, "the result of item %d was readable and is gone", index)
+				c.addViolation(ItemOnce, job.Key, "the result of item %d was readable and is gone", index)
 			} else if after.Outcome != before.Outcome || after.Text != before.Text {
-				c.violated(ItemOnce, job.Key, "the result of item %d changed from %s to %s", index, before.Outcome, after.Outcome)
+				c.addViolation(ItemOnce, job.Key, "the result of item %d changed from %s to %s", index, before.Outcome, after.Outcome)
 			}
 		}
 		earlier = now
 	}
 }
 
-// cancelStops: after the cancel's answer no item completes, and no engine
-// works on the job beyond the grace.
-func (c *check) cancelStops(job ledger.Job) {
+// checkCancelStops checks that no item completes after the answer to the cancel, and that no engine
+// works on the job for longer than CancelGrace.
+func (c *check) checkCancelStops(job ledger.Job) {
 	if job.CancelAnswered.IsZero() {
 		return
 	}
@@ -134,31 +134,30 @@
 			}
 		}
 		if completed >= 0 && count > completed {
-			c.violated(CancelStops, job.Key, "%d items completed after the cancel was answered", count-completed)
+			c.addViolation(CancelStops, job.Key, "%d items completed after the cancel was answered", count-completed)
 		}
 		completed = max(completed, count)
 	}
 	for _, item := range job.Items {
 		for _, run := range c.evidence.RunsOf(item.Name) {
 			deadline, bounded := c.cancelDeadline(job, run)
-			if bounded && c.endOf(run).After(deadline) {
-				c.violated(CancelStops, item.Name, "%s worked on it until %s after the cancel",
-					run.Engine, c.endOf(run).Sub(job.CancelAnswered).Round(time.Millisecond))
+			if bounded && c.endOfRun(run).After(deadline) {
+				c.addViolation(CancelStops, item.Name, "%s worked on it until %s after the cancel",
+					run.Engine, c.endOfRun(run).Sub(job.CancelAnswered).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-// cancelDeadline is when a run of a cancelled job must have stopped: the grace
-// after the cancel's answer, or after the end of a fault that kept the run's
-// node or engine from hearing of it. A run whose node was lost before that is
-// known to nobody; it ends by itself, and only its start is bounded (no bound
-// is given for its end).
+// cancelDeadline returns when a run of a cancelled job must have stopped: CancelGrace after the
+// answer to the cancel, or after the end of a fault that kept the run's node or engine from
+// learning of the cancel. If the node was lost before that, no other node knows of the run. Such a
+// run ends by itself, and the function returns false because only its start is bounded.
 func (c *check) cancelDeadline(job ledger.Job, run ledger.Run) (deadline time.Time, bounded bool) {
 	deadline = job.CancelAnswered.Add(CancelGrace)
 	for _, disturbance := range c.evidence.Disturbances {
-		concerned := disturbance.Engine == run.Engine || (run.NodeHost != "" && disturbance.Node == run.NodeHost)
-		if !concerned || disturbance.At.After(deadline) || disturbance.Until.Before(run.Accepted) {
+		affectsRun := disturbance.Engine == run.Engine || (run.NodeHost != "" && disturbance.Node == run.NodeHost)
+		if !affectsRun || disturbance.At.After(deadline) || disturbance.Until.Before(run.Accepted) {
 			continue
 		}
 		if disturbance.Lost && disturbance.Node != "" && !run.Accepted.After(disturbance.Until) {
@@ -171,9 +170,9 @@
 	return deadline, true
 }
 
-// runOnce: an item that may not be repeated was taken by engines under one
-// attempt at most.
-func (c *check) runOnce(job ledger.Job) {
+// checkRunOnce checks that engines accepted an item that may not be repeated under one attempt at
+// most.
+func (c *check) checkRunOnce(job ledger.Job) {
 	if job.Repeatable {
 		return
 	}
@@ -183,21 +182,21 @@
 			attempts[run.Engine+"/"+run.Attempt] = true
 		}
 		if len(attempts) > 1 {
-			c.violated(RunOnce, item.Name, "was taken %d times", len(attempts))
+			c.addViolation(RunOnce, item.Name, "was taken %d times", len(attempts))
 		}
 	}
 }
 
-// editInForce: every node shows an accepted edit within the bound, and no node
-// ever shows an older revision of a row after a newer one.
-func (c *check) editInForce() {
-	type place struct {
+// checkEditInForce checks that every node shows an accepted edit within EditBound, and that no node
+// shows an older revision of a row after a newer one.
+func (c *check) checkEditInForce() {
+	type nodeRow struct {
 		node int
 		row  string
 	}
-	sightings := map[place][]ledger.Sighting{}
+	sightings := map[nodeRow][]ledger.Sighting{}
 	for _, sighting := range c.evidence.Sightings {
-		at := place{sighting.Node, sighting.Row}
+		at := nodeRow{sighting.Node, sighting.Row}
 		sightings[at] = append(sightings[at], sighting)
 	}
 	for at, seen := range sightings {
@@ -205,7 +204,7 @@
 		highest := uint64(0)
 		for _, sighting := range seen {
 			if sighting.Revision < highest {
-				c.violated(EditInForce, at.row, "node %d went back from revision %d to %d", at.node, highest, sighting.Revision)
+				c.addViolation(EditInForce, at.row, "node %d went back from revision %d to %d", at.node, highest, sighting.Revision)
 			}
 			highest = max(highest, sighting.Revision)
 		}
@@ -217,21 +216,22 @@
 			}
 			delay, seen := InForce(edit, node, c.evidence.Sightings)
 			if !seen || delay > EditBound {
-				c.violated(EditInForce, edit.Row, "revision %d not in force on node %d within %s (seen: %v, after %s)",
+				c.addViolation(EditInForce, edit.Row, "revision %d not in force on node %d within %s (seen: %v, after %s)",
 					edit.Revision, node, EditBound, seen, delay.Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-// downAt tells whether a node was stopped at a time, or within the bound after it.
+// downAt reports whether a node was stopped at a time, or within EditBound after it.
 func (c *check) downAt(node int, at time.Time) bool {
 	return slices.ContainsFunc(c.evidence.Stops, func(stop ledger.NodeStop) bool {
 		return stop.Node == node && stop.At.Before(at.Add(EditBound)) && (stop.Ready.IsZero() || stop.Ready.After(at))
 	})
 }
 
-// InForce is the time from an edit's acceptance until a node showed it.
+// InForce returns the time from the acceptance of an edit until a node showed it. It returns false
+// if the node never showed it.
 func InForce(edit ledger.Edit, node int, sightings []ledger.Sighting) (time.Duration, bool) {
 	first, seen := time.Duration(0), false
 	for _, sighting := range sightings {
