--- a/internal/bench/naive/naive.go
+++ b/internal/bench/naive/naive.go
@@ -1,8 +1,7 @@
-// Package naive is the plain system that ringstream is compared with: engines
-// are divided among the nodes for good, each node has one queue, first come
-// first served, and every request has one priority. It keeps jobs in memory
-// and has no failures to survive. Callers reach it by function calls, so that
-// it saves the callers' HTTP hop, which is to its favour.
+// Package naive is a simple reference system that ringstream is compared with. Engines are
+// permanently divided among the nodes, each node has one first-in, first-out queue, and every
+// request has the same priority. Jobs are kept in memory, and failures are not handled. Callers use
+// function calls instead of HTTP, which saves a network hop and so favors this system.
 package naive
 
 import (
@@ -21,13 +20,13 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// Engine is one engine and the number of sequences that it runs at once.
+// Engine is an engine and the number of sequences that it runs at once.
 type Engine struct {
 	Engine backend.Engine
 	Slots  int
 }
 
-// System is a number of naive nodes over one set of engines.
+// System is a set of naive nodes that share a set of engines.
 type System struct {
 	model  string
 	queues []*queue
@@ -44,22 +43,21 @@
 	done      func(error)
 }
 
-// queue is one node's: first come first served, without a bound.
+// queue is the unbounded first-in, first-out queue of one node.
 type queue struct {
-	mutex  sync.Mutex
-	filled *sync.Cond
-	tasks  []task
-	closed bool
+	mutex    sync.Mutex
+	nonEmpty *sync.Cond
+	tasks    []task
+	closed   bool
 }
 
-// New starts nodes over the engines: the nth engine belongs to node n modulo
-// nodes. Close ends them.
+// New starts the nodes. Engine n belongs to node n modulo nodes. Close stops the nodes.
 func New(nodes int, engines []Engine, model string, into *ledger.Ledger) *System {
 	s := &System{model: model, ledger: into}
 	for range nodes {
-		made := &queue{}
-		made.filled = sync.NewCond(&made.mutex)
-		s.queues = append(s.queues, made)
+		created := &queue{}
+		created.nonEmpty = sync.NewCond(&created.mutex)
+		s.queues = append(s.queues, created)
 	}
 	for i, engine := range engines {
 		for range engine.Slots {
@@ -69,30 +67,30 @@
 	return s
 }
 
-// Close ends the nodes once their queues are empty or dropped.
+// Close drops the queued tasks and waits for the running ones.
 func (s *System) Close() {
 	for _, queue := range s.queues {
 		queue.mutex.Lock()
 		queue.closed = true
 		queue.tasks = nil
 		queue.mutex.Unlock()
-		queue.filled.Broadcast()
+		queue.nonEmpty.Broadcast()
 	}
 	s.tasks.Wait()
 }
 
-func (q *queue) put(tasks ...task) {
+func (q *queue) push(tasks ...task) {
 	q.mutex.Lock()
 	q.tasks = append(q.tasks, tasks...)
 	q.mutex.Unlock()
-	q.filled.Broadcast()
+	q.nonEmpty.Broadcast()
 }
 
-func (q *queue) take() (task, bool) {
+func (q *queue) pop() (task, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for len(q.tasks) == 0 && !q.closed {
-		q.filled.Wait()
+		q.nonEmpty.Wait()
 	}
 	if q.closed {
 		return task{}, false
@@ -102,15 +100,15 @@
 	return next, true
 }
 
-// serve is one place on one engine.
+// serve runs tasks in one slot of an engine until the queue is closed.
 func (s *System) serve(from *queue, engine backend.Engine) {
-	const longest = 2 * time.Minute
+	const taskTimeout = 2 * time.Minute
 	for {
-		next, ok := from.take()
+		next, ok := from.pop()
 		if !ok {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), longest)
+		ctx, cancel := context.WithTimeout(context.Background(), taskTimeout)
 		next.done(s.run(ctx, engine, next))
 		cancel()
 	}
@@ -137,8 +135,8 @@
 	}
 }
 
-// Run sends a plan and returns when all of it has ended or ctx is done. Keyed
-// requests are sent once: the naive version knows no keys.
+// Run sends a plan, and returns when all of it has ended or ctx is done. Keyed requests are sent
+// once, because this system does not support idempotency keys.
 func (s *System) Run(ctx context.Context, plan workload.Plan) time.Time {
 	started := time.Now()
 	var ended sync.WaitGroup
@@ -147,7 +145,7 @@
 			if !wait.Until(ctx, started.Add(job.At)) {
 				return
 			}
-			ended.Go(func() { s.job(ctx, job) })
+			ended.Go(func() { s.runJob(ctx, job) })
 		}
 	})
 	for _, request := range plan.Requests {
@@ -157,20 +155,20 @@
 		if !wait.Until(ctx, started.Add(request.At)) {
 			break
 		}
-		ended.Go(func() { s.online(ctx, request, started.Add(request.At)) })
+		ended.Go(func() { s.runRequest(ctx, request, started.Add(request.At)) })
 	}
 	ended.Wait()
 	return started
 }
 
-func (s *System) online(ctx context.Context, request workload.Request, scheduled time.Time) {
+func (s *System) runRequest(ctx context.Context, request workload.Request, scheduled time.Time) {
 	record := ledger.Request{
 		Name: request.Name, Class: request.Class, Tenant: request.Tenant, Prompt: request.Prompt,
 		MaxTokens: request.MaxTokens, Node: request.Node, Scheduled: scheduled, Sent: time.Now(),
 	}
 	done := make(chan error, 1)
 	var mutex sync.Mutex
-	s.queues[request.Node%len(s.queues)].put(task{
+	s.queues[request.Node%len(s.queues)].push(task{
 		name: request.Name, prompt: request.Prompt, maxTokens: request.MaxTokens,
 		token: func(at time.Time, text string) {
 			mutex.Lock()
@@ -198,15 +196,16 @@
 	s.ledger.AddRequest(record)
 }
 
-// job puts a job's items into its node's queue, and ends when all are done.
-func (s *System) job(ctx context.Context, planned workload.Job) {
+// runJob queues the items of a job on its node, and returns when all of them have ended or ctx is
+// done.
+func (s *System) runJob(ctx context.Context, planned workload.Job) {
 	record := ledger.Job{
 		Key: planned.Key, ID: planned.Key, Class: planned.Class, Tenant: planned.Tenant, Repeatable: planned.Repeatable,
 		Submitted: time.Now(), Accepted: time.Now(), Deadline: time.Now().Add(planned.Deadline), State: "completed",
 	}
 	var mutex sync.Mutex
 	var results []ledger.Result
-	left := make(chan struct{}, len(planned.Items))
+	finished := make(chan struct{}, len(planned.Items))
 	tasks := make([]task, len(planned.Items))
 	for i, item := range planned.Items {
 		record.Items = append(record.Items, ledger.Item(item))
@@ -221,23 +220,23 @@
 				mutex.Lock()
 				results = append(results, result)
 				mutex.Unlock()
-				left <- struct{}{}
+				finished <- struct{}{}
 			},
 		}
 	}
-	s.queues[planned.Node%len(s.queues)].put(tasks...)
+	s.queues[planned.Node%len(s.queues)].push(tasks...)
 	for range tasks {
 		select {
-		case <-left:
+		case <-finished:
 		case <-ctx.Done():
-			s.finish(&mutex, &record, &results, false)
+			s.recordJob(&mutex, &record, &results, false)
 			return
 		}
 	}
-	s.finish(&mutex, &record, &results, true)
+	s.recordJob(&mutex, &record, &results, true)
 }
 
-func (s *System) finish(mutex *sync.Mutex, record *ledger.Job, results *[]ledger.Result, final bool) {
+func (s *System) recordJob(mutex *sync.Mutex, record *ledger.Job, results *[]ledger.Result, final bool) {
 	mutex.Lock()
 	defer mutex.Unlock()
 	record.Finished = time.Now()
