--- a/internal/bench/faults/bubble.go
+++ b/internal/bench/faults/bubble.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// prepareProcess starts the runtime's own signal goroutine. Nodes ask for
-// SIGHUP; were a cell the first to do so, that goroutine would belong to the
-// cell's bubble, where the rest of the process must not reach it.
+// prepareProcess starts the signal goroutine of the Go runtime. Nodes subscribe to SIGHUP. If a
+// cell were the first to do so, that goroutine would belong to the cell's bubble, and the rest of
+// the process could not use it.
 func prepareProcess() {
 	unused := make(chan os.Signal, 1)
 	signal.Notify(unused, syscall.SIGHUP)
--- a/internal/bench/faults/bugs.go
+++ b/internal/bench/faults/bugs.go
@@ -16,26 +16,25 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// The planted bugs. Each stands before a stand-in and makes the nodes' calls
-// come out as if their code had the bug; a matrix that does not find it is
-// worth nothing.
+// The planted bugs. Each is a wrapper around a stand-in that makes the nodes' calls appear as if
+// their code had the bug. The matrix must detect each of them to be of value.
 const (
-	// BugNoCompare: writes of batch state and leases skip their compares, so
-	// that a holder that lost its lease can still write.
+	// BugNoCompare drops the compares from writes of batch state and leases, so that a holder that
+	// has lost its lease can still write.
 	BugNoCompare = "skip_epoch_compare"
-	// BugEarlyAnswer: a job is acknowledged before its commit, which comes
-	// 2 s later, and never when its node is dead by then.
+	// BugEarlyAnswer acknowledges a job 2 s before its commit. The commit never happens if the node
+	// is dead by then.
 	BugEarlyAnswer = "acknowledge_before_commit"
-	// BugResend: an item that may run once is sent again, under a new attempt,
-	// when its engine does not know the first.
+	// BugResend sends an item that may run once again under a new attempt, if its engine does not
+	// know the first attempt.
 	BugResend = "resend_an_intent"
 )
 
-// bugCells gives, for each planted bug, the cells of which at least one must
-// show it. Which of them does hangs on how far the work is when the fault
-// comes, so the steps that show a bug most often come at several seeds.
+// bugCells returns the cells for each planted bug, at least one of which must detect it. Which of
+// them does depends on the progress of the work when the fault begins, so the steps that detect a
+// bug most often are run with several seeds.
 func bugCells(seed uint64) []Cell {
-	shown := []struct {
+	plantings := []struct {
 		bug, fault, step string
 		seeds            uint64
 	}{
@@ -47,21 +46,21 @@
 		{BugResend, "engine_drops", "item.first_token", 2},
 	}
 	var cells []Cell
-	for _, show := range shown {
-		for more := range show.seeds {
-			cells = append(cells, Cell{Seed: seed + more, Bug: show.bug, Injections: []Injection{{show.step, show.fault}}})
+	for _, planting := range plantings {
+		for more := range planting.seeds {
+			cells = append(cells, Cell{Seed: seed + more, Bug: planting.bug, Injections: []Injection{{planting.step, planting.fault}}})
 		}
 	}
 	return cells
 }
 
-// wrapperFor gives the handlers that make a planted bug; nil: none.
+// wrapperFor returns the wrapper that implements a planted bug, or nil if there is no such bug.
 func (c *cell) wrapperFor(bug string) emulator.Wrapper {
 	switch bug {
 	case BugNoCompare:
-		return onlyBefore("table", dropCompares)
+		return wrapSystem("table", dropCompares)
 	case BugEarlyAnswer:
-		return onlyBefore("table", c.answerEarly)
+		return wrapSystem("table", c.answerEarly)
 	case BugResend:
 		again := &resender{sent: map[string][]byte{}}
 		return again.wrap
@@ -70,7 +69,7 @@
 	}
 }
 
-func onlyBefore(system string, wrap func(http.Handler) http.Handler) emulator.Wrapper {
+func wrapSystem(system string, wrap func(http.Handler) http.Handler) emulator.Wrapper {
 	return func(name string, handler http.Handler) http.Handler {
 		if name != system {
 			return handler
@@ -79,7 +78,7 @@
 	}
 }
 
-// onCommit has do see each transaction before the table does.
+// onCommit calls do for each transaction before the table service sees it.
 func onCommit(next http.Handler, do func(w http.ResponseWriter, r *http.Request, transaction wire.Transaction)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != wire.PathCommit {
@@ -89,7 +88,7 @@
 		body, err := io.ReadAll(r.Body)
 		var transaction wire.Transaction
 		if err != nil || json.Unmarshal(body, &transaction) != nil {
-			panic(http.ErrAbortHandler) // the caller has gone
+			panic(http.ErrAbortHandler) // the caller has disconnected
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		do(w, r, transaction)
@@ -114,9 +113,9 @@
 	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 }
 
-// answerEarly acknowledges the acceptance of jobs before it is committed.
+// answerEarly acknowledges accepted jobs before they are committed.
 func (c *cell) answerEarly(next http.Handler) http.Handler {
-	const late = 2 * time.Second
+	const delay = 2 * time.Second
 	return onCommit(next, func(w http.ResponseWriter, r *http.Request, transaction wire.Transaction) {
 		if !strings.HasPrefix(transaction.ID, "accept-") {
 			next.ServeHTTP(w, r)
@@ -124,8 +123,8 @@
 		}
 		node, starts := c.callerOf(r)
 		c.running.Go(func() {
-			wait.For(c.ctx, late)
-			if _, now := c.processAt(node); now == starts {
+			wait.For(c.ctx, delay)
+			if _, now := c.processOf(node); now == starts {
 				c.fleet.platform.Table.Apply(transaction)
 			}
 		})
@@ -137,7 +136,7 @@
 			answer.Versions = append(answer.Versions, uint64(1_000_000+i))
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(encode(answer)) // the caller may have gone
+		_, _ = w.Write(encode(answer)) // the caller may have disconnected
 	})
 }
 
@@ -149,7 +148,7 @@
 	return body
 }
 
-// resender sends batch attempts again that an engine does not know any more.
+// resender resends batch attempts that an engine no longer knows.
 type resender struct {
 	mutex sync.Mutex
 	sent  map[string][]byte // by attempt
@@ -159,18 +158,18 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == wire.PathGenerate:
-			b.remember(r)
+			b.record(r)
 		case strings.HasSuffix(r.URL.Path, wire.SuffixStream):
-			b.sendAgain(next, r)
+			b.regenerate(next, r)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (b *resender) remember(r *http.Request) {
+func (b *resender) record(r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		panic(http.ErrAbortHandler) // the caller has gone
+		panic(http.ErrAbortHandler) // the caller has disconnected
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	var request wire.GenerateRequest
@@ -181,8 +180,8 @@
 	}
 }
 
-// sendAgain generates anew, under another attempt, what is to be resumed.
-func (b *resender) sendAgain(next http.Handler, r *http.Request) {
+// regenerate sends the request of an attempt that is to be resumed again, under a new attempt.
+func (b *resender) regenerate(next http.Handler, r *http.Request) {
 	attempt := strings.TrimSuffix(strings.TrimPrefix(r.URL.Path, wire.PathAttempts), wire.SuffixStream)
 	b.mutex.Lock()
 	body, known := b.sent[attempt]
--- a/internal/bench/faults/bugs_test.go
+++ b/internal/bench/faults/bugs_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// TestPlantedBugsAreCaught: the checks of a cell are worth something. A bug is
-// caught when one of its cells shows violations that the same cell without the
-// bug does not have.
+// TestPlantedBugsAreCaught guards against checks that miss violations. A bug is caught when one of
+// its cells shows violations that the same cell without the bug does not have.
 func TestPlantedBugsAreCaught(t *testing.T) {
 	var mutex sync.Mutex
 	caught := map[string]bool{}
--- a/internal/bench/faults/cell.go
+++ b/internal/bench/faults/cell.go
@@ -20,59 +20,59 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// Injection is one fault at one step.
+// Injection is a fault that is injected at a step.
 type Injection struct {
 	Step, Fault string
 }
 
-// Cell is one run of the matrix: one injection, or a pair.
+// Cell is one run of the matrix, with one injection or a pair.
 type Cell struct {
 	Seed       uint64      `json:"seed"`
 	Injections []Injection `json:"injections"`
-	// Bug is a planted bug; empty: none.
+	// Bug is the name of a planted bug, or empty.
 	Bug string `json:"bug,omitempty"`
 
-	inspect func(*cell) // called at the end, for tests
-	stop    bool        // with a planned stop, for tests
+	inspect func(*cell) // called at the end; set by tests only
+	stop    bool        // includes a planned stop; set by tests only
 }
 
-// Result is what a cell showed.
+// Result is the outcome of a cell.
 type Result struct {
 	Cell
-	// Reached: every step came up, so that every fault was injected.
+	// Reached is true if every step was reached, so that every fault was injected.
 	Reached    bool                `json:"reached"`
 	ReachedAt  []float64           `json:"reached_at"` // seconds from the start of the load
 	Violations []checker.Violation `json:"violations,omitempty"`
-	// Failures are what the cell itself could not do, such as start a node.
+	// Failures lists operations that the cell itself could not perform, such as starting a node.
 	Failures []string `json:"failures,omitempty"`
 
 	Requests       int     `json:"requests"`
 	Completed      int     `json:"completed"`
-	Items          int     `json:"items"` // of accepted jobs that nobody cancelled
+	Items          int     `json:"items"` // of accepted jobs that were not cancelled
 	ItemsCompleted int     `json:"items_completed"`
 	VirtualSeconds float64 `json:"virtual_seconds"`
 }
 
-// cell is a Cell at work.
+// cell is the state of a running Cell.
 type cell struct {
 	Cell
-	ctx     context.Context
-	fleet   *fleet
-	records ledger.Ledger
-	plan    workload.Plan
-	running sync.WaitGroup
-	started time.Time
-	leave   context.CancelFunc // sends the callers away that may go
-
-	mutex     sync.Mutex
-	watcher   *watcher
-	armed     bool
-	pending   []injection
-	reachedAt []float64
-	engine    string          // last used
-	seen      map[string]bool // steps that came up; kept for tests only
-	touched   map[int]bool    // nodes that met a fault
-	failures  []string
+	ctx          context.Context
+	fleet        *fleet
+	records      ledger.Ledger
+	plan         workload.Plan
+	running      sync.WaitGroup
+	started      time.Time
+	abandonCalls context.CancelFunc // ends the calls of the callers that may leave
+
+	mutex          sync.Mutex
+	classifier     *callClassifier
+	armed          bool
+	pending        []injection
+	reachedAt      []float64
+	lastEngine     string          // the engine last used
+	seenSteps      map[string]bool // steps that were reached; recorded for tests only
+	disturbedNodes map[int]bool    // nodes that a fault affected
+	failures       []string
 }
 
 type injection struct {
@@ -80,22 +80,22 @@
 	fault Fault
 }
 
-// The bounds of a cell, in virtual time.
+// Time limits of a cell, in virtual time.
 const (
-	settleWait = 4 * time.Minute        // for jobs to end after the last request
-	hookWait   = 100 * time.Millisecond // that a call stands still for its fault to begin
-	calmTime   = 6 * time.Second        // after the end, for edits to be in force
-	endingTime = 5 * time.Minute        // for stopped nodes to end
+	jobTimeout     = 4 * time.Minute        // for jobs to end after the last request
+	maxHookWait    = 100 * time.Millisecond // for a call to wait until its fault has begun
+	editSettleTime = 6 * time.Second        // after the end, for edits to be in force
+	shutdownTime   = 5 * time.Minute        // for stopped nodes to end
 )
 
 // runCell runs a cell in the current testing/synctest bubble.
 func runCell(ctx context.Context, spec Cell, logger *zap.Logger) (Result, error) {
-	c := &cell{Cell: spec, ctx: ctx, plan: makePlan(spec.Seed), watcher: newWatcher(), touched: map[int]bool{}}
+	c := &cell{Cell: spec, ctx: ctx, plan: makePlan(spec.Seed), classifier: newCallClassifier(), disturbedNodes: map[int]bool{}}
 	if spec.inspect != nil {
-		c.seen = map[string]bool{}
+		c.seenSteps = map[string]bool{}
 	}
 	for _, wanted := range spec.Injections {
-		found, err := find(wanted)
+		found, err := findInjection(wanted)
 		if err != nil {
 			return Result{}, err
 		}
@@ -105,7 +105,7 @@
 	if c.fleet, err = startFleet(ctx, spec.Seed, c.wrapperFor(spec.Bug), logger); err != nil {
 		return Result{}, err
 	}
-	c.watch()
+	c.observeCalls()
 	c.started = time.Now()
 	c.load()
 	result := c.judge()
@@ -113,11 +113,11 @@
 		c.inspect(c)
 	}
 	c.fleet.close()
-	time.Sleep(endingTime)
+	time.Sleep(shutdownTime)
 	return result, nil
 }
 
-func find(wanted Injection) (injection, error) {
+func findInjection(wanted Injection) (injection, error) {
 	steps, faults := Steps(), Faults()
 	step := slices.IndexFunc(steps, func(s Step) bool { return s.Name == wanted.Step })
 	fault := slices.IndexFunc(faults, func(f Fault) bool { return f.Name == wanted.Fault })
@@ -127,7 +127,7 @@
 	return injection{steps[step], faults[fault]}, nil
 }
 
-// load runs the callers, the operators and the faults until all have ended.
+// load runs the callers, the operators and the faults, and returns when all of them have ended.
 func (c *cell) load() {
 	watching, stopWatching := context.WithCancel(c.ctx)
 	var watchers sync.WaitGroup
@@ -142,37 +142,37 @@
 		c.running.Go(c.plannedStop)
 	}
 	leaving, leave := context.WithCancel(c.ctx)
-	c.leave = leave
-	c.running.Go(func() { c.callers(leaving, leavingPlan(c.Seed)) })
-	c.callers(c.ctx, c.plan)
+	c.abandonCalls = leave
+	c.running.Go(func() { c.runCallers(leaving, leavingPlan(c.Seed)) })
+	c.runCallers(c.ctx, c.plan)
 	c.running.Wait()
 	leave()
-	wait.For(c.ctx, calmTime)
+	wait.For(c.ctx, editSettleTime)
 	stopWatching()
 	watchers.Wait()
 }
 
-// callers sends a plan and follows its jobs to their end.
-func (c *cell) callers(ctx context.Context, plan workload.Plan) {
+// runCallers sends a plan and follows its jobs to their end.
+func (c *cell) runCallers(ctx context.Context, plan workload.Plan) {
 	following, giveUp := context.WithCancel(ctx)
 	defer giveUp()
 	callers := client.NewWithDial(c.fleet, model, &c.records, c.fleet.network.Host(callersHost).DialContext)
 	defer callers.Close()
 	callers.Run(following, plan)
-	callers.Wait(ctx, settleWait, giveUp)
+	callers.Wait(ctx, jobTimeout, giveUp)
 }
 
-// plannedStop stops a node and starts it again.
+// plannedStop performs a planned stop of a node and starts the node again.
 func (c *cell) plannedStop() {
 	const node = 1
 	wait.For(c.ctx, stopAt)
-	end := stopNode(c, place{node: node})
-	wait.For(c.ctx, stopLasts)
+	end := stopNode(c, location{node: node})
+	wait.For(c.ctx, stopDuration)
 	end()
 }
 
-// watch has every stand-in report its calls.
-func (c *cell) watch() {
+// observeCalls installs observe as the hook of every stand-in.
+func (c *cell) observeCalls() {
 	platform := c.fleet.platform
 	for _, faults := range []*emulator.Faults{platform.Table.Faults, platform.Objects.Faults, platform.Machines.Faults} {
 		faults.SetHook(c.observe)
@@ -182,42 +182,42 @@
 	}
 }
 
-// observe looks at one call. When it is an awaited step, the call stands still
-// until the fault has begun.
+// observe classifies one call. If the call is the step of the next pending injection, it is delayed
+// until the fault has begun or maxHookWait has passed.
 func (c *cell) observe(call emulator.Call) {
 	c.mutex.Lock()
-	seen := c.watcher.look(call)
+	seen := c.classifier.classify(call)
 	if call.Operation == "generate" {
-		c.engine = call.System
+		c.lastEngine = call.System
 	}
-	if c.seen != nil && c.armed {
-		c.noteSteps(seen)
+	if c.seenSteps != nil && c.armed {
+		c.recordSteps(seen)
 	}
-	var due []injection
+	var matched []injection
 	if c.armed && c.fleet.nodeAt(call.From.Addr()) >= 0 && len(c.pending) > 0 && c.pending[0].step.reached(seen) {
-		due = append(due, c.pending[0])
+		matched = append(matched, c.pending[0])
 		c.pending = c.pending[1:]
 		c.reachedAt = append(c.reachedAt, time.Since(c.started).Seconds())
 	}
-	at := c.placeOf(call)
+	at := c.locationOf(call)
 	c.mutex.Unlock()
-	for _, injected := range due {
+	for _, injected := range matched {
 		c.inject(injected.fault, at)
 	}
 }
 
-// noteSteps notes which steps a call is. Caller holds the mutex.
-func (c *cell) noteSteps(seen *sight) {
+// recordSteps records the steps that a call reaches. The caller holds the mutex.
+func (c *cell) recordSteps(seen *observedCall) {
 	for _, step := range Steps() {
 		if step.reached(seen) {
-			c.seen[step.Name] = true
+			c.seenSteps[step.Name] = true
 		}
 	}
 }
 
-// placeOf says where a call is. Caller holds the mutex.
-func (c *cell) placeOf(call emulator.Call) place {
-	at := place{node: max(0, c.fleet.nodeAt(call.From.Addr())), engine: c.engine}
+// locationOf returns the node and engine of a call. The caller holds the mutex.
+func (c *cell) locationOf(call emulator.Call) location {
+	at := location{node: max(0, c.fleet.nodeAt(call.From.Addr())), engine: c.lastEngine}
 	if _, found := c.fleet.platform.Engine(call.System); found {
 		at.engine = call.System
 	}
@@ -227,38 +227,38 @@
 	return at
 }
 
-// inject begins a fault and ends it when its time has come.
-func (c *cell) inject(fault Fault, at place) {
+// inject begins a fault and ends it after the fault's duration.
+func (c *cell) inject(fault Fault, at location) {
 	begun := make(chan struct{})
 	c.running.Go(func() {
 		end := fault.begin(c, at)
 		close(begun)
-		wait.For(c.ctx, fault.lasts)
+		wait.For(c.ctx, fault.duration)
 		end()
 	})
-	timer := time.NewTimer(hookWait)
+	timer := time.NewTimer(maxHookWait)
 	defer timer.Stop()
 	select {
 	case <-begun:
-	case <-timer.C: // such as a planned stop, which waits for this very call
+	case <-timer.C: // for example, a planned stop waits for this call to end
 	}
 }
 
-// disturb notes that a node met a fault.
-func (c *cell) disturb(node int) {
+// markDisturbed records that a fault affected a node.
+func (c *cell) markDisturbed(node int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.touched[node] = true
+	c.disturbedNodes[node] = true
 }
 
 func (c *cell) disturbed(node int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.touched[node]
+	return c.disturbedNodes[node]
 }
 
-// noteFailure keeps what the cell could not do.
-func (c *cell) noteFailure(what string, err error) {
+// recordFailure records an operation that the cell could not perform.
+func (c *cell) recordFailure(what string, err error) {
 	if err == nil {
 		return
 	}
@@ -267,11 +267,11 @@
 	c.failures = append(c.failures, fmt.Sprintf("%s: %v", what, err))
 }
 
-// goAway ends the calls of the callers that may go.
-func (c *cell) goAway() { c.leave() }
+// abandonRequests ends the calls of the callers that may leave.
+func (c *cell) abandonRequests() { c.abandonCalls() }
 
-// resendAll sends every keyed request and every job that was sent so far
-// again, through another node.
+// resendAll sends every keyed request and every job that was sent so far again, through another
+// node.
 func (c *cell) resendAll() {
 	var again workload.Plan
 	since := time.Since(c.started)
@@ -287,15 +287,15 @@
 			again.Jobs = append(again.Jobs, job)
 		}
 	}
-	c.running.Go(func() { c.callers(c.ctx, again) })
+	c.running.Go(func() { c.runCallers(c.ctx, again) })
 }
 
-// editRows edits the batch row through one node after another.
+// editRows edits the batch row several times, through one node after another.
 func (c *cell) editRows() {
-	wait.For(c.ctx, editsFrom)
-	for number := range edits {
-		c.edit(number%c.fleet.Nodes(), editTries)
-		wait.For(c.ctx, editsEvery)
+	wait.For(c.ctx, editsStart)
+	for number := range editCount {
+		c.editRow(number%c.fleet.Nodes(), editTries)
+		wait.For(c.ctx, editInterval)
 	}
 }
 
@@ -304,19 +304,19 @@
 	raceTries = 3
 )
 
-// edit raises the batch row's weight through a node; a lost race is tried
-// again on the current row.
-func (c *cell) edit(node, tries int) {
+// editRow raises the weight of the batch row through a node. After a lost race it tries again with
+// the current row.
+func (c *cell) editRow(node, tries int) {
 	operator, err := c.fleet.operator(node)
 	if err != nil {
-		c.noteFailure("operator", err)
+		c.recordFailure("operator", err)
 		return
 	}
 	defer operator.Close()
 	for range tries {
 		row, err := operator.Row(c.ctx, identity.RowID(rowBatch))
 		if err != nil {
-			continue // the node is down: an operator sees that
+			continue // the node may be down
 		}
 		row.Weight++
 		accepted, err := operator.PutRow(c.ctx, row)
@@ -327,20 +327,20 @@
 	}
 }
 
-// watchRows records how a node shows the rows.
+// watchRows records the revisions of the rows that a node shows.
 func (c *cell) watchRows(ctx context.Context, node int) {
-	const every = 250 * time.Millisecond
+	const interval = 250 * time.Millisecond
 	operator, err := c.fleet.operator(node)
 	if err != nil {
-		c.noteFailure("operator", err)
+		c.recordFailure("operator", err)
 		return
 	}
 	defer operator.Close()
 	last := map[identity.RowID]uint64{}
-	for wait.For(ctx, every) {
+	for wait.For(ctx, interval) {
 		list, err := operator.Rows(ctx)
 		if err != nil {
-			continue // down
+			continue // the node may be down
 		}
 		for _, row := range list.Rows {
 			if row.Revision != last[row.ID] {
@@ -352,23 +352,23 @@
 }
 
 func addressOf(r *http.Request) netip.AddrPort {
-	from, _ := netip.ParseAddrPort(r.RemoteAddr) // zero when there is none
+	from, _ := netip.ParseAddrPort(r.RemoteAddr) // zero if there is none
 	return from
 }
 
-// callerOf gives the node that a request came from, and which process of it.
+// callerOf returns the node that sent a request and the number of its process.
 func (c *cell) callerOf(r *http.Request) (node, process int) {
 	node = c.fleet.nodeAt(addressOf(r).Addr())
-	return c.processAt(node)
+	return c.processOf(node)
 }
 
-// processAt counts the processes of a node so far; zero while it is down.
-func (c *cell) processAt(node int) (at, process int) {
+// processOf returns how often a node was started so far, or 0 while it is down.
+func (c *cell) processOf(node int) (at, process int) {
 	if node < 0 || !c.fleet.isRunning(node) {
 		return node, 0
 	}
-	place := c.fleet.members[node]
-	place.mutex.Lock()
-	defer place.mutex.Unlock()
-	return node, place.starts
+	member := c.fleet.members[node]
+	member.mutex.Lock()
+	defer member.mutex.Unlock()
+	return node, member.starts
 }
--- a/internal/bench/faults/cell_test.go
+++ b/internal/bench/faults/cell_test.go
@@ -14,27 +14,27 @@
 	}
 }
 
-// TestEveryStepComesUp holds the list of steps to what the product does: a
-// step that no longer comes up would leave its column untested.
+// TestEveryStepComesUp checks that the product still reaches every listed step. A step that is no
+// longer reached would leave its column untested.
 func TestEveryStepComesUp(t *testing.T) {
 	seen := map[string]bool{}
-	result := runBubble(t, Cell{Seed: 1, stop: true, inspect: func(c *cell) { seen = c.seen }})
+	result := runBubble(t, Cell{Seed: 1, stop: true, inspect: func(c *cell) { seen = c.seenSteps }})
 	if len(result.Violations) > 0 || len(result.Failures) > 0 {
 		t.Errorf("violations %v, failures %v", result.Violations, result.Failures)
 	}
 	for _, step := range Steps() {
 		if !seen[step.Name] {
-			t.Errorf("%s did not come up", step.Name)
+			t.Errorf("step %s was not reached", step.Name)
 		}
 	}
 }
 
-// TestPartOfTheMatrix runs every fault at one step each. The whole matrix is
-// ringstream-bench faults.
+// TestPartOfTheMatrix runs every fault at one step each. The command "ringstream-bench faults" runs
+// the whole matrix.
 func TestPartOfTheMatrix(t *testing.T) {
 	steps := Steps()
 	for number, fault := range Faults() {
-		const stride = 11 // has no divisor in common with the number of steps, 42
+		const stride = 11 // coprime with the number of steps, 42
 		step := steps[number*stride%len(steps)]
 		t.Run(fault.Name+" at "+step.Name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/bench/faults/fleet.go
+++ b/internal/bench/faults/fleet.go
@@ -24,32 +24,32 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// The world of a cell: one pool, three zones with a node and two engines each.
+// The fleet of a cell has one pool and three zones, with a node and two engines each.
 const (
-	model        = "fleetlink-llm"
-	pool         = "fleetlink"
-	region       = "ie-west"
-	enginesInAll = 6
-	places       = 6 // sequences that an engine runs at once
-	shards       = 8
-	machinesLag  = 2 * time.Second
-	operatorKey  = "operator-key"
-	rowOnline    = "online"
-	rowBatch     = "batch"
+	model          = "fleetlink-llm"
+	pool           = "fleetlink"
+	region         = "ie-west"
+	engineCount    = 6
+	slotsPerEngine = 6 // sequences that an engine runs at once
+	shards         = 8
+	machinesLag    = 2 * time.Second
+	operatorKey    = "operator-key"
+	rowOnline      = "online"
+	rowBatch       = "batch"
 )
 
 var zones = []string{"galway-hall", "athlone-hall", "limerick-hall"}
 
 var tenants = []string{"alerts", "digests"}
 
-// The ports of a node's host.
+// Ports of a node.
 const (
 	portGateway = 8080
 	portAdmin   = 7070
 	portPeer    = 7946
 )
 
-// callersHost is where callers and operators dial from.
+// callersHost is the host from which callers and operators connect.
 var callersHost = netip.MustParseAddr("10.250.0.1")
 
 // fleet is a running fleet on a simulated network.
@@ -60,13 +60,13 @@
 	members  []*member
 }
 
-// member is the place of one node; its host stays the same over restarts.
+// member is one node of the fleet. Its host stays the same across restarts.
 type member struct {
 	host   netip.Addr
 	starts int
 
 	mutex   sync.Mutex
-	running *node.Node // nil: down
+	running *node.Node // nil while the node is down
 	stop    context.CancelFunc
 	ended   chan struct{} // closed when Run has returned
 	err     error         // of Run, once ended is closed
@@ -74,7 +74,7 @@
 
 func (m *member) address(port uint16) string { return netip.AddrPortFrom(m.host, port).String() }
 
-// latency: one millisecond between machines, three to callers, as at the users.
+// latency returns 1 ms between machines and 3 ms to callers, as in the users' network.
 func latency(from, to netip.Addr) time.Duration {
 	if from == callersHost || to == callersHost {
 		return 3 * time.Millisecond
@@ -82,14 +82,14 @@
 	return time.Millisecond
 }
 
-// startFleet starts stand-ins and nodes and loads the table.
+// startFleet starts the stand-ins and nodes and imports the table.
 func startFleet(ctx context.Context, seed uint64, wrap emulator.Wrapper, logger *zap.Logger) (*fleet, error) {
 	f := &fleet{network: netsim.New(latency), logger: logger}
 	config := emulator.DefaultFleetConfig()
 	config.Network, config.Seed, config.Wrap = f.network, seed, wrap
 	config.Region, config.Zones, config.MachinesLag = region, zones, machinesLag
-	config.Engine.MaxRunning = places
-	config.Pools = []emulator.Pool{{Name: pool, Engines: enginesInAll, Models: []backend.LoadedModel{{Model: model, Version: "1"}}}}
+	config.Engine.MaxRunning = slotsPerEngine
+	config.Pools = []emulator.Pool{{Name: pool, Engines: engineCount, Models: []backend.LoadedModel{{Model: model, Version: "1"}}}}
 	var err error
 	if f.platform, err = emulator.StartFleet(config); err != nil {
 		return nil, err
@@ -99,15 +99,15 @@
 		f.members = append(f.members, &member{host: first})
 		first = first.Next()
 	}
-	if err := f.begin(ctx); err != nil {
+	if err := f.startNodes(ctx); err != nil {
 		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// begin starts the nodes and waits until all are ready with the whole table.
-func (f *fleet) begin(ctx context.Context) error {
+// startNodes starts the nodes and waits until each of them shows the whole table.
+func (f *fleet) startNodes(ctx context.Context) error {
 	for index := range f.members {
 		if err := f.startNode(index); err != nil {
 			return err
@@ -121,8 +121,8 @@
 		return err
 	}
 	defer operator.Close()
-	err = until(ctx, func() error {
-		result, err := operator.ImportRows(ctx, table())
+	err = retryUntilSuccess(ctx, func() error {
+		result, err := operator.ImportRows(ctx, tableRows())
 		if err == nil && result.Failed > 0 {
 			err = fmt.Errorf("rows refused: %+v", result.Rows)
 		}
@@ -139,7 +139,7 @@
 	return nil
 }
 
-func table() []policy.Row {
+func tableRows() []policy.Row {
 	row := func(id identity.RowID, kind policy.Kind, weight int, class policy.DeadlineClass) policy.Row {
 		return policy.Row{
 			ID: id, Match: policy.Match{Tenant: policy.Any, Model: policy.Any, Kind: kind},
@@ -152,9 +152,9 @@
 	}
 }
 
-// until repeats a call until it succeeds or ctx is done; then it gives the
-// call's last error.
-func until(ctx context.Context, call func() error) error {
+// retryUntilSuccess repeats a call until it succeeds or ctx is done. Then it returns ctx's error
+// joined with the last error of the call.
+func retryUntilSuccess(ctx context.Context, call func() error) error {
 	const pause = 200 * time.Millisecond
 	for {
 		err := call()
@@ -177,9 +177,9 @@
 		return err
 	}
 	defer operator.Close()
-	err = until(ctx, func() error {
+	err = retryUntilSuccess(ctx, func() error {
 		list, err := operator.Rows(ctx)
-		if err == nil && len(list.Rows) < len(table()) {
+		if err == nil && len(list.Rows) < len(tableRows()) {
 			err = fmt.Errorf("shows %d rows", len(list.Rows))
 		}
 		return err
@@ -191,12 +191,12 @@
 }
 
 func (f *fleet) nodeSettings(index int) settings.Settings {
-	place := f.members[index]
+	member := f.members[index]
 	made := settings.Default()
-	made.Node = settings.Node{ID: fmt.Sprintf("node-%d-%d", index, place.starts), Zone: zones[index], Region: region}
-	made.Admin.Address = place.address(portAdmin)
-	made.Gateway.HTTP.Address = place.address(portGateway)
-	made.Peer.ListenAddress = place.address(portPeer)
+	made.Node = settings.Node{ID: fmt.Sprintf("node-%d-%d", index, member.starts), Zone: zones[index], Region: region}
+	made.Admin.Address = member.address(portAdmin)
+	made.Gateway.HTTP.Address = member.address(portGateway)
+	made.Peer.ListenAddress = member.address(portPeer)
 	made.Jobs.Shards = shards
 	for other, seed := range f.members {
 		if other != index {
@@ -216,62 +216,62 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// startNode starts a node that is down, under a new name, as a replaced
-// machine has.
+// startNode starts a node that is down. The node gets a new name, as the node of a replaced machine
+// does.
 func (f *fleet) startNode(index int) error {
-	place := f.members[index]
-	place.mutex.Lock()
-	defer place.mutex.Unlock()
-	if place.running != nil {
+	member := f.members[index]
+	member.mutex.Lock()
+	defer member.mutex.Unlock()
+	if member.running != nil {
 		return fmt.Errorf("node %d is running", index)
 	}
-	place.starts++
-	f.network.Revive(place.host)
-	made, err := node.New(f.nodeSettings(index), f.logger, node.WithNetwork(f.network.Host(place.host)))
+	member.starts++
+	f.network.Revive(member.host)
+	made, err := node.New(f.nodeSettings(index), f.logger, node.WithNetwork(f.network.Host(member.host)))
 	if err != nil {
 		return fmt.Errorf("node %d: %w", index, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	place.running, place.stop, place.ended = made, stop, ended
+	member.running, member.stop, member.ended = made, stop, ended
 	go func() {
 		err := made.Run(ctx)
 		stop()
-		place.mutex.Lock()
-		defer place.mutex.Unlock()
-		if place.running == made {
-			place.running, place.err = nil, err
+		member.mutex.Lock()
+		defer member.mutex.Unlock()
+		if member.running == made {
+			member.running, member.err = nil, err
 		}
 		close(ended)
 	}()
 	return nil
 }
 
-// stopNode stops a node as planned and returns when it has ended.
+// stopNode performs a planned stop of a node and returns when the node has ended.
 func (f *fleet) stopNode(index int) error {
-	place := f.members[index]
-	stop, ended := place.handles()
+	member := f.members[index]
+	stop, ended := member.handles()
 	if stop == nil {
 		return nil
 	}
 	stop()
 	<-ended
-	return place.err
+	return member.err
 }
 
-// killNode ends a node's process. What is left of it in memory is cut off
-// from everything, and told to end.
+// killNode simulates the end of a node's process. It cuts the node off from the network and cancels
+// its context.
 func (f *fleet) killNode(index int) {
-	place := f.members[index]
-	stop, _ := place.handles()
+	member := f.members[index]
+	stop, _ := member.handles()
 	if stop == nil {
 		return
 	}
-	f.network.Kill(place.host)
+	f.network.Kill(member.host)
 	stop()
-	place.mutex.Lock()
-	defer place.mutex.Unlock()
-	place.running = nil
+	member.mutex.Lock()
+	defer member.mutex.Unlock()
+	member.running = nil
 }
 
 func (f *fleet) isRunning(index int) bool {
@@ -279,7 +279,7 @@
 	return stop != nil
 }
 
-// handles gives what ends a running node; nil when it is down.
+// handles returns the functions and channel that end a running node, or nil if it is down.
 func (m *member) handles() (context.CancelFunc, chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -289,7 +289,7 @@
 	return m.stop, m.ended
 }
 
-// operator makes a client of a node's admin API.
+// operator creates a client of a node's admin API.
 func (f *fleet) operator(index int) (*adminclient.Client, error) {
 	const timeout = 10 * time.Second
 	return adminclient.New(adminclient.Options{
@@ -298,10 +298,10 @@
 	})
 }
 
-// nodeAt gives the index of the node at a host, or -1.
+// nodeAt returns the index of the node at a host, or -1.
 func (f *fleet) nodeAt(host netip.Addr) int {
-	for index, place := range f.members {
-		if place.host == host {
+	for index, member := range f.members {
+		if member.host == host {
 			return index
 		}
 	}
@@ -317,8 +317,8 @@
 // Key implements client.Directory.
 func (f *fleet) Key(tenant string) string { return "key-of-" + tenant }
 
-// close ends everything. Nodes are killed; what is left of them ends with
-// their contexts.
+// close kills all nodes and closes the stand-ins. The goroutines of the nodes end with their
+// contexts.
 func (f *fleet) close() {
 	for index := range f.members {
 		f.killNode(index)
--- a/internal/bench/faults/judge.go
+++ b/internal/bench/faults/judge.go
@@ -15,12 +15,12 @@
 	"ringstream.example/ringstream/internal/jobs"
 )
 
-// judge gathers the records and checks them.
+// judge collects the records of the cell and checks them.
 func (c *cell) judge() Result {
 	evidence := c.records.Evidence()
 	evidence.Nodes = c.fleet.Nodes()
-	c.readAgain(&evidence)
-	complete(&evidence, c.allPrompts(), c.fleet.platform)
+	c.rereadResults(&evidence)
+	addEngineRecords(&evidence, c.allPrompts(), c.fleet.platform)
 	c.mutex.Lock()
 	result := Result{
 		Cell: c.Cell, Reached: len(c.pending) == 0, ReachedAt: c.reachedAt, Failures: c.failures,
@@ -28,15 +28,15 @@
 	}
 	c.mutex.Unlock()
 	result.Violations = checker.Check(evidence, answer)
-	result.Violations = append(result.Violations, oneJobPerKey(evidence)...)
-	result.Violations = append(result.Violations, lastRevisionEverywhere(evidence)...)
-	result.count(evidence)
+	result.Violations = append(result.Violations, checkOneJobPerKey(evidence)...)
+	result.Violations = append(result.Violations, checkLastRevision(evidence)...)
+	result.addTotals(evidence)
 	return result
 }
 
-// readAgain reads the results of every accepted job once more, at the end of
-// everything: they must be what they were.
-func (c *cell) readAgain(evidence *ledger.Evidence) {
+// rereadResults reads the results of every accepted job once more at the end. They must not have
+// changed.
+func (c *cell) rereadResults(evidence *ledger.Evidence) {
 	callers := client.NewWithDial(c.fleet, model, &c.records, c.fleet.network.Host(callersHost).DialContext)
 	defer callers.Close()
 	for i := range evidence.Jobs {
@@ -44,11 +44,11 @@
 		if job.ID == "" {
 			continue
 		}
-		// A client that met an outage when the job had ended may have no final
-		// reading; this one comes when all faults are over.
+		// A client may have no final reading if the job ended during an outage. This reading takes
+		// place after all faults have ended.
 		final := job.State == string(jobs.StateCompleted) || (len(job.Readings) > 0 && job.Readings[len(job.Readings)-1].Final)
 		results, err := callers.Results(c.ctx, i%c.fleet.Nodes(), job.Tenant, job.ID)
-		c.noteFailure("read results of "+job.Key, err)
+		c.recordFailure("read results of "+job.Key, err)
 		if err == nil {
 			job.Readings = append(job.Readings, ledger.Reading{At: time.Now(), Final: final, Results: results})
 		}
@@ -59,8 +59,8 @@
 	return emulator.ExpectedText(model, prompt, maxTokens)
 }
 
-// oneJobPerKey: every submission of a key was answered with the same job.
-func oneJobPerKey(evidence ledger.Evidence) []checker.Violation {
+// checkOneJobPerKey checks that every submission with the same key was answered with the same job.
+func checkOneJobPerKey(evidence ledger.Evidence) []checker.Violation {
 	var found []checker.Violation
 	byKey := map[string]string{}
 	for _, job := range evidence.Jobs {
@@ -75,8 +75,8 @@
 	return found
 }
 
-// lastRevisionEverywhere: in the end all nodes show the same, newest row.
-func lastRevisionEverywhere(evidence ledger.Evidence) []checker.Violation {
+// checkLastRevision checks that in the end all nodes show the newest revision of the row.
+func checkLastRevision(evidence ledger.Evidence) []checker.Violation {
 	newest, shown := uint64(0), map[int]uint64{}
 	for _, sighting := range evidence.Sightings {
 		if sighting.Row == rowBatch {
@@ -96,8 +96,8 @@
 	return found
 }
 
-// count fills in the totals.
-func (r *Result) count(evidence ledger.Evidence) {
+// addTotals computes the totals.
+func (r *Result) addTotals(evidence ledger.Evidence) {
 	for _, request := range evidence.Requests {
 		r.Requests++
 		if request.End == ledger.EndCompleted {
@@ -120,14 +120,14 @@
 	}
 }
 
-// allPrompts gives the name of every prompt's hash.
+// allPrompts returns the request or item name for the hash of each prompt.
 func (c *cell) allPrompts() map[uint64]string {
 	return engineledger.PromptNames(model, c.plan, leavingPlan(c.Seed))
 }
 
-// complete adds what the engines recorded.
-func complete(into *ledger.Evidence, names map[uint64]string, stand *emulator.Fleet) {
-	for _, entry := range stand.Ledger() {
+// addEngineRecords adds the records of the engines.
+func addEngineRecords(into *ledger.Evidence, names map[uint64]string, platform *emulator.Fleet) {
+	for _, entry := range platform.Ledger() {
 		online := entry.Priority == backend.PriorityOnline
 		name := names[entry.PromptHash]
 		if entry.Refused != "" {
--- a/internal/bench/faults/matrix.go
+++ b/internal/bench/faults/matrix.go
@@ -16,20 +16,20 @@
 	"ringstream.example/ringstream/internal/bench/checker"
 )
 
-// Options say which cells to run.
+// Options configures which cells run.
 type Options struct {
 	Seed uint64
-	// Pairs is the number of cells with two faults, drawn by the seed.
+	// Pairs is the number of cells with two faults, which are drawn from the seed.
 	Pairs int
-	// Parallel is the number of cells at work at the same time.
+	// Parallel is the number of cells that run at the same time.
 	Parallel int
-	// Steps and Faults limit the matrix to these names; empty: all.
+	// Steps and Faults limit the matrix to these names; empty means all.
 	Steps, Faults []string
-	// Progress, when set, is called after each cell, one call at a time.
+	// Progress is called after each cell, one call at a time. It may be nil.
 	Progress func(done, all int, last Result)
 }
 
-// Report is a finished matrix.
+// Report is the result of a matrix.
 type Report struct {
 	Seed    uint64    `json:"seed"`
 	Started time.Time `json:"started"`
@@ -40,12 +40,12 @@
 	Calm  Result   `json:"calm"`
 	Cells []Result `json:"cells"`
 	Pairs []Result `json:"pairs"`
-	// Bugs are the cells of planted bugs; each bug must show in one of its own.
+	// Bugs are the cells with planted bugs. Each bug must be detected in one of its cells.
 	Bugs   []Result `json:"bugs"`
 	Totals Totals   `json:"totals"`
 }
 
-// Totals sum a matrix up, planted bugs excluded.
+// Totals sums up a matrix, without the planted bugs.
 type Totals struct {
 	Cells           int                       `json:"cells"`
 	NotReached      int                       `json:"not_reached"`
@@ -62,10 +62,9 @@
 	InvariantsNamed []checker.Invariant       `json:"invariants"`
 }
 
-// Passed says that no cell shows a violation or a failure of its own, that the
-// step of each single fault came up, that every planted bug was caught, and that
-// the calm cell completed everything. The second step of a pair may not come up
-// once the first fault has done its work.
+// Passed reports whether no cell has a violation or a failure, the step of each single fault was
+// reached, every planted bug was caught, and the cell without faults completed everything. The
+// second step of a pair is not required, because the first fault may prevent it.
 func (r Report) Passed() bool {
 	for _, cell := range r.Cells {
 		if !cell.Reached {
@@ -76,15 +75,15 @@
 		r.Calm.Completed == r.Calm.Requests && r.Calm.ItemsCompleted == r.Calm.Items
 }
 
-// Main runs the matrix, hands the report to finish, and ends the process: with
-// code 1 when finish gives an error. Virtual time outside a test needs package
-// testing's own main function, which does not return.
+// Main runs the matrix, passes the report to finish, and ends the process. The exit code is 1 if
+// finish returns an error. Virtual time outside a test requires the main function of package
+// testing, which does not return.
 func Main(options Options, finish func(Report) error) {
 	prepareProcess()
 	testing.Init()
-	os.Args = os.Args[:1] // package testing is not to read our flags
+	os.Args = os.Args[:1] // package testing must not parse the command's flags
 	if err := flag.CommandLine.Set("test.parallel", strconv.Itoa(max(1, options.Parallel))); err != nil {
-		panic(err) // testing.Init has defined the flag
+		panic(err) // testing.Init defines the flag
 	}
 	matrix := func(t *testing.T) {
 		run(t, options, func(report Report) {
@@ -93,11 +92,11 @@
 			}
 		})
 	}
-	everything := func(string, string) (bool, error) { return true, nil }
-	testing.Main(everything, []testing.InternalTest{{Name: "matrix", F: matrix}}, nil, nil)
+	matchAll := func(string, string) (bool, error) { return true, nil }
+	testing.Main(matchAll, []testing.InternalTest{{Name: "matrix", F: matrix}}, nil, nil)
 }
 
-// run runs the matrix as parallel subtests, and calls finish after the last.
+// run runs the matrix as parallel subtests, and calls finish after the last one.
 func run(t *testing.T, options Options, finish func(Report)) {
 	report := Report{Seed: options.Seed, Started: time.Now(), Steps: chosenSteps(options.Steps), Faults: chosenFaults(options.Faults)}
 	specs := []Cell{{Seed: options.Seed}}
@@ -157,8 +156,8 @@
 	return chosen
 }
 
-// drawPairs draws cells with two faults, each at a step of its own; the second
-// is awaited once the first has begun.
+// drawPairs draws cells with two faults, each at its own step. The second step is awaited once the
+// first fault has been triggered.
 func drawPairs(seed uint64, count int, steps []Step, faults []Fault) []Cell {
 	source := rand.New(rand.NewPCG(seed, 3)) //nolint:gosec // seeded on purpose
 	draw := func() Injection {
@@ -171,8 +170,8 @@
 	return cells
 }
 
-// runBubble runs one cell in virtual time. A bubble whose goroutines do not
-// end is a failure of the cell.
+// runBubble runs one cell in virtual time. If goroutines of the bubble do not end, the cell records
+// a failure.
 func runBubble(t *testing.T, spec Cell) (result Result) {
 	defer func() {
 		if failure := recover(); failure != nil {
@@ -191,7 +190,7 @@
 	return result
 }
 
-// sum fills in the totals.
+// sum computes the totals.
 func (r *Report) sum() {
 	r.Totals = Totals{Violations: map[checker.Invariant]int{}, InvariantsNamed: checker.Invariants}
 	for _, invariant := range checker.Invariants {
--- a/internal/bench/faults/page.go
+++ b/internal/bench/faults/page.go
@@ -30,7 +30,7 @@
 	Cells []Result
 }
 
-// rows arranges the cells by fault; they were run step by step.
+// rows groups the cells by fault. The cells of the report are ordered by step.
 func (r Report) rows() []row {
 	rows := make([]row, len(r.Faults))
 	for i, fault := range r.Faults {
@@ -42,7 +42,7 @@
 	return rows
 }
 
-// class is the style of a cell.
+// class returns the CSS class of a cell.
 func (r Result) class() string {
 	switch {
 	case len(r.Violations) > 0:
@@ -56,7 +56,7 @@
 	}
 }
 
-// mark is what a cell shows: the number of its violations.
+// mark returns the text of a cell, such as the number of its violations.
 func (r Result) mark() string {
 	switch r.class() {
 	case "violated":
@@ -70,7 +70,7 @@
 	}
 }
 
-// name says what was injected where.
+// name describes the injections of a cell.
 func (r Result) name() string {
 	var parts []string
 	for _, injected := range r.Injections {
@@ -79,7 +79,7 @@
 	return strings.Join(parts, ", then ")
 }
 
-// title tells a cell's story in a few lines.
+// title describes a cell in a few lines.
 func (r Result) title() string {
 	lines := []string{r.name(), fmt.Sprintf("%d of %d requests and %d of %d items completed", r.Completed, r.Requests, r.ItemsCompleted, r.Items)}
 	const most = 6
@@ -93,7 +93,7 @@
 	return strings.Join(append(lines, r.Failures...), "\n")
 }
 
-// WriteSummary writes the totals and every cell that is not sound as Markdown.
+// WriteSummary writes the totals and every cell with a problem as Markdown.
 func (r Report) WriteSummary(out io.Writer) error {
 	var text strings.Builder
 	t := r.Totals
@@ -117,7 +117,7 @@
 	return err
 }
 
-// first gives the first thing that is wrong with a cell.
+// first returns the first problem of a cell.
 func (r Result) first() string {
 	const longest = 160
 	text := "not reached"
--- a/internal/bench/faults/page_test.go
+++ b/internal/bench/faults/page_test.go
@@ -7,7 +7,7 @@
 	"ringstream.example/ringstream/internal/bench/checker"
 )
 
-// sample is a matrix of two steps and two faults with one violation.
+// sample returns a matrix of two steps and two faults with one violation.
 func sample() Report {
 	steps, faults := Steps()[:2], Faults()[:2]
 	report := Report{Steps: steps, Faults: faults, Calm: Result{Reached: true}}
@@ -33,7 +33,7 @@
 	}
 	second, first := report.Steps[1].Name, report.Faults[0].Name
 	if rows := report.rows(); rows[0].Cells[1].class() != "violated" || rows[0].Cells[0].class() != "sound" || rows[1].Cells[1].class() != "sound" {
-		t.Error("the violation is not where it was put")
+		t.Error("the violation is not at its cell")
 	}
 	for _, want := range []string{"not passed", "nonrepeatable_at_most_once item-&lt;1&gt;: ran twice", first + " at " + second} {
 		if !strings.Contains(html.String(), want) {
@@ -60,6 +60,6 @@
 	report.Cells[0].Reached = false
 	report.sum()
 	if report.Passed() {
-		t.Error("passed with a step that did not come up")
+		t.Error("passed although a step was not reached")
 	}
 }
--- a/internal/bench/faults/plan.go
+++ b/internal/bench/faults/plan.go
@@ -8,34 +8,34 @@
 	"ringstream.example/ringstream/internal/bench/workload"
 )
 
-// The callers' work of a cell.
+// The load of a cell.
 const (
-	requestsFrom  = 500 * time.Millisecond
-	requestsEvery = 400 * time.Millisecond
-	requests      = 40
-	keyedEvery    = 3 // one request in so many carries a key and is sent again
-	resendAfter   = 1500 * time.Millisecond
-	jobDeadline   = 10 * time.Minute
-	editsFrom     = time.Second
-	editsEvery    = 2 * time.Second
-	edits         = 8
-	stopAt        = 4 * time.Second // of the planned stop, where a step needs one
-	stopLasts     = 5 * time.Second
+	requestsStart   = 500 * time.Millisecond
+	requestInterval = 400 * time.Millisecond
+	requestCount    = 40
+	keyedInterval   = 3 // one request in this many carries a key and is sent again
+	resendAfter     = 1500 * time.Millisecond
+	jobDeadline     = 10 * time.Minute
+	editsStart      = time.Second
+	editInterval    = 2 * time.Second
+	editCount       = 8
+	stopAt          = 4 * time.Second // time of the planned stop, for steps that need one
+	stopDuration    = 5 * time.Second
 )
 
-// makePlan draws the online requests and the jobs of a cell: each kind of job
-// is submitted twice, so that steps come up early and late.
+// makePlan draws the online requests and the jobs of a cell. Each kind of job is submitted twice,
+// so that steps are reached both early and late.
 func makePlan(seed uint64) workload.Plan {
 	source := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // seeded on purpose
 	var plan workload.Plan
-	for number := range requests {
-		at := requestsFrom + time.Duration(number)*requestsEvery
+	for number := range requestCount {
+		at := requestsStart + time.Duration(number)*requestInterval
 		request := workload.Request{
 			At: at, Name: fmt.Sprintf("request-%d", number), Tenant: tenants[0], Node: number % len(zones),
 			MaxTokens: 20 + source.IntN(60),
 		}
 		request.Prompt = prompt(source, request.Name)
-		if number%keyedEvery != 0 {
+		if number%keyedInterval != 0 {
 			plan.Requests = append(plan.Requests, request)
 			continue
 		}
@@ -68,7 +68,7 @@
 	return job
 }
 
-// prompt names the work and fills up to some hundred tokens.
+// prompt returns a prompt that contains the name, with 100 to 299 words of filler.
 func prompt(source *rand.Rand, name string) string {
 	text := workload.Nonce(name) + " "
 	for range 100 + source.IntN(200) {
@@ -77,14 +77,14 @@
 	return text
 }
 
-// leavingPlan is the work of callers that may go away in the middle of it.
+// leavingPlan returns the requests of callers that may leave before the answer is complete.
 func leavingPlan(seed uint64) workload.Plan {
 	source := rand.New(rand.NewPCG(seed, 2)) //nolint:gosec // seeded on purpose
 	var plan workload.Plan
 	const longAnswer = 300
-	for number := range requests / 2 {
+	for number := range requestCount / 2 {
 		request := workload.Request{
-			At:   requestsFrom + time.Duration(number)*2*requestsEvery,
+			At:   requestsStart + time.Duration(number)*2*requestInterval,
 			Name: fmt.Sprintf("leaving-%d", number), Tenant: tenants[0], Node: number % len(zones), MaxTokens: longAnswer,
 		}
 		request.Prompt = prompt(source, request.Name)
--- a/internal/bench/faults/steps.go
+++ b/internal/bench/faults/steps.go
@@ -1,10 +1,9 @@
-// Package faults runs the fault matrix: every fault at every step of a
-// request, a job, an item, a cancel, a lease hand-over and a row edit. Each
-// cell is a small fleet of whole nodes on a simulated network in virtual time;
-// the fault comes when the platform's stand-ins see the step, and the checker
-// judges the cell by the stand-ins' and the callers' records. It never looks
-// into a node. The matrix is made from the lists Steps and Faults: an entry
-// added to one of them adds its column or row.
+// Package faults runs the fault matrix, which injects every fault at every step of a request, a
+// job, an item, a cancel, a lease hand-over and a row edit. Each cell is a small fleet of complete
+// nodes on a simulated network in virtual time. The fault begins when the platform stand-ins
+// observe the step. The checker judges the cell by the records of the stand-ins and the callers,
+// and never by the state of a node. The matrix is built from the lists Steps and Faults, so an
+// entry added to one of them adds a column or a row.
 package faults
 
 import (
@@ -17,35 +16,38 @@
 	"ringstream.example/ringstream/internal/emulator"
 )
 
-// Step is a point in the course of some work, as the stand-ins see it.
+// Step is a point in the course of some work, as observed by the stand-ins.
 type Step struct {
 	Name string `json:"name"`
-	// Of says whose step it is: "request", "job", "item", "cancel", "lease", "edit".
+	// Of is the kind of work: "request", "job", "item", "cancel", "lease" or "edit".
 	Of string `json:"of"`
-	// needsStop: it comes up only when a node is stopped, which the cell then does.
+	// needsStop is true if the step is reached only when a node is stopped. The cell then includes
+	// a planned stop.
 	needsStop bool
-	reached   func(*sight) bool
+	reached   func(*observedCall) bool
 }
 
-// sight is one call at a stand-in, taken apart.
-type sight struct {
+// observedCall is a classified call to a stand-in.
+type observedCall struct {
 	emulator.Call
 	transaction wire.Transaction
-	// newItems: the commit makes items final that were not; newIntents: it
-	// records intents only. Both for writes of a job's segments.
+	// newItems is true if the commit makes more items final. newIntents is true if it records
+	// intents only. Both concern writes of a job's segments.
 	newItems, newIntents bool
-	// keyWrites counts the commits of the same idempotency record before.
+	// keyWrites is the number of earlier commits of the same idempotency record.
 	keyWrites int
 }
 
-// watcher takes calls apart; it remembers what it needs to tell commits apart.
-// Its caller sees to it that one call is taken apart at a time.
-type watcher struct {
-	final     map[string]int // items that a segment record shows as final
+// callClassifier classifies calls and keeps the state needed to tell commits apart. It is not safe
+// for concurrent use.
+type callClassifier struct {
+	final     map[string]int // number of final items by segment key
 	keyWrites map[string]int
 }
 
-func newWatcher() *watcher { return &watcher{final: map[string]int{}, keyWrites: map[string]int{}} }
+func newCallClassifier() *callClassifier {
+	return &callClassifier{final: map[string]int{}, keyWrites: map[string]int{}}
+}
 
 const (
 	segmentPrefix = "batch/segment/"
@@ -56,15 +58,15 @@
 	resultPrefix  = "batch/result/"
 )
 
-func (w *watcher) look(call emulator.Call) *sight {
-	seen := &sight{Call: call}
+func (w *callClassifier) classify(call emulator.Call) *observedCall {
+	seen := &observedCall{Call: call}
 	if call.System != "table" || call.Operation != "commit" || json.Unmarshal(call.Body, &seen.transaction) != nil {
 		return seen
 	}
 	for _, write := range seen.transaction.Writes {
 		switch {
 		case strings.HasPrefix(write.Key, segmentPrefix) && !write.Delete:
-			w.lookSegment(seen, write)
+			w.classifySegment(seen, write)
 		case strings.HasPrefix(write.Key, keyPrefix):
 			seen.keyWrites = w.keyWrites[write.Key]
 			if call.Phase == emulator.AfterEffect {
@@ -75,7 +77,7 @@
 	return seen
 }
 
-func (w *watcher) lookSegment(seen *sight, write wire.Write) {
+func (w *callClassifier) classifySegment(seen *observedCall, write wire.Write) {
 	segment, err := batch.DecodeSegment(write.Value)
 	if err != nil {
 		return
@@ -91,8 +93,8 @@
 	}
 }
 
-// writes tells whether the commit writes a key with the prefix.
-func (s *sight) writes(prefix string) bool {
+// writes reports whether the commit writes a key with the prefix.
+func (s *observedCall) writes(prefix string) bool {
 	for _, write := range s.transaction.Writes {
 		if strings.HasPrefix(write.Key, prefix) {
 			return true
@@ -101,8 +103,8 @@
 	return false
 }
 
-// deletes tells whether the commit deletes a key with the prefix.
-func (s *sight) deletes(prefix string) bool {
+// deletes reports whether the commit deletes a key with the prefix.
+func (s *observedCall) deletes(prefix string) bool {
 	for _, write := range s.transaction.Writes {
 		if write.Delete && strings.HasPrefix(write.Key, prefix) {
 			return true
@@ -111,14 +113,14 @@
 	return false
 }
 
-func (s *sight) commitOf(id string) bool { return strings.HasPrefix(s.transaction.ID, id) }
+func (s *observedCall) isCommitOf(id string) bool { return strings.HasPrefix(s.transaction.ID, id) }
 
-func (s *sight) put(prefix string) bool {
+func (s *observedCall) isPutOf(prefix string) bool {
 	return s.System == "objects" && s.Operation == "put" && strings.HasPrefix(s.Subject, prefix)
 }
 
-// generates tells whether the call sends an attempt of a priority.
-func (s *sight) generates(priority backend.Priority) bool {
+// generates reports whether the call sends an attempt of a priority.
+func (s *observedCall) generates(priority backend.Priority) bool {
 	if s.Operation != "generate" {
 		return false
 	}
@@ -126,38 +128,39 @@
 	return json.Unmarshal(s.Body, &sent) == nil && backend.Priority(sent.Priority) == priority
 }
 
-func (s *sight) streams(operation string, priority backend.Priority) bool {
+func (s *observedCall) streams(operation string, priority backend.Priority) bool {
 	return s.Operation == operation && s.Priority == priority
 }
 
-// Steps lists every step, in the order of their work.
+// Steps lists every step, ordered by the course of the work.
 func Steps() []Step {
 	var steps []Step
-	steps = append(steps, around("request", "key_claim", func(s *sight) bool { return s.writes(keyPrefix) && s.keyWrites == 0 })...)
-	steps = append(steps, attempt("request", backend.PriorityOnline)...)
-	steps = append(steps, around("request", "key_answer", func(s *sight) bool { return s.writes(keyPrefix) && s.keyWrites == 1 })...)
-	steps = append(steps, around("job", "input_put", func(s *sight) bool { return s.put(inputPrefix) })...)
-	steps = append(steps, around("job", "accept", func(s *sight) bool { return s.commitOf("accept-") })...)
-	steps = append(steps, around("item", "intent", func(s *sight) bool { return s.newIntents })...)
-	steps = append(steps, attempt("item", backend.PriorityBatch)...)
-	steps = append(steps, around("item", "result_put", func(s *sight) bool { return s.put(resultPrefix) })...)
-	steps = append(steps, around("item", "final", func(s *sight) bool { return s.newItems })...)
-	steps = append(steps, around("job", "end", func(s *sight) bool { return s.commitOf("items-") && s.deletes(openPrefix) })...)
-	steps = append(steps, around("cancel", "commit", func(s *sight) bool { return s.commitOf("cancel-") })...)
-	steps = append(steps, around("cancel", "engine", func(s *sight) bool { return s.Operation == "cancel" })...)
-	steps = append(steps, around("lease", "renew", func(s *sight) bool { return s.commitOf("renew-") })...)
-	for _, handOver := range []string{"release", "end", "claim"} {
-		steps = append(steps, needsStop(around("lease", handOver, func(s *sight) bool { return s.commitOf(handOver + "-") }))...)
+	steps = append(steps, stepsAround("request", "key_claim", func(s *observedCall) bool { return s.writes(keyPrefix) && s.keyWrites == 0 })...)
+	steps = append(steps, attemptSteps("request", backend.PriorityOnline)...)
+	steps = append(steps, stepsAround("request", "key_answer", func(s *observedCall) bool { return s.writes(keyPrefix) && s.keyWrites == 1 })...)
+	steps = append(steps, stepsAround("job", "input_put", func(s *observedCall) bool { return s.isPutOf(inputPrefix) })...)
+	steps = append(steps, stepsAround("job", "accept", func(s *observedCall) bool { return s.isCommitOf("accept-") })...)
+	steps = append(steps, stepsAround("item", "intent", func(s *observedCall) bool { return s.newIntents })...)
+	steps = append(steps, attemptSteps("item", backend.PriorityBatch)...)
+	steps = append(steps, stepsAround("item", "result_put", func(s *observedCall) bool { return s.isPutOf(resultPrefix) })...)
+	steps = append(steps, stepsAround("item", "final", func(s *observedCall) bool { return s.newItems })...)
+	steps = append(steps, stepsAround("job", "end", func(s *observedCall) bool { return s.isCommitOf("items-") && s.deletes(openPrefix) })...)
+	steps = append(steps, stepsAround("cancel", "commit", func(s *observedCall) bool { return s.isCommitOf("cancel-") })...)
+	steps = append(steps, stepsAround("cancel", "engine", func(s *observedCall) bool { return s.Operation == "cancel" })...)
+	steps = append(steps, stepsAround("lease", "renew", func(s *observedCall) bool { return s.isCommitOf("renew-") })...)
+	for _, operation := range []string{"release", "end", "claim"} {
+		steps = append(steps, needsStop(stepsAround("lease", operation, func(s *observedCall) bool { return s.isCommitOf(operation + "-") }))...)
 	}
-	steps = append(steps, around("edit", "commit", func(s *sight) bool { return s.writes(rowPrefix) })...)
-	steps = append(steps, around("edit", "poll", func(s *sight) bool { return s.Operation == "get" && s.Subject == "rows/head" })...)
+	steps = append(steps, stepsAround("edit", "commit", func(s *observedCall) bool { return s.writes(rowPrefix) })...)
+	steps = append(steps, stepsAround("edit", "poll", func(s *observedCall) bool { return s.Operation == "get" && s.Subject == "rows/head" })...)
 	return steps
 }
 
-// around gives the steps before a call's effect and after it, unanswered.
-func around(of, name string, match func(*sight) bool) []Step {
-	at := func(phase emulator.CallPhase) func(*sight) bool {
-		return func(s *sight) bool { return s.Phase == phase && match(s) }
+// stepsAround returns the steps before the effect of a call, and after the effect but before the
+// answer.
+func stepsAround(of, name string, match func(*observedCall) bool) []Step {
+	at := func(phase emulator.CallPhase) func(*observedCall) bool {
+		return func(s *observedCall) bool { return s.Phase == phase && match(s) }
 	}
 	return []Step{
 		{Name: of + "." + name + ".before", Of: of, reached: at(emulator.BeforeEffect)},
@@ -165,11 +168,11 @@
 	}
 }
 
-// attempt gives the steps of an attempt on an engine.
-func attempt(of string, priority backend.Priority) []Step {
-	steps := around(of, "send", func(s *sight) bool { return s.generates(priority) })
+// attemptSteps returns the steps of an attempt on an engine.
+func attemptSteps(of string, priority backend.Priority) []Step {
+	steps := stepsAround(of, "send", func(s *observedCall) bool { return s.generates(priority) })
 	for _, point := range []string{emulator.OperationFirstToken, emulator.OperationHalfway, emulator.OperationFinish} {
-		steps = append(steps, Step{Name: of + "." + point, Of: of, reached: func(s *sight) bool { return s.streams(point, priority) }})
+		steps = append(steps, Step{Name: of + "." + point, Of: of, reached: func(s *observedCall) bool { return s.streams(point, priority) }})
 	}
 	return steps
 }
