--- a/internal/bench/client/client.go
+++ b/internal/bench/client/client.go
@@ -1,6 +1,6 @@
-// Package client behaves as the callers of ringstream do: it sends a plan's
-// requests and jobs over HTTP when they are due, whatever became of earlier
-// ones, and records what it sent and was answered. It never looks into a node.
+// Package client simulates the callers of ringstream. It sends the requests and jobs of a plan over
+// HTTP at their scheduled times, regardless of the outcome of earlier ones, and records what it
+// sent and received. It never looks at the state of a node.
 package client
 
 import (
@@ -18,13 +18,13 @@
 	"ringstream.example/ringstream/internal/bench/workload"
 )
 
-// Directory tells callers where the nodes are and what their keys are.
+// Directory provides the addresses of the nodes and the keys of the tenants.
 type Directory interface {
-	// Gateway is the address of a node's callers' API; nodes count from 0.
+	// Gateway returns the address of a node's API for callers. Nodes count from 0.
 	Gateway(node int) string
-	// Nodes is the number of nodes.
+	// Nodes returns the number of nodes.
 	Nodes() int
-	// Key is a tenant's bearer key.
+	// Key returns the bearer key of a tenant.
 	Key(tenant string) string
 }
 
@@ -35,20 +35,20 @@
 	ledger    *ledger.Ledger
 	http      *http.Client
 	started   time.Time
-	// sending ends when all requests and the submissions of all jobs have
-	// ended; following, when every job has been followed to its end.
+	// sending waits for the online requests, and following for all jobs to be followed to their
+	// end.
 	sending, following sync.WaitGroup
 }
 
-// New makes a client whose records go to the ledger.
+// New creates a client whose records go to the ledger.
 func New(directory Directory, model string, into *ledger.Ledger) *Client {
 	return NewWithDial(directory, model, into, (&net.Dialer{}).DialContext)
 }
 
-// dialTimeout bounds the wait for a connection.
+// dialTimeout bounds the time for opening a connection.
 const dialTimeout = time.Second
 
-// NewWithDial makes a client that opens its connections by dial.
+// NewWithDial creates a client that opens its connections with dial.
 func NewWithDial(directory Directory, model string, into *ledger.Ledger, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	const idleConnections = 256
 	transport := &http.Transport{
@@ -64,8 +64,8 @@
 	return &Client{directory: directory, model: model, ledger: into, http: &http.Client{Transport: transport}}
 }
 
-// Run sends the plan and returns when its last arrival is due and all online
-// requests have ended, or ctx is done. Jobs are followed until Wait.
+// Run sends the plan. It returns when its last request has been sent and all online requests have
+// ended, or ctx is done. Jobs are followed until Wait.
 func (c *Client) Run(ctx context.Context, plan workload.Plan) {
 	c.started = time.Now()
 	c.following.Add(len(plan.Jobs))
@@ -75,7 +75,7 @@
 				c.following.Add(i - len(plan.Jobs))
 				return
 			}
-			go c.job(ctx, job)
+			go c.runJob(ctx, job)
 		}
 	}()
 	for _, request := range plan.Requests {
@@ -85,14 +85,14 @@
 		c.sending.Add(1)
 		go func() {
 			defer c.sending.Done()
-			c.online(ctx, request)
+			c.sendRequest(ctx, request)
 		}()
 	}
 	c.sending.Wait()
 }
 
-// Wait returns when every job has been followed to its end, or after limit:
-// then the jobs that are left are recorded as they stand.
+// Wait returns when every job has been followed to its end. After limit, or when ctx is done, it
+// calls giveUp, and the remaining jobs are recorded in their current state.
 func (c *Client) Wait(ctx context.Context, limit time.Duration, giveUp context.CancelFunc) {
 	done := make(chan struct{})
 	go func() {
@@ -111,14 +111,14 @@
 	<-done
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Started is when Run began to count.
+// Started returns when Run started.
 func (c *Client) Started() time.Time { return c.started }
 
-// refusal is the body of an answer that is not a success.
-type refusal struct {
+// errorBody is the body of a response that is not a success.
+type errorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	Run     string `json:"run"`
@@ -126,15 +126,15 @@
 
 const runNotRun = "not_run"
 
-func readRefusal(body io.Reader) refusal {
-	const longest = 64 << 10
-	var read refusal
-	_ = json.NewDecoder(io.LimitReader(body, longest)).Decode(&read) // a body of another form claims nothing
+func readErrorBody(body io.Reader) errorBody {
+	const maxBytes = 64 << 10
+	var read errorBody
+	_ = json.NewDecoder(io.LimitReader(body, maxBytes)).Decode(&read) // a body in another format makes no claim
 	return read
 }
 
-// endOf gives the end that an answer claims.
-func (r refusal) endOf() ledger.End {
+// requestEnd returns the end of the request that the response claims.
+func (r errorBody) requestEnd() ledger.End {
 	switch r.Run {
 	case runNotRun:
 		return ledger.EndRefused
--- a/internal/bench/client/online.go
+++ b/internal/bench/client/online.go
@@ -23,22 +23,22 @@
 	Stream    bool   `json:"stream"`
 }
 
-// chunk is one event of a stream: text, or an error's body.
+// chunk is one event of a stream: either text or the body of an error.
 type chunk struct {
-	refusal
+	errorBody
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 }
 
-// longestRequest bounds one online request, so that a run ends.
-const longestRequest = 60 * time.Second
+// requestTimeout bounds one online request, so that a run ends.
+const requestTimeout = 60 * time.Second
 
-// online sends one request and records its end. A caller that cannot connect
-// to its node, or is told that the node is going, takes the next one.
-func (c *Client) online(ctx context.Context, request workload.Request) {
+// sendRequest sends one request and records its end. If it cannot connect to a node, or the node is
+// draining, it tries the next node.
+func (c *Client) sendRequest(ctx context.Context, request workload.Request) {
 	caller := ctx
-	ctx, cancel := context.WithTimeout(ctx, longestRequest)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	record := ledger.Request{
 		Name: request.Name, Class: request.Class, Tenant: request.Tenant, Key: request.Key, Resend: request.Resend,
@@ -46,7 +46,7 @@
 	}
 	for range c.directory.Nodes() {
 		c.send(ctx, &record)
-		if !tryNext(&record) {
+		if !shouldTryNextNode(&record) {
 			break
 		}
 		record.Node = (record.Node + 1) % c.directory.Nodes()
@@ -61,20 +61,20 @@
 	codeUnreachable = "unreachable"
 )
 
-func tryNext(record *ledger.Request) bool {
+func shouldTryNextNode(record *ledger.Request) bool {
 	return record.End == ledger.EndRefused && (record.Code == codeDraining || record.Code == codeUnreachable)
 }
 
-// send makes one call to one node.
+// send makes one call to one node and records the outcome.
 func (c *Client) send(ctx context.Context, record *ledger.Request) {
 	body, err := json.Marshal(completion{Model: c.model, Prompt: record.Prompt, MaxTokens: record.MaxTokens, Stream: true})
 	if err != nil {
-		panic(err) // strings and numbers can be encoded
+		panic(err) // strings and numbers can always be encoded
 	}
 	url := "http://" + c.directory.Gateway(record.Node) + "/v1/completions"
 	call, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		panic(err) // the address is one of ours
+		panic(err) // the address comes from the directory and is valid
 	}
 	call.Header.Set("Content-Type", "application/json")
 	call.Header.Set("Authorization", "Bearer "+c.directory.Key(record.Tenant))
@@ -83,37 +83,36 @@
 	}
 	record.Sent = time.Now()
 	record.End, record.Code, record.Error = ledger.EndUnknown, "", ""
-	answer, err := c.http.Do(call)
+	response, err := c.http.Do(call)
 	if err != nil {
 		record.Error = err.Error()
-		if neverSent(err) {
+		if failedToConnect(err) {
 			record.End, record.Code = ledger.EndRefused, codeUnreachable
 		}
 		return
 	}
-	defer func() { _ = answer.Body.Close() }()
-	record.Status = answer.StatusCode
-	record.RequestID = answer.Header.Get("X-Request-Id")
-	if answer.StatusCode != http.StatusOK {
-		read := readRefusal(answer.Body)
-		record.End, record.Code, record.Error = read.endOf(), read.Code, read.Message
+	defer func() { _ = response.Body.Close() }()
+	record.Status = response.StatusCode
+	record.RequestID = response.Header.Get("X-Request-Id")
+	if response.StatusCode != http.StatusOK {
+		read := readErrorBody(response.Body)
+		record.End, record.Code, record.Error = read.requestEnd(), read.Code, read.Message
 		return
 	}
-	readStream(answer, record)
+	readStream(response, record)
 }
 
-// neverSent tells whether a call failed before it was connected.
-func neverSent(err error) bool {
+// failedToConnect reports whether a call failed before a connection was established.
+func failedToConnect(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// readStream reads events until the end mark, an error event or a broken
-// connection.
-func readStream(answer *http.Response, record *ledger.Request) {
+// readStream reads events until the end mark, an error event or the loss of the connection.
+func readStream(response *http.Response, record *ledger.Request) {
 	var text strings.Builder
 	defer func() { record.Text = text.String() }()
-	lines := bufio.NewReader(answer.Body)
+	lines := bufio.NewReader(response.Body)
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
@@ -134,7 +133,7 @@
 			return
 		}
 		if event.Code != "" {
-			record.End, record.Code, record.Error = event.endOf(), event.Code, event.Message
+			record.End, record.Code, record.Error = event.requestEnd(), event.Code, event.Message
 			return
 		}
 		if len(event.Choices) > 0 && event.Choices[0].Text != "" {
