--- a/internal/bench/measure/ideal.go
+++ b/internal/bench/measure/ideal.go
@@ -7,50 +7,50 @@
 	"ringstream.example/ringstream/internal/bench/ledger"
 )
 
-// EngineModel is the stand-ins' own timing.
+// EngineModel is the timing model of the engine stand-ins.
 type EngineModel struct {
-	Slots           map[string]int // sequences that fit at once, by engine
+	Slots           map[string]int // sequences that run at once, by engine
 	StepBase        time.Duration
 	StepPerSequence time.Duration
 	StepPerPrefill  time.Duration
-	PrefixTokens    map[string]int // prompt tokens that a cache can hold, by class
+	PrefixTokens    map[string]int // prompt tokens that a prefix cache can hold, by class
 }
 
-// Ideal is how fast a scheduler that knows everything would have done the
-// batch work of a run on the places that online requests left.
+// Ideal is the speed at which a scheduler with complete knowledge would have done the batch work of
+// a run in the slots that online requests left free.
 type Ideal struct {
-	// Busy is the time during which it has work.
+	// Busy is the time during which the scheduler has work.
 	Busy time.Duration
-	// Finished gives when each item ends, in order.
+	// Finished is the end time of each item, in order.
 	Finished []time.Time
 }
 
-// tick is the step of the ideal schedule.
-const tick = 20 * time.Millisecond
+// scheduleTick is the time step of the ideal schedule.
+const scheduleTick = 20 * time.Millisecond
 
-// idealItem is one item's work.
+// idealItem is the work of one item.
 type idealItem struct {
 	accepted time.Time
 	tokens   float64
-	prefill  time.Duration // of engine time
+	prefill  time.Duration // engine time for prefill
 }
 
-// Schedule gives the ideal schedule. The work is what the items of accepted
-// jobs took (of a cancelled job, what was really done), longest first; the
-// places are those of all engines without online's, second by second, from the
-// engines' own records. Each tick, as many items as there are places advance by
-// the model's time for a step at that fill. It ignores zones, queues, reports
-// that lag and any harm to online, so that no real scheduler reaches it.
+// Schedule computes the ideal schedule. The work consists of the items of accepted jobs, longest
+// first; for a cancelled job it is the work that was really done. The free slots are the slots of
+// all engines minus those of online sequences at that time, according to the engines' own records.
+// In each tick, as many items as there are free slots advance at the model's speed for that load.
+// The schedule ignores zones, queues, stale reports and any harm to online requests, so no real
+// scheduler can reach it.
 func Schedule(evidence ledger.Evidence, engines EngineModel) Ideal {
 	items := idealItems(evidence, engines)
 	if len(items) == 0 {
 		return Ideal{}
 	}
 	total := 0
-	for _, places := range engines.Slots {
-		total += places
+	for _, slots := range engines.Slots {
+		total += slots
 	}
-	machine := idealMachine{engines: engines, places: total, online: onlineBusy(evidence)}
+	machine := idealMachine{engines: engines, slots: total, online: onlineSpans(evidence)}
 	return machine.run(items)
 }
 
@@ -83,8 +83,8 @@
 	return items
 }
 
-// onlineBusy gives the spans in which online sequences held places.
-func onlineBusy(evidence ledger.Evidence) []span {
+// onlineSpans returns the time spans in which online sequences held slots.
+func onlineSpans(evidence ledger.Evidence) []span {
 	var busy []span
 	for _, run := range evidence.Runs {
 		if !run.Online || run.Started.IsZero() {
@@ -101,7 +101,7 @@
 
 type idealMachine struct {
 	engines EngineModel
-	places  int
+	slots   int
 	online  []span
 }
 
@@ -121,38 +121,38 @@
 			slices.SortStableFunc(waiting, func(a, b idealItem) int { return int(b.tokens - a.tokens) })
 		}
 		if len(waiting)+len(active) > 0 {
-			ideal.Busy += tick
+			ideal.Busy += scheduleTick
 		}
-		online := overlapping(m.online, now)
-		room := max(0, m.places-online)
+		online := countOverlapping(m.online, now)
+		freeSlots := max(0, m.slots-online)
 		var prefill time.Duration
-		for len(waiting) > 0 && len(active) < room {
+		for len(waiting) > 0 && len(active) < freeSlots {
 			prefill += waiting[0].prefill
 			active = append(active, waiting[0])
 			waiting = waiting[1:]
 		}
-		active = m.advance(active, room, online, prefill)
-		now = now.Add(tick)
-		kept := active[:0]
+		active = m.advance(active, freeSlots, online, prefill)
+		now = now.Add(scheduleTick)
+		remaining := active[:0]
 		for _, item := range active {
 			if item.tokens > 0 {
-				kept = append(kept, item)
+				remaining = append(remaining, item)
 			} else {
 				ideal.Finished = append(ideal.Finished, now)
 			}
 		}
-		active = kept
+		active = remaining
 	}
 	return ideal
 }
 
-// advance gives the first room items the tokens of one tick.
-func (m idealMachine) advance(active []idealItem, room, online int, prefill time.Duration) []idealItem {
+// advance advances the first freeSlots items by the tokens of one tick.
+func (m idealMachine) advance(active []idealItem, freeSlots, online int, prefill time.Duration) []idealItem {
 	count := len(m.engines.Slots)
-	moving := min(room, len(active))
+	moving := min(freeSlots, len(active))
 	perEngine := float64(moving+online) / float64(count)
 	step := m.engines.StepBase + time.Duration(perEngine*float64(m.engines.StepPerSequence))
-	usable := max(0, tick-prefill/time.Duration(count))
+	usable := max(0, scheduleTick-prefill/time.Duration(count))
 	tokens := float64(usable) / float64(step)
 	for i := range moving {
 		active[i].tokens -= tokens
@@ -160,7 +160,7 @@
 	return active
 }
 
-func overlapping(busy []span, at time.Time) int {
+func countOverlapping(busy []span, at time.Time) int {
 	count := 0
 	for _, one := range busy {
 		if !one.from.After(at) && one.to.After(at) {
--- a/internal/bench/measure/measure.go
+++ b/internal/bench/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure derives a run's figures from the records of callers and
-// stand-ins. It judges nothing: rules are the report's, invariants the checker's.
+// Package measure computes the figures of a run from the records of callers and stand-ins. Package
+// report judges the rules, and package checker the invariants.
 package measure
 
 import (
@@ -11,13 +11,13 @@
 	"ringstream.example/ringstream/internal/bench/report"
 )
 
-// OnlineFigures counts what online callers saw. directOverhead is what a
-// direct call to an engine takes beside the engine's own time; it is taken
-// off each request's time to give what a node adds.
+// OnlineFigures computes the figures that online callers saw. directOverhead is the time of a
+// direct call to an engine in addition to the engine's own time. It is subtracted from the time of
+// each request to obtain what a node adds.
 func OnlineFigures(evidence ledger.Evidence, directOverhead time.Duration) report.Online {
 	var figures report.Online
 	first, between, added := report.NewDurationHistogram(), report.NewDurationHistogram(), report.NewDurationHistogram()
-	engineTime := engineTimes(evidence)
+	engineTime := engineTimesToFirstToken(evidence)
 	for _, request := range evidence.Requests {
 		figures.Requests++
 		switch request.End {
@@ -34,7 +34,7 @@
 			continue
 		}
 		first.Add(request.FirstToken.Sub(request.Scheduled))
-		if gap, ok := betweenTokens(request); ok {
+		if gap, ok := meanTokenInterval(request); ok {
 			between.Add(gap)
 		}
 		if inside, ok := engineTime[request.Name]; ok && request.Key == "" {
@@ -45,8 +45,9 @@
 	return figures
 }
 
-// betweenTokens is a request's mean time between tokens.
-func betweenTokens(request ledger.Request) (time.Duration, bool) {
+// meanTokenInterval returns the mean time between the tokens of a request. It returns false if the
+// request has fewer than two tokens.
+func meanTokenInterval(request ledger.Request) (time.Duration, bool) {
 	gaps := len(request.TokenTimes) - 1
 	if gaps < 1 {
 		return 0, false
@@ -54,9 +55,9 @@
 	return request.TokenTimes[gaps].Sub(request.TokenTimes[0]) / time.Duration(gaps), true
 }
 
-// engineTimes gives, for each name that one engine took once, the time from
-// the request's arrival there to its first token.
-func engineTimes(evidence ledger.Evidence) map[string]time.Duration {
+// engineTimesToFirstToken returns the time from the arrival of a request at an engine to its first
+// token, for each name that reached engines exactly once.
+func engineTimesToFirstToken(evidence ledger.Evidence) map[string]time.Duration {
 	times := map[string]time.Duration{}
 	taken := map[string]int{}
 	for _, run := range evidence.Runs {
@@ -66,7 +67,7 @@
 		}
 	}
 	for _, refusal := range evidence.Refusals {
-		taken[refusal.Name]++ // a refused try is the node's time, but not of one call
+		taken[refusal.Name]++ // a refused try adds to the node's time, but the request needed more than one call
 	}
 	for name, count := range taken {
 		if count > 1 {
@@ -76,9 +77,9 @@
 	return times
 }
 
-// BatchFigures counts what batch callers saw. The rate is over the time in
-// which accepted work was waiting or running; the idle bound is over the time
-// that the ideal schedule of the same work needs.
+// BatchFigures computes the figures that batch callers saw. The rate refers to the time in which
+// accepted work was waiting or running. The idle bound refers to the time that the ideal schedule
+// needs for the same work.
 func BatchFigures(evidence ledger.Evidence, engines EngineModel) (report.Batch, Ideal) {
 	var figures report.Batch
 	var busy spans
@@ -87,8 +88,8 @@
 			continue
 		}
 		figures.ItemsAccepted += len(job.Items)
-		figures.ItemsCompleted += completed(job)
-		if end, ok := lastWork(job, evidence); ok {
+		figures.ItemsCompleted += countCompleted(job)
+		if end, ok := lastWorkTime(job, evidence); ok {
 			busy = append(busy, span{job.Accepted, end})
 			if job.CancelSent.IsZero() && end.After(job.Deadline) {
 				figures.DeadlineMisses++
@@ -100,15 +101,15 @@
 			figures.Preemptions += run.Preemptions
 		}
 	}
-	figures.Preemptions += cancelledByNodes(evidence)
+	figures.Preemptions += countPreemptedByNodes(evidence)
 	ideal := Schedule(evidence, engines)
 	figures.ItemsPerSecond = report.Ratio(float64(figures.ItemsCompleted), busy.total().Seconds())
 	figures.IdleBound = report.Ratio(float64(figures.ItemsCompleted), ideal.Busy.Seconds())
-	figures.Yield = yields(evidence, engines).Quantiles()
+	figures.Yield = preemptionDelays(evidence, engines).Quantiles()
 	return figures, ideal
 }
 
-func completed(job ledger.Job) int {
+func countCompleted(job ledger.Job) int {
 	count := 0
 	if len(job.Readings) > 0 {
 		for _, result := range job.Readings[len(job.Readings)-1].Results {
@@ -120,8 +121,8 @@
 	return count
 }
 
-// lastWork is when engines last worked on a job.
-func lastWork(job ledger.Job, evidence ledger.Evidence) (time.Time, bool) {
+// lastWorkTime returns when engines last worked on a job. It returns false if they did not.
+func lastWorkTime(job ledger.Job, evidence ledger.Evidence) (time.Time, bool) {
 	var last time.Time
 	for _, item := range job.Items {
 		for _, run := range evidence.RunsOf(item.Name) {
@@ -133,9 +134,9 @@
 	return last, !last.IsZero()
 }
 
-// cancelledByNodes counts batch runs that a node took back: cancelled on the
-// engine though nobody had cancelled their job.
-func cancelledByNodes(evidence ledger.Evidence) int {
+// countPreemptedByNodes counts the batch runs that a node preempted, that is, cancelled on the
+// engine although their job was not cancelled.
+func countPreemptedByNodes(evidence ledger.Evidence) int {
 	cancelled := map[string]bool{}
 	for _, job := range evidence.Jobs {
 		if !job.CancelSent.IsZero() {
@@ -153,10 +154,10 @@
 	return count
 }
 
-// yields gives, for each online request that met an engine whose places were
-// all taken, some of them by batch, the time from the caller's send until the
-// engine had stopped a batch sequence for it.
-func yields(evidence ledger.Evidence, engines EngineModel) report.DurationHistogram {
+// preemptionDelays collects the preemption delay of online requests that arrived at an engine with
+// all slots taken and at least one by batch work. The delay is the time from the caller's send
+// until the request started on the engine.
+func preemptionDelays(evidence ledger.Evidence, engines EngineModel) report.DurationHistogram {
 	sent := map[string]time.Time{}
 	for _, request := range evidence.Requests {
 		if !request.Resend {
@@ -173,7 +174,7 @@
 			if !online.Online || online.Started.IsZero() {
 				continue
 			}
-			running, batch := runningAt(runs, online.Accepted)
+			running, batch := countRunningAt(runs, online.Accepted)
 			if running >= engines.Slots[engine] && batch > 0 {
 				all.Add(online.Started.Sub(sent[online.Name]))
 			}
@@ -182,7 +183,7 @@
 	return all
 }
 
-func runningAt(runs []ledger.Run, at time.Time) (running, batch int) {
+func countRunningAt(runs []ledger.Run, at time.Time) (running, batch int) {
 	for _, run := range runs {
 		if run.Started.IsZero() || !run.Started.Before(at) || (!run.Finished.IsZero() && !run.Finished.After(at)) {
 			continue
@@ -195,7 +196,7 @@
 	return running, batch
 }
 
-// ConfigFigures gives how long accepted edits took to be in force everywhere.
+// ConfigFigures computes how long accepted edits took until they were in force on the nodes.
 func ConfigFigures(evidence ledger.Evidence) report.Config {
 	figures := report.Config{Edits: len(evidence.Edits)}
 	all := report.NewDurationHistogram()
@@ -219,7 +220,7 @@
 
 type spans []span
 
-// total is the length of the union.
+// total returns the length of the union of the spans.
 func (s spans) total() time.Duration {
 	slices.SortFunc(s, func(a, b span) int { return a.from.Compare(b.from) })
 	var sum time.Duration
--- a/internal/bench/measure/measure_test.go
+++ b/internal/bench/measure/measure_test.go
@@ -14,8 +14,8 @@
 
 func at(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 
-// engines is one engine of four places that makes a token of each sequence in
-// 20 ms whatever its fill.
+// engines is one engine with four slots that makes one token of each sequence in 20 ms, regardless
+// of its load.
 var engines = measure.EngineModel{Slots: map[string]int{"e": 4}, StepBase: 20 * time.Millisecond}
 
 func jobOf(items, tokens int) ledger.Job {
@@ -31,26 +31,26 @@
 }
 
 func TestIdealScheduleFillsThePlacesThatOnlineLeaves(t *testing.T) {
-	// Eight items of 50 tokens (1 s each) on four places take 2 s.
+	// Eight items of 50 tokens (1 s each) take 2 s in four slots.
 	evidence := ledger.Evidence{Jobs: []ledger.Job{jobOf(8, 50)}, Ended: at(60000)}
 	evidence.Index()
 	if busy := measure.Schedule(evidence, engines).Busy; busy != 2*time.Second {
-		t.Errorf("with all places: %s, want 2s", busy)
+		t.Errorf("with all slots free: %s, want 2s", busy)
 	}
-	// Two places taken by online all the while: 4 s.
+	// With two slots taken by online sequences all the time, they take 4 s.
 	for range 2 {
 		evidence.Runs = append(evidence.Runs, ledger.Run{Engine: "e", Online: true, Started: at(-1000), Finished: at(30000)})
 	}
 	evidence.Index()
 	if busy := measure.Schedule(evidence, engines).Busy; busy != 4*time.Second {
-		t.Errorf("with half of the places: %s, want 4s", busy)
+		t.Errorf("with half of the slots free: %s, want 4s", busy)
 	}
 }
 
 func TestBatchFiguresAreOfTheTimeWithWork(t *testing.T) {
 	evidence := ledger.Evidence{Jobs: []ledger.Job{jobOf(8, 50)}, Ended: at(60000)}
 	for i := range 8 {
-		// The engine needs 4 s where the ideal schedule needs 2 s.
+		// The engine needs 4 s, and the ideal schedule needs 2 s.
 		evidence.Runs = append(evidence.Runs, ledger.Run{
 			Engine: "e", Name: fmt.Sprintf("j-%d", i), Started: at(500 * i), Finished: at(500 * (i + 1)), End: ledger.RunFinished, Tokens: 50,
 		})
@@ -88,7 +88,8 @@
 		t.Errorf("yield %+v, want one of 20 ms", batch.Yield)
 	}
 	online := measure.OnlineFigures(evidence, time.Millisecond)
-	// 67 ms from the schedule; the engine had it for 55 of the 62 ms since the send, a direct call costs 1 ms.
+	// TTFT is 67 ms from the scheduled time. The engine had the request for 55 of the 62 ms since
+	// the send, and a direct call costs 1 ms.
 	if math.Abs(online.TTFT.P50-67) > 0.1 || math.Abs(online.TPOT.P50-20) > 0.1 || math.Abs(online.Added.P50-6) > 0.1 {
 		t.Errorf("online %+v, want 67, 20 and 6 ms", online)
 	}
--- a/internal/bench/measure/series.go
+++ b/internal/bench/measure/series.go
@@ -10,7 +10,7 @@
 
 func milliseconds(duration time.Duration) float64 { return duration.Seconds() * 1000 }
 
-// Points gives each completed online request, for plots.
+// Points returns each completed online request, for plots.
 func Points(evidence ledger.Evidence, started time.Time) []report.Point {
 	var points []report.Point
 	for _, request := range evidence.Requests {
@@ -21,7 +21,7 @@
 			At:   request.Scheduled.Sub(started).Seconds(),
 			TTFT: milliseconds(request.FirstToken.Sub(request.Scheduled)),
 		}
-		if gap, ok := betweenTokens(request); ok {
+		if gap, ok := meanTokenInterval(request); ok {
 			point.TPOT = milliseconds(gap)
 		}
 		points = append(points, point)
@@ -29,11 +29,11 @@
 	return points
 }
 
-// slotInterval is the resolution of SlotUse.
+// slotInterval is the time resolution of SlotUse.
 const slotInterval = 100 * time.Millisecond
 
-// SlotUse gives the use of the engines' places over time, and the items done
-// against the ideal schedule.
+// SlotUse returns the use of the engines' slots over time, and the number of finished items
+// compared with the ideal schedule.
 func SlotUse(evidence ledger.Evidence, engines EngineModel, ideal Ideal, started time.Time) []report.Slots {
 	length := evidence.Ended.Sub(started)
 	if length <= 0 || started.IsZero() {
@@ -41,8 +41,8 @@
 	}
 	slots := make([]report.Slots, int(length/slotInterval)+1)
 	total := 0
-	for _, places := range engines.Slots {
-		total += places
+	for _, slotCount := range engines.Slots {
+		total += slotCount
 	}
 	for i := range slots {
 		slots[i].At = (time.Duration(i) * slotInterval).Seconds()
@@ -58,7 +58,7 @@
 			end = evidence.Ended
 		}
 		for i := index(run.Started); i <= index(end); i++ {
-			part := held(run.Started, end, started.Add(time.Duration(i)*slotInterval))
+			part := overlapShare(run.Started, end, started.Add(time.Duration(i)*slotInterval))
 			if run.Online {
 				slots[i].Online += part
 			} else {
@@ -79,8 +79,9 @@
 	return slots
 }
 
-// held is the part of the interval from a time on that a run takes up.
-func held(from, to, interval time.Time) float64 {
+// overlapShare returns the share of the slotInterval that begins at interval in which a run was
+// active.
+func overlapShare(from, to, interval time.Time) float64 {
 	if from.Before(interval) {
 		from = interval
 	}
@@ -90,7 +91,7 @@
 	return max(0, to.Sub(from).Seconds()/slotInterval.Seconds())
 }
 
-// Convergence gives the time of each edit until each node showed it.
+// Convergence returns the time from the acceptance of each edit until each node showed it.
 func Convergence(evidence ledger.Evidence, started time.Time) []report.Convergence {
 	var all []report.Convergence
 	for _, edit := range evidence.Edits {
