--- a/internal/bench/workload/workload.go
+++ b/internal/bench/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload draws the arrivals of a scenario from a seed: what each
-// caller sends and when, fixed before the run so that a slow answer delays no
-// later request. The same scenario and seed give the same plan.
+// Package workload draws the arrivals of a scenario from a seed. The plan says what each caller
+// sends and when, and is fixed before the run, so that a slow answer does not delay later requests.
+// The same scenario and seed give the same plan.
 package workload
 
 import (
@@ -15,21 +15,21 @@
 	"ringstream.example/ringstream/internal/bench/scenario"
 )
 
-// Request is one online request to be sent.
+// Request is one online request of a plan.
 type Request struct {
 	At        time.Duration
 	Name      string // unique in the plan; also the nonce in the prompt
 	Class     string
 	Tenant    string
-	Key       string // Idempotency-Key; empty: none
+	Key       string // value of Idempotency-Key; empty: none
 	Prompt    string
 	MaxTokens int
-	Node      int // the node that the caller speaks to
-	// Resend marks the second send of a keyed request.
+	Node      int // the node that the caller connects to
+	// Resend is true for the second send of a keyed request.
 	Resend bool
 }
 
-// Job is one batch job to be submitted.
+// Job is one batch job of a plan.
 type Job struct {
 	At          time.Duration
 	Key         string
@@ -37,7 +37,7 @@
 	Tenant      string
 	Items       []Item
 	Repeatable  bool
-	Deadline    time.Duration // after the submission
+	Deadline    time.Duration // relative to the submission
 	CancelAfter time.Duration // zero: never
 	SubmitTwice bool
 	Node        int
@@ -50,7 +50,7 @@
 	MaxTokens int
 }
 
-// Plan is everything that callers send, in order of time.
+// Plan is everything that callers send, ordered by time.
 type Plan struct {
 	Requests []Request
 	Jobs     []Job
@@ -72,18 +72,18 @@
 	return plan
 }
 
-// WithoutBatch is the same plan with its online half only.
+// WithoutBatch returns the plan without its jobs.
 func (p Plan) WithoutBatch() Plan { return Plan{Requests: p.Requests} }
 
-// source gives each stream its own randomness, so that a change of one stream
-// leaves the arrivals of the others as they were.
+// source returns a separate random source for each stream, so that changing one stream does not
+// change the arrivals of the others.
 func source(seed uint64, stream string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, hash(stream)))
 }
 
 func hash(text string) uint64 {
 	digest := fnv.New64a()
-	_, _ = digest.Write([]byte(text)) // a hash never fails
+	_, _ = digest.Write([]byte(text)) // writing to a hash never fails
 	return digest.Sum64()
 }
 
@@ -95,7 +95,8 @@
 	}
 	at := time.Duration(0)
 	for number := 0; ; number++ {
-		// Thinning: draw at the peak rate, keep what the rate at that time allows.
+		// Thinning: arrivals are drawn at the peak rate, and kept with the share of the rate at
+		// that time.
 		at += time.Duration(source.ExpFloat64() / (stream.PerSecond * peak) * float64(time.Second))
 		if at >= from.Duration {
 			return all
@@ -108,7 +109,7 @@
 			At: at, Name: name, Class: stream.Name,
 			Tenant:    stream.Tenants[source.IntN(len(stream.Tenants))],
 			Prompt:    prompt(source, stream.Name, name, stream.Prompt, stream.Prefixes),
-			MaxTokens: draw(source, stream.Answer),
+			MaxTokens: drawLength(source, stream.Answer),
 			Node:      source.IntN(len(from.Zones)),
 		}
 		keyed := source.Float64() < stream.Keyed
@@ -137,9 +138,9 @@
 
 func jobs(source *rand.Rand, from scenario.Scenario, stream scenario.Batch) []Job {
 	var all []Job
-	for heap, at := 0, stream.First; at < from.Duration; heap, at = heap+1, at+stream.Every {
+	for batch, at := 0, stream.First; at < from.Duration; batch, at = batch+1, at+stream.Every {
 		for number := range stream.Jobs {
-			key := fmt.Sprintf("%s-%d-%d", stream.Name, heap, number)
+			key := fmt.Sprintf("%s-%d-%d", stream.Name, batch, number)
 			job := Job{
 				At: at + time.Duration(source.IntN(100))*time.Millisecond, Key: key, Class: stream.Name,
 				Tenant:     stream.Tenants[source.IntN(len(stream.Tenants))],
@@ -155,7 +156,7 @@
 				job.Items = append(job.Items, Item{
 					Name:      name,
 					Prompt:    prompt(source, stream.Name, name, stream.Prompt, stream.Prefixes),
-					MaxTokens: draw(source, stream.Answer),
+					MaxTokens: drawLength(source, stream.Answer),
 				})
 			}
 			all = append(all, job)
@@ -164,60 +165,60 @@
 	return all
 }
 
-// draw gives a log-normal length of at least one token.
-func draw(source *rand.Rand, length scenario.Length) int {
+// drawLength draws a log-normal length of at least one token.
+func drawLength(source *rand.Rand, length scenario.Length) int {
 	value := float64(length.Median) * math.Exp(source.NormFloat64()*length.Sigma)
 	return max(1, min(length.Max, int(math.Round(value))))
 }
 
-// prompt makes a prompt of one four-byte word a token, as the engines count: a
-// shared prefix, the unique name, and filler. The name lets the checker tell
-// whose work an engine did.
+// prompt builds a prompt with one four-byte word per token, which is how the engines count tokens.
+// It consists of a shared prefix, the unique name and filler. The name lets the checker identify
+// the work of an engine.
 func prompt(source *rand.Rand, class, name string, length scenario.Length, prefixes scenario.Prefixes) string {
-	total := draw(source, length) * bytesPerToken
+	total := drawLength(source, length) * bytesPerToken
 	var text strings.Builder
 	if prefixes.Count > 0 {
-		chosen := pick(source, prefixes)
+		chosen := drawPrefix(source, prefixes)
 		shared := rand.New(rand.NewPCG(uint64(chosen), hash(class)))
 		for range min(prefixes.Tokens, total/bytesPerToken) {
-			text.WriteString(word(shared))
+			text.WriteString(drawWord(shared))
 		}
 	}
 	text.WriteString(Nonce(name) + " ")
 	for text.Len() < total {
-		text.WriteString(word(source))
+		text.WriteString(drawWord(source))
 	}
 	return text.String()
 }
 
-// bytesPerToken is the length of a word with its space.
+// bytesPerToken is the length of a word including its space.
 const bytesPerToken = 4
 
-func word(source *rand.Rand) string {
+func drawWord(source *rand.Rand) string {
 	const letters = "abcdefghijklmnopqrstuvwxyz"
 	return string([]byte{letters[source.IntN(26)], letters[source.IntN(26)], letters[source.IntN(26)], ' '})
 }
 
-// pick draws a prefix by its weight.
-func pick(source *rand.Rand, prefixes scenario.Prefixes) int {
+// drawPrefix draws the index of a prefix according to the weights.
+func drawPrefix(source *rand.Rand, prefixes scenario.Prefixes) int {
 	sum := 0.0
 	for n := 1; n <= prefixes.Count; n++ {
 		sum += math.Pow(float64(n), -prefixes.Skew)
 	}
-	left := source.Float64() * sum
+	remaining := source.Float64() * sum
 	for n := 1; n < prefixes.Count; n++ {
-		left -= math.Pow(float64(n), -prefixes.Skew)
-		if left <= 0 {
+		remaining -= math.Pow(float64(n), -prefixes.Skew)
+		if remaining <= 0 {
 			return n - 1
 		}
 	}
 	return prefixes.Count - 1
 }
 
-// Nonce is the word of a prompt that is its own.
+// Nonce returns the word that makes the prompt of a request or item unique.
 func Nonce(name string) string { return "#" + name }
 
-// NameOf finds the name in a prompt that this package made; empty: none.
+// NameOf returns the name in a prompt that this package built, or an empty string.
 func NameOf(prompt string) string {
 	_, rest, found := strings.Cut(prompt, "#")
 	if !found {
--- a/internal/bench/workload/workload_test.go
+++ b/internal/bench/workload/workload_test.go
@@ -34,7 +34,7 @@
 		t.Error(diff)
 	}
 	if cmp.Equal(workload.Make(small, 7), workload.Make(small, 8)) {
-		t.Error("two seeds gave one plan")
+		t.Error("two seeds gave the same plan")
 	}
 }
 
@@ -48,7 +48,7 @@
 	inBurst, outside := 0, 0
 	for _, request := range plan.Requests {
 		if workload.NameOf(request.Prompt) != request.Name {
-			t.Fatalf("prompt %q does not carry the name %q", request.Prompt, request.Name)
+			t.Fatalf("prompt %q does not contain the name %q", request.Prompt, request.Name)
 		}
 		if request.At >= 40*time.Second && request.At < 60*time.Second {
 			inBurst++
@@ -56,10 +56,10 @@
 			outside++
 		}
 	}
-	// Five standard deviations of a Poisson count.
+	// The bound is five standard deviations of a Poisson count.
 	for _, count := range []struct{ got, mean float64 }{{float64(inBurst), 4000}, {float64(outside), 4000}} {
 		if math.Abs(count.got-count.mean) > 5*math.Sqrt(count.mean) {
-			t.Errorf("%v arrivals where %v are expected", count.got, count.mean)
+			t.Errorf("%v arrivals, want about %v", count.got, count.mean)
 		}
 	}
 }
