--- a/internal/bench/ledger/ledger.go
+++ b/internal/bench/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger is the record of a run as seen from outside the nodes: what
-// callers sent and were answered, what operators edited and saw, and what the
-// stand-ins of the platform did. Nothing in it comes from a node's counters.
+// Package ledger records a run as seen from outside the nodes: what callers sent and received, what
+// operators edited and saw, and what the platform stand-ins did. No record comes from a node's
+// counters.
 package ledger
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// End is how a caller's online request ended, as the caller saw it.
+// End is the end of an online request as the caller saw it.
 type End string
 
-// The ends of a request.
+// Ends of a request.
 const (
-	EndCompleted End = "completed" // the stream came to its end mark
-	EndRefused   End = "not_run"   // the answer claims that it did not run
-	EndFailed    End = "failed"    // the answer says that it failed
-	EndUnknown   End = "unknown"   // the answer says so, or no whole answer came
+	EndCompleted End = "completed" // the stream reached its end mark
+	EndRefused   End = "not_run"   // the answer claims that the request did not run
+	EndFailed    End = "failed"    // the answer says that the request failed
+	EndUnknown   End = "unknown"   // the answer says so, or there was no complete answer
 )
 
 // Request is one send of an online request.
@@ -30,22 +30,22 @@
 	MaxTokens int
 	Node      int
 
-	Scheduled  time.Time // by the plan; latencies count from here
+	Scheduled  time.Time // time in the plan, from which latencies count
 	Sent       time.Time
-	FirstToken time.Time // zero: none came
+	FirstToken time.Time // zero: no token arrived
 	Finished   time.Time
 	TokenTimes []time.Time
 
-	Status    int    // HTTP; zero: no answer
+	Status    int    // HTTP status; zero: no answer
 	Code      string // of a refusal
 	End       End
 	Text      string
 	Error     string
-	RequestID string // the request id that the node answered with
-	Abandoned bool   // the caller went away before the end
+	RequestID string // request id in the response header
+	Abandoned bool   // the caller left before the end
 }
 
-// Result is one line of a job's results as its client read it.
+// Result is one line of a job's results as read by its client.
 type Result struct {
 	Index   int
 	Name    string
@@ -57,7 +57,7 @@
 // Reading is one complete read of a job's results.
 type Reading struct {
 	At      time.Time
-	Final   bool // the job said that every item had its outcome
+	Final   bool // the job reported that every item has its outcome
 	Results []Result
 }
 
@@ -68,7 +68,7 @@
 	MaxTokens int
 }
 
-// Job is one batch job as its client saw it.
+// Job is one batch job as seen by its client.
 type Job struct {
 	Key        string
 	Class      string
@@ -79,19 +79,19 @@
 
 	Submitted time.Time
 	Accepted  time.Time // zero: not acknowledged
-	Refused   bool      // the answer claims not run
+	Refused   bool      // the answer claims that the job does not run
 	ID        string
-	ResentIDs []string // what later submissions of the same key were answered
+	ResentIDs []string // ids in the answers to later submissions with the same key
 
 	CancelSent     time.Time
 	CancelAnswered time.Time // zero: never cancelled, or the cancel was not answered
 	State          string    // last seen
-	Finished       time.Time // when its client saw it final
+	Finished       time.Time // when its client saw that it was final
 	Readings       []Reading
 	Errors         []string
 }
 
-// Edit is one accepted change of a row.
+// Edit is an accepted change of a row.
 type Edit struct {
 	Row      string
 	Revision uint64
@@ -99,7 +99,7 @@
 	Accepted time.Time
 }
 
-// Sighting is a row's revision as a node showed it to an operator.
+// Sighting is the revision of a row that a node showed to an operator.
 type Sighting struct {
 	At       time.Time
 	Node     int
@@ -107,18 +107,18 @@
 	Revision uint64
 }
 
-// RunEnd is how an engine's work on an attempt ended.
+// RunEnd is the end of an engine's work on an attempt.
 type RunEnd string
 
-// The ends of engine work.
+// Ends of a run.
 const (
 	RunFinished  RunEnd = "finished"
 	RunCancelled RunEnd = "cancelled"
 	RunLost      RunEnd = "lost" // the engine was killed
-	RunOpen      RunEnd = "open" // still there at the end
+	RunOpen      RunEnd = "open" // still running at the end of the records
 )
 
-// Run is an attempt as the engine that took it recorded it.
+// Run is an attempt as recorded by the engine that accepted it.
 type Run struct {
 	Engine     string
 	Attempt    string
@@ -127,64 +127,65 @@
 	KeptTokens int // tokens that the attempt started with
 	Accepted   time.Time
 	Started    time.Time // when it entered the running batch; zero: never
-	// FirstToken is when the engine made its first token here; zero: none.
+	// FirstToken is when this engine produced its first token; zero: none.
 	FirstToken  time.Time
 	Finished    time.Time // zero while open
 	End         RunEnd
-	Tokens      int // produced here
+	Tokens      int // produced by this engine
 	Preemptions int // by the engine itself
-	// NodeHost is the host of the node that sent it; empty: not told apart.
+	// NodeHost is the host of the node that sent the attempt. It is empty if nodes are not
+	// distinguished.
 	NodeHost string
 }
 
-// Standstill is a time in which the machine that runs the bench did not let an
-// engine stand-in end its step. The engine hears calls all the same.
+// Standstill is a period in which the machine that runs the bench prevented an engine stand-in from
+// completing its step. The engine still receives calls.
 type Standstill struct {
 	Engine      string
 	From, Until time.Time
 }
 
-// Disturbance is a time in which a fault kept a machine from its work.
+// Disturbance is a period in which a fault prevented a machine from working.
 type Disturbance struct {
 	At, Until time.Time
-	// Node is the host of a node, as in Run.From; Engine is an engine's name.
-	// One of the two is set, or Store for the table service or object store.
+	// Node is the host of a node, as in Run.NodeHost. Engine is the name of an engine. Either one
+	// of them is set, or Store for the table service or object store.
 	Node, Engine string
 	Store        bool
-	// Lost: what the machine knew is gone; another took its place, or none.
+	// Lost is true if the state of the machine was lost. Another machine may have replaced it.
 	Lost bool
 }
 
-// OutcomeCompleted is the outcome of an item's result that has its answer.
+// OutcomeCompleted is the outcome of an item that has its answer.
 const OutcomeCompleted = "completed"
 
-// EngineRefusal is a request that an engine did not take.
+// EngineRefusal is a request that an engine refused.
 type EngineRefusal struct {
 	At           time.Time
 	Engine       string
 	Name         string
 	Online       bool
 	Code         string
-	RunningBatch int // batch sequences that it was running then
+	RunningBatch int // batch sequences running at that time
 	Queued       int
 }
 
-// Departure is an engine that was told to take no new work.
+// Departure is an engine that was told to accept no new work.
 type Departure struct {
 	Engine string
 	At     time.Time
 }
 
-// NodeStop is a node that was stopped.
+// NodeStop is a stop of a node.
 type NodeStop struct {
 	Node    int
 	At      time.Time
 	Ended   time.Time
-	Ready   time.Time // ready again
+	Ready   time.Time // when it was ready again
 	Planned bool
 }
 
-// Ledger collects records from many callers. It is safe for concurrent use.
+// Ledger collects the records of a run. It is safe for concurrent use.
 type Ledger struct {
 	mutex     sync.Mutex
 	requests  []Request
@@ -201,7 +202,7 @@
 	record(l, &l.requests, request)
 }
 
-// AddJob records a job at the end of its client.
+// AddJob records a job that its client no longer follows.
 func (l *Ledger) AddJob(job Job) {
 	record(l, &l.jobs, job)
 }
@@ -211,7 +212,7 @@
 	record(l, &l.edits, edit)
 }
 
-// AddSighting records a row as a node showed it.
+// AddSighting records the revision of a row that a node showed.
 func (l *Ledger) AddSighting(sighting Sighting) {
 	record(l, &l.sightings, sighting)
 }
@@ -231,14 +232,14 @@
 	record(l, &l.disturbed, disturbance)
 }
 
-// record adds one entry to one of the ledger's lists, under its lock.
+// record appends an entry to one of the ledger's lists while holding its lock.
 func record[Entry any](l *Ledger, list *[]Entry, entry Entry) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	*list = append(*list, entry)
 }
 
-// Evidence is everything known of a run once it has ended.
+// Evidence is all that is known about a run after its end.
 type Evidence struct {
 	Requests      []Request
 	Jobs          []Job
@@ -248,22 +249,22 @@
 	Stops         []NodeStop
 	Runs          []Run
 	Refusals      []EngineRefusal
-	OtherSiteRuns []string // names that the other site ran
+	OtherSiteRuns []string // names of work that ran on the other site
 	Nodes         int
 	Ended         time.Time
-	// Interrupted: the run was broken off, and jobs were not followed to their end.
+	// Interrupted is true if the run was interrupted, so that jobs were not followed to their end.
 	Interrupted bool
-	// Disturbances bound what can be asked of the machines that they name.
+	// Disturbances limit what the checker can require of the machines that they name.
 	Disturbances []Disturbance
 	Standstills  []Standstill
 
 	byName map[string][]Run
 }
 
-// RunsOf gives the runs of one name, after Index.
+// RunsOf returns the runs of one name. Index must have been called.
 func (e Evidence) RunsOf(name string) []Run { return e.byName[name] }
 
-// Index prepares RunsOf once the runs are complete.
+// Index builds the index for RunsOf. It must be called once the runs are complete.
 func (e *Evidence) Index() {
 	e.byName = make(map[string][]Run, len(e.Runs))
 	for _, run := range e.Runs {
@@ -271,8 +272,8 @@
 	}
 }
 
-// Evidence gives a copy of what the callers and operators recorded; the
-// stand-ins' part is filled in by the fleet.
+// Evidence returns a copy of the records of callers and operators. The fleet adds the records of
+// the stand-ins.
 func (l *Ledger) Evidence() Evidence {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -288,10 +289,10 @@
 	}
 }
 
-// Counts is the progress so far.
+// Counts is the number of records so far.
 type Counts struct{ Requests, Jobs int }
 
-// Counts tells how much has been recorded.
+// Counts returns the number of recorded requests and jobs.
 func (l *Ledger) Counts() Counts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
