--- a/internal/bench/engineledger/engineledger.go
+++ b/internal/bench/engineledger/engineledger.go
@@ -1,5 +1,5 @@
-// Package engineledger translates what the engines' stand-ins record into the
-// bench's own terms.
+// Package engineledger converts the records of the engine stand-ins into the terms of package
+// ledger.
 package engineledger
 
 import (
@@ -8,8 +8,8 @@
 	"ringstream.example/ringstream/internal/emulator"
 )
 
-// PromptNames gives the name of every prompt of the plans by its hash at a
-// model, under which the stand-ins record it.
+// PromptNames returns the request or item name for the hash of each prompt of the plans. The
+// stand-ins record prompts by this hash, which depends on the model.
 func PromptNames(model string, plans ...workload.Plan) map[uint64]string {
 	names := make(map[uint64]string)
 	for _, plan := range plans {
@@ -29,5 +29,5 @@
 	"": ledger.RunOpen, "length": ledger.RunFinished, "cancelled": ledger.RunCancelled, "crashed": ledger.RunLost,
 }
 
-// RunEnd gives how a run ended, from the word that a stand-in records.
+// RunEnd returns the end of a run for the value that a stand-in records.
 func RunEnd(recorded string) ledger.RunEnd { return runEnds[recorded] }
