--- a/internal/bench/operator/operator.go
+++ b/internal/bench/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator behaves as the operators of a fleet do: it edits rows,
-// watches how each node shows them, and stops or loses machines at the times
-// that a scenario names. What it sees goes to the ledger.
+// Package operator simulates the operators of a fleet. It edits rows, watches the rows that each
+// node shows, and stops or kills machines at the times given by a scenario. Its observations go to
+// the ledger.
 package operator
 
 import (
@@ -17,7 +17,7 @@
 	"ringstream.example/ringstream/internal/core/policy"
 )
 
-// Operator acts on a fleet. Run may be called once.
+// Operator acts on a fleet. Run may be called only once.
 type Operator struct {
 	fleet  *fleet.Fleet
 	ledger *ledger.Ledger
@@ -28,13 +28,13 @@
 	started  time.Time
 }
 
-// New makes an operator whose records go to the ledger.
+// New creates an operator whose records go to the ledger.
 func New(of *fleet.Fleet, into *ledger.Ledger) *Operator {
 	return &Operator{fleet: of, ledger: into}
 }
 
-// Run carries out the actions when they are due, and returns when all have
-// ended or ctx is done.
+// Run performs the actions at their scheduled times. It returns when all of them have ended or ctx
+// is done.
 func (o *Operator) Run(ctx context.Context, actions []scenario.Action) {
 	o.started = time.Now()
 	var ended sync.WaitGroup
@@ -43,8 +43,8 @@
 			if !wait(ctx, time.Until(o.started.Add(action.At))) {
 				return
 			}
-			o.mark(action)
-			if err := o.act(ctx, action); err != nil {
+			o.addMark(action)
+			if err := o.perform(ctx, action); err != nil {
 				o.mutex.Lock()
 				o.failures = append(o.failures, fmt.Sprintf("%s at %s: %v", action.Kind, action.At, err))
 				o.mutex.Unlock()
@@ -54,21 +54,21 @@
 	ended.Wait()
 }
 
-// Marks gives what was done and when, for plots.
+// Marks returns the actions and their times, for plots.
 func (o *Operator) Marks() []report.Mark {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return append([]report.Mark(nil), o.marks...)
 }
 
-// Failures gives the actions that could not be carried out.
+// Failures returns the actions that failed.
 func (o *Operator) Failures() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return append([]string(nil), o.failures...)
 }
 
-func (o *Operator) mark(action scenario.Action) {
+func (o *Operator) addMark(action scenario.Action) {
 	label := string(action.Kind)
 	if action.Row != "" {
 		label += " " + action.Row
@@ -78,16 +78,16 @@
 	o.marks = append(o.marks, report.Mark{At: time.Since(o.started).Seconds(), Label: label})
 }
 
-func (o *Operator) act(ctx context.Context, action scenario.Action) error {
+func (o *Operator) perform(ctx context.Context, action scenario.Action) error {
 	switch action.Kind {
 	case scenario.ActionEditRow:
-		return o.edit(ctx, action.Row, func(row *policy.Row) { row.Weight++ })
+		return o.editRow(ctx, action.Row, func(row *policy.Row) { row.Weight++ })
 	case scenario.ActionSetShare:
-		return o.edit(ctx, action.Row, func(row *policy.Row) { row.NewSiteShare = action.Value })
+		return o.editRow(ctx, action.Row, func(row *policy.Row) { row.NewSiteShare = action.Value })
 	case scenario.ActionStopNode:
-		return o.replace(ctx, action.Node, true)
+		return o.restartNode(ctx, action.Node, true)
 	case scenario.ActionKillNode:
-		return o.replace(ctx, action.Node, false)
+		return o.restartNode(ctx, action.Node, false)
 	case scenario.ActionLeaveEngine:
 		id := o.fleet.EngineID(action.Engine)
 		o.ledger.AddDeparture(ledger.Departure{Engine: id, At: time.Now()})
@@ -101,8 +101,8 @@
 	}
 }
 
-// replace stops or kills a node and starts it again.
-func (o *Operator) replace(ctx context.Context, node int, planned bool) error {
+// restartNode stops or kills a node and starts it again.
+func (o *Operator) restartNode(ctx context.Context, node int, planned bool) error {
 	stop := ledger.NodeStop{Node: node, At: time.Now(), Planned: planned}
 	var err error
 	if planned {
@@ -122,11 +122,11 @@
 	return err
 }
 
-// edit changes a row through the first node that answers; a lost race is
-// tried again on the current row, as an operator does.
-func (o *Operator) edit(ctx context.Context, row string, change func(*policy.Row)) error {
+// editRow changes a row through the first node that answers. After a lost race it tries again with
+// the current row, as an operator does.
+func (o *Operator) editRow(ctx context.Context, row string, change func(*policy.Row)) error {
 	var failure error
-	for try := range o.fleet.Nodes() * editTries {
+	for try := range o.fleet.Nodes() * triesPerNode {
 		node := try % o.fleet.Nodes()
 		admin, err := o.fleet.Operator(node)
 		if err != nil {
@@ -148,12 +148,12 @@
 	return failure
 }
 
-const editTries = 2
+const triesPerNode = 2
 
-// watchEvery is how often a watched row is read from each node.
-const watchEvery = 20 * time.Millisecond
+// watchInterval is the time between two reads of a watched row from a node.
+const watchInterval = 20 * time.Millisecond
 
-// Watch records how every node shows the rows until ctx is done.
+// Watch records the revisions of the rows that every node shows, until ctx is done.
 func (o *Operator) Watch(ctx context.Context, rows []string) {
 	var ended sync.WaitGroup
 	for node := range o.fleet.Nodes() {
@@ -168,11 +168,11 @@
 		return
 	}
 	last := map[string]uint64{}
-	for wait(ctx, watchEvery) {
+	for wait(ctx, watchInterval) {
 		for _, row := range rows {
 			shown, err := admin.Row(ctx, identity.RowID(row))
 			if err != nil || shown.Revision == last[row] {
-				continue // down, or nothing new
+				continue // the node is down, or the revision is unchanged
 			}
 			last[row] = shown.Revision
 			o.ledger.AddSighting(ledger.Sighting{At: time.Now(), Node: node, Row: row, Revision: shown.Revision})
