--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole small fleet in one process: the platform's
-// stand-ins and real nodes, all over loopback sockets, with the scenario's
-// table loaded. It starts and stops machines; it never judges them.
+// Package fleet runs a small fleet in one process: the platform stand-ins and real nodes, connected
+// over loopback sockets, with the scenario's table loaded. It starts and stops machines, and does
+// not judge them.
 package fleet
 
 import (
@@ -27,12 +27,12 @@
 	"ringstream.example/ringstream/internal/emulator"
 )
 
-// OperatorKey is the key that every node takes for the operator "bench".
+// OperatorKey is the key that every node accepts for the operator "bench".
 const OperatorKey = "operator-key"
 
 // Fleet is a running fleet.
 type Fleet struct {
-	// Platform holds the stand-ins.
+	// Platform contains the stand-ins.
 	Platform *emulator.Fleet
 
 	scenario scenario.Scenario
@@ -57,7 +57,7 @@
 
 const firstVersion = "v1"
 
-// EngineConfig is the engine model of a scenario.
+// EngineConfig returns the engine configuration of a scenario.
 func EngineConfig(from scenario.Scenario) emulator.EngineConfig {
 	config := emulator.DefaultEngineConfig()
 	if from.EngineSlots > 0 {
@@ -66,8 +66,8 @@
 	return config
 }
 
-// Start starts stand-ins and nodes, waits until every node is ready, and loads
-// the scenario's rows through the admin API.
+// Start starts the stand-ins and nodes, loads the scenario's rows through the admin API, and waits
+// until every node is ready.
 func Start(ctx context.Context, from scenario.Scenario, seed uint64, logger *zap.Logger) (*Fleet, error) {
 	stand, err := StartPlatform(from, seed)
 	if err != nil {
@@ -82,7 +82,7 @@
 }
 
 func (f *Fleet) startNodes(ctx context.Context) error {
-	if err := f.placeNodes(); err != nil {
+	if err := f.assignAddresses(); err != nil {
 		return err
 	}
 	for index := range f.nodes {
@@ -90,7 +90,7 @@
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := f.loadRows(ctx); err != nil {
 		return err
@@ -104,13 +104,13 @@
 }
 
 const (
-	readyWait  = 20 * time.Second
-	retryPause = 100 * time.Millisecond
+	readyTimeout  = 20 * time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
 // loadRows imports the scenario's rows and waits until every node shows them.
 func (f *Fleet) loadRows(ctx context.Context) error {
-	err := until(ctx, func() error {
+	err := retryUntilSuccess(ctx, func() error {
 		operator, err := f.Operator(0)
 		if err != nil {
 			return err
@@ -125,7 +125,7 @@
 		return fmt.Errorf("load the table: %w", err)
 	}
 	for index := range f.nodes {
-		err := until(ctx, func() error {
+		err := retryUntilSuccess(ctx, func() error {
 			operator, err := f.Operator(index)
 			if err != nil {
 				return err
@@ -143,15 +143,15 @@
 	return nil
 }
 
-// until repeats a call until it succeeds or ctx is done; then it gives the
-// call's last error.
-func until(ctx context.Context, call func() error) error {
+// retryUntilSuccess repeats a call until it succeeds or ctx is done. Then it returns ctx's error
+// joined with the last error of the call.
+func retryUntilSuccess(ctx context.Context, call func() error) error {
 	for {
 		err := call()
 		if err == nil {
 			return nil
 		}
-		timer := time.NewTimer(retryPause)
+		timer := time.NewTimer(retryInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -161,12 +161,12 @@
 	}
 }
 
-// AwaitReady waits until a node's admin port says that it is ready, at most
-// readyWait.
+// AwaitReady waits until a node reports on its admin port that it is ready, for at most
+// readyTimeout.
 func (f *Fleet) AwaitReady(ctx context.Context, node int) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	err := until(ctx, func() error {
+	err := retryUntilSuccess(ctx, func() error {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.nodes[node].admin+"/readyz", nil)
 		if err != nil {
 			return err
@@ -187,23 +187,23 @@
 	return nil
 }
 
-// AwaitSettled waits until the nodes have shared out their work: until they
-// commit next to nothing to the table service. It gives up after a while.
+// AwaitSettled waits until the nodes have distributed their work, that is, until they commit almost
+// nothing to the table service. It returns after a timeout in any case.
 func (f *Fleet) AwaitSettled(ctx context.Context) {
 	const (
-		look    = 500 * time.Millisecond
-		quiet   = 8 // commits between two looks: lease renewals
-		longest = 20 * time.Second
+		interval       = 500 * time.Millisecond
+		maxIdleCommits = 8 // commits per interval for lease renewals
+		timeout        = 20 * time.Second
 	)
-	ctx, cancel := context.WithTimeout(ctx, longest)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for before := -quiet; ; {
+	for before := -maxIdleCommits; ; {
 		commits := f.Platform.Table.Faults.Calls()["commit"]
-		if commits-before < quiet {
+		if commits-before < maxIdleCommits {
 			return
 		}
 		before = commits
-		timer := time.NewTimer(look)
+		timer := time.NewTimer(interval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -213,7 +213,7 @@
 	}
 }
 
-// Operator makes a client of a node's admin API.
+// Operator creates a client of a node's admin API.
 func (f *Fleet) Operator(node int) (*adminclient.Client, error) {
 	const timeout = 10 * time.Second
 	return adminclient.New(adminclient.Options{Server: "http://" + f.nodes[node].admin, Key: OperatorKey, Timeout: timeout})
@@ -222,10 +222,10 @@
 // Gateway implements client.Directory.
 func (f *Fleet) Gateway(node int) string { return f.nodes[node].gateway }
 
-// Admin is the address of a node's admin API.
+// Admin returns the address of a node's admin API.
 func (f *Fleet) Admin(node int) string { return f.nodes[node].admin }
 
-// NodeID is a node's name.
+// NodeID returns the id of a node.
 func (f *Fleet) NodeID(node int) identity.NodeID { return identity.NodeID(f.nodes[node].id) }
 
 // Nodes implements client.Directory.
@@ -234,7 +234,7 @@
 // Key implements client.Directory.
 func (f *Fleet) Key(tenant string) string { return "key-of-" + tenant }
 
-// Close ends everything, without a drain.
+// Close kills all nodes without draining them, and closes the stand-ins.
 func (f *Fleet) Close() {
 	var killed sync.WaitGroup
 	for index := range f.nodes {
@@ -244,7 +244,7 @@
 	f.Platform.Close()
 }
 
-// Model gives the stand-ins' timing to the ideal schedule.
+// Model returns the timing of the stand-ins for the ideal schedule.
 func Model(from scenario.Scenario, stand *emulator.Fleet) measure.EngineModel {
 	engine := EngineConfig(from)
 	model := measure.EngineModel{
@@ -260,18 +260,18 @@
 	return model
 }
 
-// Complete adds to the callers' records what the stand-ins recorded of a plan.
+// Complete adds the records of the stand-ins for a plan to the evidence.
 func Complete(into *ledger.Evidence, plan workload.Plan, model string, stand *emulator.Fleet) {
 	names := engineledger.PromptNames(model, plan)
 	for _, engine := range stand.Engines {
 		for _, entry := range engine.Ledger() {
-			add(into, engine.ID(), entry, names[entry.PromptHash])
+			addEntry(into, engine.ID(), entry, names[entry.PromptHash])
 		}
 		for _, stood := range engine.Standstills() {
 			into.Standstills = append(into.Standstills, ledger.Standstill{Engine: engine.ID(), From: stood.From, Until: stood.Until})
 		}
 	}
-	fillRefusals(into)
+	countBatchAtRefusals(into)
 	for _, run := range stand.Site.Runs() {
 		if !run.Forwarded {
 			into.OtherSiteRuns = append(into.OtherSiteRuns, names[run.PromptHash])
@@ -281,7 +281,7 @@
 	into.Index()
 }
 
-func add(into *ledger.Evidence, engine string, entry emulator.LedgerEntry, name string) {
+func addEntry(into *ledger.Evidence, engine string, entry emulator.LedgerEntry, name string) {
 	online := entry.Priority == backend.PriorityOnline
 	if entry.Refused != "" {
 		into.Refusals = append(into.Refusals, ledger.EngineRefusal{
@@ -296,8 +296,8 @@
 	})
 }
 
-// fillRefusals counts the batch sequences that ran beside each refusal.
-func fillRefusals(into *ledger.Evidence) {
+// countBatchAtRefusals counts the batch sequences that were running on the engine at each refusal.
+func countBatchAtRefusals(into *ledger.Evidence) {
 	for i := range into.Refusals {
 		refusal := &into.Refusals[i]
 		for _, run := range into.Runs {
@@ -309,14 +309,14 @@
 	}
 }
 
-// The ports of nodes lie below those that systems give to outgoing
-// connections, so that a node that is down finds its own again.
+// The ports of nodes are below the usual range of ephemeral ports, so that a restarted node finds
+// its ports free.
 const (
 	firstPort = 20_000
 	lastPort  = 30_000
 )
 
-// freePorts finds ports that nobody listens on.
+// freePorts returns the addresses of free ports.
 func freePorts(count int) ([]string, error) {
 	const triesPerPort = 50
 	var addresses []string
@@ -324,7 +324,7 @@
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
 		listener, err := net.Listen("tcp", address) //nolint:noctx // returns at once
 		if err != nil || slices.Contains(addresses, address) {
-			continue // taken
+			continue // the port is in use or already chosen
 		}
 		_ = listener.Close()
 		addresses = append(addresses, address)
--- a/internal/bench/fleet/network.go
+++ b/internal/bench/fleet/network.go
@@ -10,13 +10,13 @@
 	"ringstream.example/ringstream/internal/peer"
 )
 
-// cuttable is a node's TCP network that can be cut for good: every socket is
-// closed at once and none can be opened again, as when the machine is lost.
-type cuttable struct {
+// cuttableNetwork is a node's TCP network that can be cut permanently, as when the machine is lost.
+// A cut closes every socket at once, and no socket can be opened afterwards.
+type cuttableNetwork struct {
 	tcp         peer.TCP
 	peerAddress string
-	// peerBytes counts what came and went over connections that other nodes
-	// opened: each byte between nodes once.
+	// peerBytes counts the bytes in both directions of connections that other nodes opened, so that
+	// each byte between nodes counts once.
 	peerBytes atomic.Int64
 
 	mutex   sync.Mutex
@@ -26,20 +26,20 @@
 
 var errCut = errors.New("the machine is lost")
 
-// cut closes everything.
-func (n *cuttable) cut() {
+// cut closes all sockets and prevents new ones.
+func (n *cuttableNetwork) cut() {
 	n.mutex.Lock()
 	n.isCut = true
 	sockets := n.sockets
 	n.sockets = nil
 	n.mutex.Unlock()
 	for socket := range sockets {
-		_ = socket.Close() // it may have been closed before
+		_ = socket.Close() // the socket may already be closed
 	}
 }
 
-// keep remembers an open socket; after the cut it is closed instead.
-func (n *cuttable) keep(socket interface{ Close() error }) error {
+// register adds an open socket. After the cut it closes the socket and returns errCut.
+func (n *cuttableNetwork) register(socket interface{ Close() error }) error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.isCut {
@@ -53,14 +53,14 @@
 	return nil
 }
 
-func (n *cuttable) forget(socket interface{ Close() error }) {
+func (n *cuttableNetwork) unregister(socket interface{ Close() error }) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delete(n.sockets, socket)
 }
 
 // Listen implements peer.Network.
-func (n *cuttable) Listen(address string) (net.Listener, error) {
+func (n *cuttableNetwork) Listen(address string) (net.Listener, error) {
 	listener, err := n.tcp.Listen(address)
 	if err != nil {
 		return nil, err
@@ -69,20 +69,20 @@
 	if address == n.peerAddress {
 		kept.bytes = &n.peerBytes
 	}
-	return kept, n.keep(kept.Listener)
+	return kept, n.register(kept.Listener)
 }
 
 // Dial implements peer.Network.
-func (n *cuttable) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (n *cuttableNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := n.tcp.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return n.connection(connection, nil)
+	return n.wrap(connection, nil)
 }
 
-func (n *cuttable) connection(connection net.Conn, bytes *atomic.Int64) (net.Conn, error) {
-	if err := n.keep(connection); err != nil {
+func (n *cuttableNetwork) wrap(connection net.Conn, bytes *atomic.Int64) (net.Conn, error) {
+	if err := n.register(connection); err != nil {
 		return nil, err
 	}
 	return &cuttableConnection{Conn: connection, network: n, bytes: bytes}, nil
@@ -90,7 +90,7 @@
 
 type cuttableListener struct {
 	net.Listener
-	network *cuttable
+	network *cuttableNetwork
 	bytes   *atomic.Int64 // nil: not counted
 }
 
@@ -100,12 +100,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.network.connection(connection, l.bytes)
+	return l.network.wrap(connection, l.bytes)
 }
 
 type cuttableConnection struct {
 	net.Conn
-	network *cuttable
+	network *cuttableNetwork
 	bytes   *atomic.Int64 // nil: not counted
 }
 
@@ -131,6 +131,6 @@
 
 // Close implements net.Conn.
 func (c *cuttableConnection) Close() error {
-	c.network.forget(c.Conn)
+	c.network.unregister(c.Conn)
 	return c.Conn.Close()
 }
--- a/internal/bench/fleet/network_test.go
+++ b/internal/bench/fleet/network_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestCutClosesEverythingForGood(t *testing.T) {
-	lost, other := &cuttable{}, &cuttable{}
+	lost, other := &cuttableNetwork{}, &cuttableNetwork{}
 	listener, err := lost.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -21,15 +21,15 @@
 	}
 	lost.cut()
 	if _, err := connection.Read(make([]byte, 1)); err == nil {
-		t.Error("the connection outlived the machine")
+		t.Error("the connection is open after the cut")
 	}
 	if _, err := other.Dial(context.Background(), listener.Addr().String()); err == nil {
-		t.Error("the listener outlived the machine")
+		t.Error("the listener accepts connections after the cut")
 	}
 	if _, err := lost.Dial(context.Background(), "127.0.0.1:1"); err == nil {
-		t.Error("a lost machine opened a connection")
+		t.Error("a cut network opened a connection")
 	}
 	if _, err := lost.Listen("127.0.0.1:0"); err == nil {
-		t.Error("a lost machine listens")
+		t.Error("a cut network listens")
 	}
 }
--- a/internal/bench/fleet/nodes.go
+++ b/internal/bench/fleet/nodes.go
@@ -15,23 +15,23 @@
 	"ringstream.example/ringstream/internal/settings"
 )
 
-// member is the place of one node: its addresses stay the same over restarts.
+// member is one node of the fleet. Its addresses stay the same across restarts.
 type member struct {
 	id, zone             string
 	gateway, admin, peer string
 
-	mutex   sync.Mutex
-	running *node.Node // nil: down
-	network *cuttable
-	silence zap.AtomicLevel // of the running node's logs
-	stop    context.CancelFunc
-	ended   chan struct{} // closed when Run has returned
-	err     error         // of Run, once ended is closed
-	starts  int
+	mutex    sync.Mutex
+	running  *node.Node // nil while the node is down
+	network  *cuttableNetwork
+	logLevel zap.AtomicLevel // of the running node's logs
+	stop     context.CancelFunc
+	ended    chan struct{} // closed when Run has returned
+	err      error         // of Run, once ended is closed
+	starts   int
 }
 
-// placeNodes gives each node its zone and addresses.
-func (f *Fleet) placeNodes() error {
+// assignAddresses assigns a zone and addresses to each node.
+func (f *Fleet) assignAddresses() error {
 	const addressesPerNode = 3
 	addresses, err := freePorts(addressesPerNode * len(f.scenario.Zones))
 	if err != nil {
@@ -44,14 +44,14 @@
 	return nil
 }
 
-// nodeSettings are what a settings file of this node would say.
+// nodeSettings returns the settings of a node, as a settings file would contain them.
 func (f *Fleet) nodeSettings(index int) settings.Settings {
-	place := f.nodes[index]
+	member := f.nodes[index]
 	made := settings.Default()
-	made.Node = settings.Node{ID: place.id, Zone: place.zone, Region: f.scenario.Region}
-	made.Admin.Address = place.admin
-	made.Gateway.HTTP.Address = place.gateway
-	made.Peer.ListenAddress = place.peer
+	made.Node = settings.Node{ID: member.id, Zone: member.zone, Region: f.scenario.Region}
+	made.Admin.Address = member.admin
+	made.Gateway.HTTP.Address = member.gateway
+	made.Peer.ListenAddress = member.peer
 	for other, seed := range f.nodes {
 		if other != index {
 			made.Peer.Seeds = append(made.Peer.Seeds, seed.peer)
@@ -65,7 +65,7 @@
 	return made
 }
 
-// sharesWork tells whether any row of the scenario leaves work to the other site.
+// sharesWork reports whether any row of the scenario leaves work to the other site.
 func (f *Fleet) sharesWork() bool {
 	for _, row := range f.scenario.Rows {
 		if row.NewSiteShare < 1 {
@@ -80,32 +80,32 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// StartNode starts a node that is down. A restarted node has a new name, as a
-// replaced machine has.
+// StartNode starts a node that is down. A restarted node gets a new name, as the node of a replaced
+// machine does.
 func (f *Fleet) StartNode(index int) error {
-	place := f.nodes[index]
-	place.mutex.Lock()
-	defer place.mutex.Unlock()
-	if place.running != nil {
+	member := f.nodes[index]
+	member.mutex.Lock()
+	defer member.mutex.Unlock()
+	if member.running != nil {
 		return fmt.Errorf("node %d is running", index)
 	}
-	place.starts++
-	place.id = fmt.Sprintf("node-%d-%d", index, place.starts)
-	place.network, place.silence = &cuttable{peerAddress: place.peer}, zap.NewAtomicLevelAt(f.logger.Level())
-	logger := f.logger.With(zap.Int("bench_node", index)).WithOptions(zap.IncreaseLevel(place.silence))
-	made, err := node.New(f.nodeSettings(index), logger, node.WithNetwork(place.network))
+	member.starts++
+	member.id = fmt.Sprintf("node-%d-%d", index, member.starts)
+	member.network, member.logLevel = &cuttableNetwork{peerAddress: member.peer}, zap.NewAtomicLevelAt(f.logger.Level())
+	logger := f.logger.With(zap.Int("bench_node", index)).WithOptions(zap.IncreaseLevel(member.logLevel))
+	made, err := node.New(f.nodeSettings(index), logger, node.WithNetwork(member.network))
 	if err != nil {
 		return fmt.Errorf("node %d: %w", index, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended, network := make(chan struct{}), place.network
-	place.running, place.stop, place.ended = made, stop, ended
+	ended, network := make(chan struct{}), member.network
+	member.running, member.stop, member.ended = made, stop, ended
 	go func() {
 		err := made.Run(ctx)
-		place.mutex.Lock()
-		defer place.mutex.Unlock()
-		if place.network == network {
-			place.running, place.err = nil, err
+		member.mutex.Lock()
+		defer member.mutex.Unlock()
+		if member.network == network {
+			member.running, member.err = nil, err
 		}
 		stop()
 		close(ended)
@@ -113,48 +113,48 @@
 	return nil
 }
 
-// StopNode stops a node as planned: it drains, and StopNode returns when it
-// has ended.
+// StopNode performs a planned stop of a node, which drains the node. It returns when the node has
+// ended.
 func (f *Fleet) StopNode(index int) error {
 	stop, ended, _ := f.nodes[index].handles()
 	if stop == nil {
 		return nil
 	}
 	stop()
-	const longest = 2 * time.Minute
+	const timeout = 2 * time.Minute
 	select {
 	case <-ended:
 		return f.nodes[index].err
-	case <-time.After(longest):
-		return fmt.Errorf("node %d has not stopped in %s", index, longest)
+	case <-time.After(timeout):
+		return fmt.Errorf("node %d has not stopped in %s", index, timeout)
 	}
 }
 
-// KillNode closes every socket of a node at once, without a drain.
+// KillNode closes all sockets of a node at once, without draining it.
 func (f *Fleet) KillNode(index int) {
-	place := f.nodes[index]
-	stop, ended, network := place.handles()
+	member := f.nodes[index]
+	stop, ended, network := member.handles()
 	if stop == nil {
 		return
 	}
-	place.silence.SetLevel(zap.FatalLevel) // a lost machine logs nothing
+	member.logLevel.SetLevel(zap.FatalLevel) // a lost machine logs nothing
 	network.cut()
 	stop()
-	const patience = 3 * time.Second
+	const timeout = 3 * time.Second
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		// What is left of it reaches nobody; its place is free.
-		place.mutex.Lock()
-		defer place.mutex.Unlock()
-		if place.network == network {
-			place.running = nil
+	case <-time.After(timeout):
+		// The remaining goroutines of the node can reach nothing, so the node counts as down.
+		member.mutex.Lock()
+		defer member.mutex.Unlock()
+		if member.network == network {
+			member.running = nil
 		}
 	}
 }
 
-// handles gives what ends a running node; nil when it is down.
-func (m *member) handles() (context.CancelFunc, chan struct{}, *cuttable) {
+// handles returns the function, channel and network that end a running node, or nil if it is down.
+func (m *member) handles() (context.CancelFunc, chan struct{}, *cuttableNetwork) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.running == nil {
@@ -163,22 +163,22 @@
 	return m.stop, m.ended, m.network
 }
 
-// PeerBytes counts the bytes that nodes which are up have exchanged.
+// PeerBytes returns the number of bytes that the running nodes have exchanged.
 func (f *Fleet) PeerBytes() int64 {
 	var sum int64
-	for _, place := range f.nodes {
-		if _, _, network := place.handles(); network != nil {
+	for _, member := range f.nodes {
+		if _, _, network := member.handles(); network != nil {
 			sum += network.peerBytes.Load()
 		}
 	}
 	return sum
 }
 
-// Running tells whether a node is up.
+// Running reports whether a node is running.
 func (f *Fleet) Running(index int) bool {
 	stop, _, _ := f.nodes[index].handles()
 	return stop != nil
 }
 
-// EngineID is the name of an engine, counted from 0.
+// EngineID returns the id of an engine, counted from 0.
 func (f *Fleet) EngineID(index int) string { return f.Platform.Engines[index].ID() }
