--- a/internal/bench/scenario/scenario.go
+++ b/internal/bench/scenario/scenario.go
@@ -1,6 +1,5 @@
-// Package scenario reads and checks the YAML files that describe a load: the
-// fleet, the classes of work, their arrivals, and what happens to the fleet
-// meanwhile. It starts nothing.
+// Package scenario reads and validates the YAML files that describe a load: the fleet, the classes
+// of work, their arrivals, and the actions on the fleet during the run. It does not start anything.
 package scenario
 
 import (
@@ -16,19 +15,19 @@
 	"ringstream.example/ringstream/internal/core/policy"
 )
 
-// Scenario is one load against one fleet.
+// Scenario is one load on one fleet.
 type Scenario struct {
 	Name        string        `yaml:"name"`
 	Description string        `yaml:"description"`
 	Duration    time.Duration `yaml:"duration"` // of the arrivals
-	Settle      time.Duration `yaml:"settle"`   // longest wait for accepted work afterwards
+	Settle      time.Duration `yaml:"settle"`   // how long to wait for accepted work afterwards
 	Region      string        `yaml:"region"`
 	Zones       []string      `yaml:"zones"` // one node in each
 	Pool        string        `yaml:"pool"`
 	Model       string        `yaml:"model"`
 	Engines     []EngineGroup `yaml:"engines"`
-	// EngineSlots is the number of sequences that the reference engine runs
-	// at once; zero: the stand-in's default.
+	// EngineSlots is the number of sequences that the reference engine runs at once. Zero means the
+	// default of the stand-in.
 	EngineSlots int          `yaml:"engine_places"`
 	Online      []Online     `yaml:"online"`
 	Batch       []Batch      `yaml:"batch"`
@@ -37,21 +36,21 @@
 	Rules       Rules        `yaml:"rules"`
 }
 
-// EngineGroup is a number of engines of one size, spread over the zones.
+// EngineGroup is a number of engines of the same size, distributed over the zones.
 type EngineGroup struct {
 	Count    int     `yaml:"count"`
 	Capacity float64 `yaml:"capacity"` // 1 is the reference engine
 }
 
-// Length is a log-normal distribution of a length in tokens, cut at Max.
+// Length is a log-normal distribution of a length in tokens, limited to Max.
 type Length struct {
 	Median int     `yaml:"median"`
 	Sigma  float64 `yaml:"sigma"`
 	Max    int     `yaml:"max"`
 }
 
-// Prefixes describes how prompts share their beginnings: each starts with one
-// of Count prefixes of Tokens tokens, the nth drawn with a weight of n^-Skew.
+// Prefixes describes how prompts share prefixes. Each prompt starts with one of Count prefixes of
+// Tokens tokens, and the nth prefix has the weight n^-Skew.
 type Prefixes struct {
 	Count  int     `yaml:"count"`
 	Tokens int     `yaml:"tokens"`
@@ -66,55 +65,55 @@
 	Prompt    Length   `yaml:"prompt"`
 	Answer    Length   `yaml:"answer"`
 	Prefixes  Prefixes `yaml:"prefixes"`
-	// Keyed is the part of requests that carry an Idempotency-Key; each of
-	// these is sent again, ResendAfter later, through another node.
+	// Keyed is the share of requests that carry an Idempotency-Key. Each of them is sent again
+	// through another node, ResendAfter later.
 	Keyed       float64       `yaml:"keyed"`
 	ResendAfter time.Duration `yaml:"resend_after"`
 	Bursts      []Burst       `yaml:"bursts"`
 }
 
-// Burst multiplies the arrival rate for a while.
+// Burst multiplies the arrival rate for a limited time.
 type Burst struct {
 	At     time.Duration `yaml:"at"`
 	For    time.Duration `yaml:"for"`
 	Factor float64       `yaml:"factor"`
 }
 
-// Batch is a stream of jobs that arrive in heaps.
+// Batch is a stream of jobs that arrive in groups.
 type Batch struct {
 	Name       string        `yaml:"name"`
 	Tenants    []string      `yaml:"tenants"`
 	First      time.Duration `yaml:"first"`
 	Every      time.Duration `yaml:"every"`
-	Jobs       int           `yaml:"jobs"`  // in one heap
+	Jobs       int           `yaml:"jobs"`  // in one group
 	Items      int           `yaml:"items"` // in one job
 	Prompt     Length        `yaml:"prompt"`
 	Answer     Length        `yaml:"answer"`
 	Prefixes   Prefixes      `yaml:"prefixes"`
 	Repeatable bool          `yaml:"repeatable"`
 	Deadline   time.Duration `yaml:"deadline"`
-	// Cancelled is the part of jobs that their client cancels, CancelAfter
-	// the acknowledgement. Resent is the part that is submitted twice.
+	// Cancelled is the share of jobs that their client cancels, CancelAfter their acknowledgement.
+	// Resent is the share of jobs that are submitted twice.
 	Cancelled   float64       `yaml:"cancelled"`
 	CancelAfter time.Duration `yaml:"cancel_after"`
 	Resent      float64       `yaml:"resent"`
 }
 
-// ActionKind is what happens to the fleet at a time.
+// ActionKind is the kind of an action.
 type ActionKind string
 
 // The actions.
 const (
-	ActionEditRow     ActionKind = "edit_row"     // Row: weight raised by one
+	ActionEditRow     ActionKind = "edit_row"     // Row: its weight is raised by one
 	ActionSetShare    ActionKind = "set_share"    // Row, Value
-	ActionStopNode    ActionKind = "stop_node"    // Node: planned, then started again
-	ActionKillNode    ActionKind = "kill_node"    // Node: then started again
+	ActionStopNode    ActionKind = "stop_node"    // Node: planned stop, then start
+	ActionKillNode    ActionKind = "kill_node"    // Node: kill, then start
 	ActionLeaveEngine ActionKind = "leave_engine" // Engine
 	ActionKillEngine  ActionKind = "kill_engine"  // Engine
 	ActionRollout     ActionKind = "rollout"      // to model version Version
 )
 
-// Action is one thing that happens to the fleet.
+// Action is one change to the fleet during the run.
 type Action struct {
 	At      time.Duration `yaml:"at"`
 	Kind    ActionKind    `yaml:"kind"`
@@ -125,8 +124,8 @@
 	Version string        `yaml:"version"`
 }
 
-// Rules are the bounds that a run has to keep to pass; zero: not asked.
-// A violated invariant fails every run.
+// Rules are the bounds that a run must meet to pass. Zero means that there is no bound. A violated
+// invariant fails every run.
 type Rules struct {
 	HarmTTFT         float64 `yaml:"harm_ttft_p95"`
 	HarmTPOT         float64 `yaml:"harm_tpot_p95"`
@@ -136,7 +135,7 @@
 	InForceMaxMillis float64 `yaml:"in_force_max_ms"`
 }
 
-// Load reads a scenario: a name of an embedded one, or a path to a file.
+// Load reads a scenario, given the name of an embedded scenario or the path of a file.
 func Load(nameOrPath string) (Scenario, error) {
 	text, err := scenarios.Files.ReadFile(nameOrPath + ".yaml")
 	if err != nil {
@@ -148,7 +147,7 @@
 	return Parse(text)
 }
 
-// Parse reads a scenario; unknown keys and impossible values are errors.
+// Parse parses a scenario. Unknown keys and invalid values are errors.
 func Parse(text []byte) (Scenario, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
@@ -159,7 +158,7 @@
 	return parsed, parsed.Validate()
 }
 
-// Validate names each key with an impossible value.
+// Validate returns an error that names each key with an invalid value.
 func (s Scenario) Validate() error {
 	var problems []error
 	require := func(holds bool, message string, arguments ...any) {
@@ -192,7 +191,7 @@
 
 func (l Length) valid() bool { return l.Median > 0 && l.Median <= l.Max }
 
-// EngineCount is the number of engines of all groups.
+// EngineCount returns the number of engines in all groups.
 func (s Scenario) EngineCount() int {
 	count := 0
 	for _, group := range s.Engines {
@@ -201,7 +200,7 @@
 	return count
 }
 
-// Capacities gives each engine's size.
+// Capacities returns the capacity of each engine.
 func (s Scenario) Capacities() []float64 {
 	var all []float64
 	for _, group := range s.Engines {
@@ -212,7 +211,7 @@
 	return all
 }
 
-// Tenants gives every tenant that the scenario names, each once.
+// Tenants returns every tenant in the scenario once.
 func (s Scenario) Tenants() []string {
 	seen := map[string]bool{}
 	var tenants []string
