--- a/internal/bench/runner/control.go
+++ b/internal/bench/runner/control.go
@@ -11,15 +11,15 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// idleTime is how long the cost of an idle fleet is measured.
-const idleTime = 2 * time.Second
+// idleMeasureTime is how long the cost of an idle fleet is measured.
+const idleMeasureTime = 2 * time.Second
 
-// measureIdle divides what the whole process uses without load by the nodes in
-// it: an upper bound of a node's cost, since the stand-ins are in it too.
+// measureIdle measures what the process uses without load and divides it by the number of nodes.
+// The result is an upper bound of the cost of a node, because it includes the stand-ins.
 func measureIdle(ctx context.Context, running *fleet.Fleet, nodes int) report.Control {
 	const megabyte = 1 << 20
 	before, bytes, started := processorTime(), running.PeerBytes(), time.Now()
-	wait.For(ctx, idleTime)
+	wait.For(ctx, idleMeasureTime)
 	used, elapsed := processorTime()-before, time.Since(started)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -31,7 +31,7 @@
 	}
 }
 
-// processorTime is the processor time that this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/bench/runner/demo.go
+++ b/internal/bench/runner/demo.go
@@ -11,7 +11,7 @@
 	"ringstream.example/ringstream/internal/bench/workload"
 )
 
-// DemoResult is the one line of JSON that a demo ends with.
+// DemoResult is the line of JSON that a demo prints at its end.
 type DemoResult struct {
 	OnlineCompleted     int     `json:"online_completed"`
 	OnlineTTFTP95       float64 `json:"online_ttft_ms_p95"`
@@ -20,12 +20,12 @@
 	Duplicates          int     `json:"duplicates"`
 	Lost                int     `json:"lost"`
 	InvariantViolations int     `json:"invariant_violations"`
-	// RowChange is the time from the acceptance of an edit until every node
-	// showed it; below zero: it never was everywhere.
+	// RowChange is the time from the acceptance of an edit until every node showed it. It is
+	// negative if some node never showed it.
 	RowChange float64 `json:"row_change_ms"`
 }
 
-// DemoOutcome is a demo's result with what a person may want to know besides.
+// DemoOutcome is the result of a demo with additional information for people.
 type DemoOutcome struct {
 	Result         DemoResult
 	OnlineSent     int
@@ -36,15 +36,15 @@
 	Interrupted    bool
 }
 
-// Passed tells whether the demo kept every promise.
+// Passed reports whether the demo met all of its conditions.
 func (o DemoOutcome) Passed() bool {
 	r := o.Result
 	return r.InvariantViolations == 0 && r.Lost == 0 && r.Duplicates == 0 && r.RowChange >= 0 &&
 		r.OnlineCompleted > 0 && r.BatchItemsAccepted > 0 && len(o.Failures) == 0 && !o.Interrupted
 }
 
-// ForDuration shortens or lengthens a scenario's arrivals; the actions keep
-// their place in it.
+// ForDuration shortens or lengthens the arrivals of a scenario. The times of the actions are scaled
+// accordingly.
 func ForDuration(from scenario.Scenario, duration time.Duration) scenario.Scenario {
 	scale := duration.Seconds() / from.Duration.Seconds()
 	actions := make([]scenario.Action, len(from.Actions))
@@ -56,7 +56,7 @@
 	return from
 }
 
-// Demo runs a scenario once against a fleet and judges it.
+// Demo runs a scenario once on a fleet and judges the run.
 func Demo(ctx context.Context, settings Settings) (DemoOutcome, error) {
 	plan := workload.Make(settings.Scenario, settings.Seed)
 	phase, err := Ringstream(ctx, "demo", settings, plan, true)
@@ -85,7 +85,8 @@
 	return outcome, nil
 }
 
-// rowChange is the longest time of an edit until every node showed it.
+// rowChange returns the longest time in milliseconds until an edit was shown by every node, or -1
+// if some node never showed an edit or there were no edits.
 func rowChange(evidence ledger.Evidence) float64 {
 	const never = -1
 	if len(evidence.Edits) == 0 {
@@ -104,8 +105,7 @@
 	return slowest
 }
 
-// lost counts the items of an accepted job whose client has no completed
-// result at the end.
+// lost counts the items of an accepted job for which the client has no completed result at the end.
 func lost(job ledger.Job) int {
 	if !job.CancelSent.IsZero() {
 		return 0
@@ -121,8 +121,8 @@
 	return len(job.Items) - len(completed)
 }
 
-// duplicates counts the items that have more than one result, and those that
-// may run once only and were taken by engines under more than one attempt.
+// duplicates counts the items that have more than one result, and the items that may run only once
+// but were accepted by engines under more than one attempt.
 func duplicates(job ledger.Job, evidence ledger.Evidence) int {
 	count := 0
 	if len(job.Readings) > 0 {
--- a/internal/bench/runner/demo_test.go
+++ b/internal/bench/runner/demo_test.go
@@ -70,7 +70,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		synctest.Wait()
 		if passed[0].Load() != 0 {
-			t.Errorf("%d parties passed before the last came", passed[0].Load())
+			t.Errorf("%d parties passed before the last arrived", passed[0].Load())
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
--- a/internal/bench/runner/phase.go
+++ b/internal/bench/runner/phase.go
@@ -1,5 +1,5 @@
-// Package runner runs a scenario from its start to its report: the same
-// arrivals against online alone, the naive version and a ringstream fleet.
+// Package runner runs a scenario and produces its report. It applies the same arrivals to a fleet
+// with online requests only, the naive reference system and a ringstream fleet.
 package runner
 
 import (
@@ -23,7 +23,7 @@
 	"ringstream.example/ringstream/internal/emulator"
 )
 
-// Progress tells how far a phase is.
+// Progress is the progress of a phase.
 type Progress struct {
 	Phase    string
 	Elapsed  time.Duration
@@ -31,43 +31,43 @@
 	Counts   ledger.Counts
 }
 
-// Phase is one run of a plan against one system.
+// Phase is the result of one run of a plan on one system.
 type Phase struct {
 	Evidence ledger.Evidence
 	Model    measure.EngineModel
 	Started  time.Time
 	Marks    []report.Mark
 	Control  report.Control
-	Failures []string // actions that could not be carried out
+	Failures []string // actions that failed
 }
 
-// Settings are what the phases of a run share.
+// Settings are common to all phases of a run.
 type Settings struct {
 	Scenario scenario.Scenario
 	Seed     uint64
 	Logger   *zap.Logger
-	// Progress, when set, is called about five times a second.
+	// Progress is called about five times a second. It may be nil.
 	Progress func(Progress)
-	// Settle has the load wait until the fleet has shared out its batch shards.
+	// Settle delays the load until the fleet has distributed its batch shards.
 	Settle bool
 
-	// begin, when set, returns when the other systems of the run have come to
-	// the same point.
-	begin func(context.Context)
-	// idleNodes is the number of nodes in the process; above zero, the cost of
-	// the idle fleet is measured before the load.
+	// awaitOthers waits until the other systems of the run have reached the same point. It may be
+	// nil.
+	awaitOthers func(context.Context)
+	// idleNodes is the number of nodes in the process. If it is positive, the cost of the idle
+	// fleet is measured before the load.
 	idleNodes int
 }
 
-func (s Settings) awaitBegin(ctx context.Context) {
-	if s.begin != nil {
-		s.begin(ctx)
+func (s Settings) awaitOtherSystems(ctx context.Context) {
+	if s.awaitOthers != nil {
+		s.awaitOthers(ctx)
 	}
 }
 
-// Ringstream runs a plan against a fleet of real nodes, and carries out the
-// scenario's actions when act is set.
-func Ringstream(ctx context.Context, name string, settings Settings, plan workload.Plan, act bool) (Phase, error) {
+// Ringstream runs a plan on a fleet of real nodes, and performs the scenario's actions if
+// performActions is true.
+func Ringstream(ctx context.Context, name string, settings Settings, plan workload.Plan, performActions bool) (Phase, error) {
 	running, err := fleet.Start(ctx, settings.Scenario, settings.Seed, settings.Logger)
 	if err != nil {
 		return Phase{}, err
@@ -77,16 +77,16 @@
 		running.AwaitSettled(ctx)
 	}
 	phase := Phase{Model: fleet.Model(settings.Scenario, running.Platform)}
-	settings.awaitBegin(ctx)
+	settings.awaitOtherSystems(ctx)
 	if settings.idleNodes > 0 {
 		phase.Control = measureIdle(ctx, running, settings.idleNodes)
-		settings.awaitBegin(ctx)
+		settings.awaitOtherSystems(ctx)
 	}
-	return load(ctx, name, settings, plan, running, phase, act), nil
+	return runLoad(ctx, name, settings, plan, running, phase, performActions), nil
 }
 
-// load sends the plan and gathers everything once it has ended.
-func load(ctx context.Context, name string, settings Settings, plan workload.Plan, running *fleet.Fleet, phase Phase, act bool) Phase {
+// runLoad sends the plan and collects all records after its end.
+func runLoad(ctx context.Context, name string, settings Settings, plan workload.Plan, running *fleet.Fleet, phase Phase, performActions bool) Phase {
 	var records ledger.Ledger
 	callers := client.New(running, settings.Scenario.Model, &records)
 	defer callers.Close()
@@ -98,14 +98,14 @@
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		if act {
+		if performActions {
 			operators.Watch(watching, rowsOf(settings.Scenario))
 		}
 	}()
 	acted := make(chan struct{})
 	go func() {
 		defer close(acted)
-		if act {
+		if performActions {
 			operators.Run(ctx, settings.Scenario.Actions)
 		}
 	}()
@@ -114,8 +114,8 @@
 	callers.Run(following, plan)
 	<-acted
 	callers.Wait(ctx, settings.Scenario.Settle, giveUp)
-	if act && len(settings.Scenario.Actions) > 0 {
-		wait.For(ctx, settleEdits)
+	if performActions && len(settings.Scenario.Actions) > 0 {
+		wait.For(ctx, editSettleTime)
 	}
 	stopWatching()
 	<-watched
@@ -126,8 +126,8 @@
 	return phase
 }
 
-// settleEdits leaves the last edit time to revert, should it do so.
-const settleEdits = 500 * time.Millisecond
+// editSettleTime is how long the nodes are watched at the end, to detect an edit that is reverted.
+const editSettleTime = 500 * time.Millisecond
 
 func rowsOf(from scenario.Scenario) []string {
 	var names []string
@@ -137,7 +137,7 @@
 	return names
 }
 
-// Naive runs a plan against the naive version on stand-ins of its own.
+// Naive runs a plan on the naive reference system with its own stand-ins.
 func Naive(ctx context.Context, settings Settings, plan workload.Plan) (Phase, error) {
 	stand, err := fleet.StartPlatform(settings.Scenario, settings.Seed)
 	if err != nil {
@@ -156,8 +156,8 @@
 		}
 		engines = append(engines, naive.Engine{Engine: clients.Engines.Engine(machine), Slots: engine.MaxRunning()})
 	}
-	settings.awaitBegin(ctx)
-	settings.awaitBegin(ctx) // the idle cost has been measured
+	settings.awaitOtherSystems(ctx)
+	settings.awaitOtherSystems(ctx) // wait while the other systems measure the idle cost
 	var records ledger.Ledger
 	stopProgress := watchProgress(report.RunNaive, settings, &records)
 	defer stopProgress()
@@ -172,8 +172,8 @@
 	return phase, nil
 }
 
-// completeNaive adds the engines' records. The naive version gives all its work
-// one priority, so that the plan has to tell what is online.
+// completeNaive adds the engines' records. The naive system gives all work the same priority, so
+// the plan determines which runs are online.
 func completeNaive(into *ledger.Evidence, plan workload.Plan, model string, stand *emulator.Fleet) {
 	fleet.Complete(into, plan, model, stand)
 	online := map[string]bool{}
@@ -186,17 +186,17 @@
 	into.Index()
 }
 
-// watchProgress calls Progress until the function that it gives is called.
+// watchProgress calls Progress until the returned function is called.
 func watchProgress(phase string, settings Settings, records *ledger.Ledger) (stop func()) {
 	if settings.Progress == nil {
 		return func() {}
 	}
-	const every = 200 * time.Millisecond
+	const interval = 200 * time.Millisecond
 	done, ended := make(chan struct{}), make(chan struct{})
 	started := time.Now()
 	go func() {
 		defer close(ended)
-		ticker := time.NewTicker(every)
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			settings.Progress(Progress{
--- a/internal/bench/runner/runner.go
+++ b/internal/bench/runner/runner.go
@@ -20,9 +20,8 @@
 	"ringstream.example/ringstream/internal/emulator"
 )
 
-// Run runs a scenario against three systems on the same arrivals and gives its
-// report.
-// When ctx is done early, the report is partial and holds what was done.
+// Run runs a scenario on three systems with the same arrivals and returns its report. If ctx ends
+// early, the report is partial and contains what was done until then.
 func Run(ctx context.Context, settings Settings) (report.Report, report.Series, error) {
 	plan := workload.Make(settings.Scenario, settings.Seed)
 	result := report.Report{Scenario: settings.Scenario.Name, Seed: settings.Seed, Started: time.Now()}
@@ -32,7 +31,7 @@
 	if err != nil && ctx.Err() == nil {
 		return result, series, err
 	}
-	alone, plain, full, err := together(ctx, settings, plan)
+	alone, plain, full, err := runSystems(ctx, settings, plan)
 	if err != nil && ctx.Err() == nil {
 		return result, series, err
 	}
@@ -41,7 +40,7 @@
 	result.Baselines.NaiveOnline = measure.OnlineFigures(plain.Evidence, direct)
 	result.Baselines.NaiveBatch, _ = measure.BatchFigures(plain.Evidence, plain.Model)
 	series.Online[report.RunNaive] = measure.Points(plain.Evidence, plain.Started)
-	fill(&result, &series, full, direct, settings.Scenario.Model)
+	addMainFigures(&result, &series, full, direct, settings.Scenario.Model)
 	result.Partial = ctx.Err() != nil
 	result.Judge(settings.Scenario.Rules)
 	for _, failure := range full.Failures {
@@ -51,11 +50,11 @@
 	return result, series, nil
 }
 
-// together runs the plan against the three systems side by side, each with
-// stand-ins of its own, so that all see the same noise of the machine.
-func together(ctx context.Context, settings Settings, plan workload.Plan) (alone, plain, full Phase, err error) {
+// runSystems runs the plan on the three systems at the same time, each with its own stand-ins, so
+// that all of them are exposed to the same noise of the machine.
+func runSystems(ctx context.Context, settings Settings, plan workload.Plan) (alone, plain, full Phase, err error) {
 	const systems, fleets = 3, 2
-	settings.begin = newBarrier(systems).wait
+	settings.awaitOthers = newBarrier(systems).wait
 	settings.idleNodes = fleets * len(settings.Scenario.Zones)
 	quiet := settings
 	quiet.Progress = nil
@@ -76,19 +75,19 @@
 	return alone, plain, full, err
 }
 
-// barrier lets its parties go on together, again and again.
+// barrier blocks its parties until all of them have arrived. It can be used repeatedly.
 type barrier struct {
 	parties int
 	mutex   sync.Mutex
 	arrived int
-	open    chan struct{} // closed when all have come; then replaced
+	open    chan struct{} // closed when all parties have arrived; then replaced
 }
 
 func newBarrier(parties int) *barrier {
 	return &barrier{parties: parties, open: make(chan struct{})}
 }
 
-// wait returns when all parties have come, or ctx is done.
+// wait returns when all parties have arrived or ctx is done.
 func (b *barrier) wait(ctx context.Context) {
 	b.mutex.Lock()
 	open := b.open
@@ -104,14 +103,14 @@
 	}
 }
 
-// shownViolations bounds the violations that a report lists.
-const shownViolations = 50
+// maxListedViolations bounds the violations that a report lists.
+const maxListedViolations = 50
 
-// fill adds the figures of the main run.
-func fill(result *report.Report, series *report.Series, full Phase, direct time.Duration, model string) {
+// addMainFigures adds the figures of the ringstream run to the report and the series.
+func addMainFigures(result *report.Report, series *report.Series, full Phase, direct time.Duration, model string) {
 	violations := checker.Check(full.Evidence, Answer(model))
 	result.Invariants = checker.Count(violations)
-	result.Violations = violations[:min(len(violations), shownViolations)]
+	result.Violations = violations[:min(len(violations), maxListedViolations)]
 	result.Online = measure.OnlineFigures(full.Evidence, direct)
 	var ideal measure.Ideal
 	result.Batch, ideal = measure.BatchFigures(full.Evidence, full.Model)
@@ -127,13 +126,13 @@
 	series.Convergence = measure.Convergence(full.Evidence, full.Started)
 }
 
-// Answer gives the stand-ins' answers to prompts for a model.
+// Answer returns the function that computes the stand-ins' answers for a model.
 func Answer(model string) checker.Answer {
 	return func(prompt string, maxTokens int) string { return emulator.ExpectedText(model, prompt, maxTokens) }
 }
 
-// directOverhead is the median time that a call to an idle engine takes up to
-// its first token, beside the engine's own time from arrival to that token.
+// directOverhead returns the median time to the first token of a direct call to an idle engine,
+// minus the engine's own time from the arrival to that token.
 func directOverhead(ctx context.Context, settings Settings) (time.Duration, error) {
 	stand, err := fleet.StartPlatform(settings.Scenario, settings.Seed)
 	if err != nil {
@@ -147,20 +146,20 @@
 	machine := stand.Machines.Current()[0]
 	engine := clients.Engines.Engine(machine)
 	const calls = 60
-	var outside []time.Duration
+	var overheads []time.Duration
 	for call := range calls {
 		sent := time.Now()
 		if err := firstToken(ctx, engine, settings.Scenario.Model, call); err != nil {
 			return 0, fmt.Errorf("direct call: %w", err)
 		}
-		outside = append(outside, time.Since(sent))
+		overheads = append(overheads, time.Since(sent))
 	}
 	entries := stand.Engines[0].Ledger()
 	for i, entry := range entries {
-		outside[i] -= entry.FirstTokenAt.Sub(entry.OfferedAt)
+		overheads[i] -= entry.FirstTokenAt.Sub(entry.OfferedAt)
 	}
-	slices.Sort(outside)
-	return outside[len(outside)/2], nil
+	slices.Sort(overheads)
+	return overheads[len(overheads)/2], nil
 }
 
 func firstToken(ctx context.Context, engine backend.Engine, model string, call int) error {
