--- a/internal/bench/report/compare.go
+++ b/internal/bench/report/compare.go
@@ -12,7 +12,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Collect reads every report under a directory, the directory itself included.
+// Collect reads every report in a directory and its subdirectories.
 func Collect(directory string) ([]Report, error) {
 	var reports []Report
 	err := filepath.WalkDir(directory, func(path string, entry fs.DirEntry, err error) error {
@@ -35,7 +35,7 @@
 	return reports, nil
 }
 
-// metric is one figure that two sets of reports are compared by.
+// metric is a figure by which two sets of reports are compared.
 type metric struct {
 	name  string
 	value func(Report) float64
@@ -69,11 +69,11 @@
 	}},
 }
 
-// spread is a sample over seeds.
-type spread struct{ sorted []float64 }
+// sample holds the sorted values of a figure over seeds.
+type sample struct{ sorted []float64 }
 
-func spreadOf(reports []Report, value func(Report) float64) spread {
-	var s spread
+func sampleOf(reports []Report, value func(Report) float64) sample {
+	var s sample
 	for _, report := range reports {
 		s.sorted = append(s.sorted, value(report))
 	}
@@ -81,7 +81,7 @@
 	return s
 }
 
-func (s spread) median() float64 {
+func (s sample) median() float64 {
 	middle := len(s.sorted) / 2
 	if len(s.sorted)%2 == 1 {
 		return s.sorted[middle]
@@ -89,8 +89,8 @@
 	return (s.sorted[middle-1] + s.sorted[middle]) / 2
 }
 
-// String shows the median and half the range in percent of it.
-func (s spread) String() string {
+// String returns the median, and half the range as a percentage of the median.
+func (s sample) String() string {
 	half := (s.sorted[len(s.sorted)-1] - s.sorted[0]) / 2
 	if s.median() == 0 {
 		return fmt.Sprintf("%.4g", s.median())
@@ -98,15 +98,15 @@
 	return fmt.Sprintf("%.4g ± %.0f%%", s.median(), 100*half/math.Abs(s.median()))
 }
 
-// significance is the probability below which a difference is called real.
+// significance is the p-value below which a difference counts as significant.
 const significance = 0.05
 
-// Compare writes a table of two sets of reports, a scenario at a time: medians
-// with half their range, the change, and whether it is beyond noise by the
-// Mann-Whitney test, exact for the small samples of a few seeds.
+// Compare writes a table for each scenario that compares two sets of reports. It shows the medians
+// with half their range, the change, and whether the change is significant by the Mann-Whitney
+// test, which is exact for the small samples of a few seeds.
 func Compare(out io.Writer, before, after []Report) {
 	for _, scenario := range scenariosOf(before) {
-		a, b := ofScenario(before, scenario), ofScenario(after, scenario)
+		a, b := reportsOf(before, scenario), reportsOf(after, scenario)
 		if len(b) == 0 {
 			continue
 		}
@@ -114,21 +114,21 @@
 		rows.SetTitle(fmt.Sprintf("%s: %d and %d seeds", scenario, len(a), len(b)))
 		rows.AppendHeader(table.Row{"figure", "A", "B", "change", "verdict"})
 		for _, metric := range metrics {
-			first, second := spreadOf(a, metric.value), spreadOf(b, metric.value)
+			first, second := sampleOf(a, metric.value), sampleOf(b, metric.value)
 			rows.AppendRow(table.Row{metric.name, first, second, change(first, second), verdict(first, second)})
 		}
 		_, _ = fmt.Fprintln(out, rows.Render())
 	}
 }
 
-// Summarize writes the medians of a set of reports, a column for each scenario,
-// with half their range, and counts the runs that met their rules.
+// Summarize writes the medians of a set of reports with half their range, one column per scenario,
+// and the number of runs that met their rules.
 func Summarize(out io.Writer, reports []Report) {
 	scenarios := scenariosOf(reports)
 	rows := table.NewWriter()
 	header, met := table.Row{"median ± half the range"}, table.Row{"runs that met their rules"}
 	for _, scenario := range scenarios {
-		some := ofScenario(reports, scenario)
+		some := reportsOf(reports, scenario)
 		header = append(header, fmt.Sprintf("%s (%d)", scenario, len(some)))
 		count := 0
 		for _, report := range some {
@@ -142,7 +142,7 @@
 	for _, metric := range metrics {
 		row := table.Row{metric.name}
 		for _, scenario := range scenarios {
-			row = append(row, spreadOf(ofScenario(reports, scenario), metric.value))
+			row = append(row, sampleOf(reportsOf(reports, scenario), metric.value))
 		}
 		rows.AppendRow(row)
 	}
@@ -150,14 +150,14 @@
 	_, _ = fmt.Fprintln(out, rows.Render())
 }
 
-func change(a, b spread) string {
+func change(a, b sample) string {
 	if a.median() == 0 {
 		return fmt.Sprintf("%+.4g", b.median())
 	}
 	return fmt.Sprintf("%+.1f%%", 100*(b.median()-a.median())/math.Abs(a.median()))
 }
 
-func verdict(a, b spread) string {
+func verdict(a, b sample) string {
 	if slices.Equal(a.sorted, b.sorted) {
 		return "the same"
 	}
@@ -165,7 +165,7 @@
 	switch {
 	case p < significance:
 		return fmt.Sprintf("differs (p=%.3f)", p)
-	case smallestP(len(a.sorted), len(b.sorted)) >= significance:
+	case minimumP(len(a.sorted), len(b.sorted)) >= significance:
 		return "too few seeds to tell"
 	default:
 		return fmt.Sprintf("within noise (p=%.3f)", p)
@@ -183,7 +183,7 @@
 	return names
 }
 
-func ofScenario(reports []Report, scenario string) []Report {
+func reportsOf(reports []Report, scenario string) []Report {
 	var some []Report
 	for _, report := range reports {
 		if report.Scenario == scenario {
@@ -193,9 +193,9 @@
 	return some
 }
 
-// MannWhitney gives the two-sided probability of a rank sum as far from the
-// middle as this one if both samples are of one distribution, by counting the
-// arrangements of their ranks; ties count half.
+// MannWhitney returns the two-sided p-value of the Mann-Whitney U test, which is the probability of
+// a U at least as far from its mean if both samples have the same distribution. It counts the
+// arrangements of the ranks. Ties count half.
 func MannWhitney(a, b []float64) float64 {
 	u := 0.0
 	for _, x := range a {
@@ -221,9 +221,9 @@
 	return extreme / total
 }
 
-// arrangements counts, for each value of U, the orders of n and m values.
+// arrangements returns, for each value of U, the number of orders of n and m values.
 func arrangements(n, m int) []float64 {
-	// counts[i][u]: orders of i values of a and the m' of b seen so far.
+	// counts[i][u] is the number of orders of i values of a and the values of b seen so far.
 	counts := make([][]float64, n+1)
 	for i := range counts {
 		counts[i] = make([]float64, n*m+1)
@@ -231,7 +231,8 @@
 	}
 	for inB := 1; inB <= m; inB++ {
 		for inA := 1; inA <= n; inA++ {
-			// The largest value is of a (adds inB) or of b (row of inB-1).
+			// The largest value is either of a, which adds inB, or of b, which is counted in the
+			// row of inB-1.
 			next := make([]float64, n*m+1)
 			copy(next, counts[inA])
 			for u := inB; u <= n*m; u++ {
@@ -243,8 +244,8 @@
 	return counts[n]
 }
 
-// smallestP is the least probability that samples of these sizes can give.
-func smallestP(n, m int) float64 {
+// minimumP returns the smallest p-value that samples of these sizes can have.
+func minimumP(n, m int) float64 {
 	total := 0.0
 	for _, count := range arrangements(n, m) {
 		total += count
--- a/internal/bench/report/compare_test.go
+++ b/internal/bench/report/compare_test.go
@@ -61,7 +61,7 @@
 	written.Invariants = checker.Count(nil)
 	written.Judge(scenario.Rules{HarmTTFT: 1.05})
 	if written.RulesMet || len(written.RulesNot) != 1 {
-		t.Fatalf("a harm of 1.2 where 1.05 is asked gives %v", written.RulesNot)
+		t.Fatalf("rules not met for a harm of 1.2 with a bound of 1.05: %v", written.RulesNot)
 	}
 	series := report.Series{
 		Duration: 2,
--- a/internal/bench/report/page.go
+++ b/internal/bench/report/page.go
@@ -9,7 +9,7 @@
 	"ringstream.example/ringstream/internal/bench/checker"
 )
 
-// pageTemplate is a page that needs nothing but itself.
+// pageTemplate is a self-contained HTML page.
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"ms": func(value float64) string { return fmt.Sprintf("%.1f", value) }, //nolint:goconst // formats differ by field
 	"x":  func(value float64) string { return fmt.Sprintf("%.3f", value) },
@@ -72,7 +72,7 @@
 	Count int
 }
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
 	Report     Report
 	Online     []namedOnline
@@ -81,7 +81,7 @@
 	Figures    []figure
 }
 
-// WritePage writes report.html.
+// WritePage writes the HTML page of a report to path.
 func WritePage(path string, report Report, series Series) error {
 	shown := page{
 		Report: report,
--- a/internal/bench/report/plots.go
+++ b/internal/bench/report/plots.go
@@ -21,7 +21,7 @@
 	SVG            template.HTML
 }
 
-// runs is the order in which runs are drawn, and their colours.
+// runs lists the runs in drawing order with their colors.
 var runs = []struct {
 	name   string
 	colour color.Color
@@ -37,7 +37,7 @@
 	markColour  = color.RGBA{R: 0xcf, G: 0x22, B: 0x2e, A: 0xff}
 )
 
-// figures draws what the series holds; a plot without data is left out.
+// figures draws the plots of a series. Plots without data are left out.
 func figures(series Series) ([]figure, error) {
 	var all []figure
 	for _, one := range []struct {
@@ -82,7 +82,7 @@
 	return made
 }
 
-// secondTicks puts a label at whole seconds only.
+// secondTicks places labels only at whole seconds.
 var secondTicks = plot.TickerFunc(func(low, high float64) []plot.Tick {
 	const labels = 12
 	every := max(1, math.Ceil((high-low)/labels))
@@ -103,19 +103,19 @@
 	}
 	svg := text.Bytes()
 	if start := bytes.Index(svg, []byte("<svg")); start > 0 {
-		svg = svg[start:] // a page holds no XML declaration
+		svg = svg[start:] // an XML declaration is not allowed inside HTML
 	}
 	return template.HTML(svg), nil //nolint:gosec // made by the plot library from numbers and our labels
 }
 
-// line adds a curve; curves of fewer than two points are left out.
-func line(to *plot.Plot, name string, colour color.Color, points plotter.XYs, dashed bool) {
+// addCurve adds a curve to a plot. Curves with fewer than two points are left out.
+func addCurve(to *plot.Plot, name string, colour color.Color, points plotter.XYs, dashed bool) {
 	if len(points) < 2 {
 		return
 	}
 	curve, err := plotter.NewLine(points)
 	if err != nil {
-		return // a point that is not a number is not drawn
+		return // curves with a point that is not a number are left out
 	}
 	curve.Color = colour
 	curve.Width = vg.Points(1.6)
@@ -126,8 +126,8 @@
 	to.Legend.Add(name, curve)
 }
 
-// marks draws a line for each thing that happened, with its label at a height.
-func marks(to *plot.Plot, series Series, low, high, label float64) {
+// addMarks draws a labeled line for each mark of the series, with the label at the given height.
+func addMarks(to *plot.Plot, series Series, low, high, label float64) {
 	to.X.Tick.Marker = secondTicks
 	for _, mark := range series.Marks {
 		curve, err := plotter.NewLine(plotter.XYs{{X: mark.At, Y: low}, {X: mark.At, Y: high}})
@@ -150,23 +150,23 @@
 	drawn := newPlot("seconds", "first token p95 (ms)")
 	low, high := math.Inf(1), 0.0
 	for _, run := range runs {
-		points := bySecond(series.Online[run.name])
+		points := percentileBySecond(series.Online[run.name])
 		for _, point := range points {
 			low, high = min(low, point.Y), max(high, point.Y)
 		}
-		line(drawn, run.name, run.colour, points, false)
+		addCurve(drawn, run.name, run.colour, points, false)
 	}
 	if high == 0 {
 		return nil
 	}
-	logarithmic(&drawn.Y)
+	setLogScale(&drawn.Y)
 	drawn.Y.Min, drawn.Y.Max = low/1.5, high*1.5
-	marks(drawn, series, drawn.Y.Min, drawn.Y.Max, drawn.Y.Min)
+	addMarks(drawn, series, drawn.Y.Min, drawn.Y.Max, drawn.Y.Min)
 	return drawn
 }
 
-// bySecond gives the 95th percentile of each second that has requests.
-func bySecond(points []Point) plotter.XYs {
+// percentileBySecond returns the 95th percentile of each second that has requests.
+func percentileBySecond(points []Point) plotter.XYs {
 	seconds := map[int][]float64{}
 	for _, point := range points {
 		seconds[int(point.At)] = append(seconds[int(point.At)], point.TTFT)
@@ -182,7 +182,7 @@
 	return all
 }
 
-func logarithmic(axis *plot.Axis) {
+func setLogScale(axis *plot.Axis) {
 	axis.Scale = plot.LogScale{}
 	axis.Tick.Marker = plot.TickerFunc(func(low, high float64) []plot.Tick {
 		var ticks []plot.Tick
@@ -208,12 +208,12 @@
 		taken = append(taken, plotter.XY{X: slots.At, Y: slots.Online + slots.Batch})
 		total = append(total, plotter.XY{X: slots.At, Y: slots.Total})
 	}
-	line(drawn, "all places", runs[0].colour, total, true)
-	line(drawn, "online and batch", batchColour, taken, false)
-	line(drawn, "online", runs[2].colour, online, false)
+	addCurve(drawn, "all places", runs[0].colour, total, true)
+	addCurve(drawn, "online and batch", batchColour, taken, false)
+	addCurve(drawn, "online", runs[2].colour, online, false)
 	drawn.Y.Min = 0
 	drawn.Y.Max = total[0].Y * 1.3
-	marks(drawn, series, 0, drawn.Y.Max, drawn.Y.Max*0.95)
+	addMarks(drawn, series, 0, drawn.Y.Max, drawn.Y.Max*0.95)
 	return drawn
 }
 
@@ -227,8 +227,8 @@
 		done = append(done, plotter.XY{X: slots.At, Y: float64(slots.Done)})
 		ideal = append(ideal, plotter.XY{X: slots.At, Y: float64(slots.Ideal)})
 	}
-	line(drawn, "ideal", idealColour, ideal, true)
-	line(drawn, RunRingstream, batchColour, done, false)
+	addCurve(drawn, "ideal", idealColour, ideal, true)
+	addCurve(drawn, RunRingstream, batchColour, done, false)
 	drawn.Legend.Left = true
 	drawn.X.Tick.Marker = secondTicks
 	return drawn
@@ -252,14 +252,14 @@
 		for i, v := range values {
 			points[i] = plotter.XY{X: v, Y: float64(i+1) / float64(len(values))}
 		}
-		const outliers = 200 // one in so many may lie left of the plot
+		const outliers = 200 // one value in this many may lie left of the plot
 		low, high = min(low, values[len(values)/outliers]), max(high, values[len(values)-1])
-		line(drawn, run.name, run.colour, points, false)
+		addCurve(drawn, run.name, run.colour, points, false)
 	}
 	if high == 0 {
 		return nil
 	}
-	logarithmic(&drawn.X)
+	setLogScale(&drawn.X)
 	drawn.X.Min, drawn.X.Max = low/1.05, high*1.05
 	drawn.Y.Min, drawn.Y.Max = 0, 1
 	drawn.Legend.Top = false
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -1,6 +1,5 @@
-// Package report turns a run's records into report.json, a page with plots,
-// and comparisons of several runs. It judges nothing but numbers: invariants
-// are the checker's.
+// Package report writes report.json and an HTML page with plots for a run, and compares several
+// runs. It judges only figures; package checker judges the invariants.
 package report
 
 import (
@@ -16,14 +15,15 @@
 	"ringstream.example/ringstream/internal/bench/scenario"
 )
 
-// The files of a report.
+// File names of a report.
 const (
 	FileReport = "report.json"
 	FileSeries = "series.json"
 	FilePage   = "report.html"
 )
 
-// Quantiles of a distribution in milliseconds; zeros when nothing was measured.
+// Quantiles are the quantiles of a distribution in milliseconds. They are zero if nothing was
+// measured.
 type Quantiles struct {
 	P50   float64 `json:"p50"`
 	P95   float64 `json:"p95"`
@@ -31,19 +31,19 @@
 	Count int     `json:"count"`
 }
 
-// Online is what online callers saw.
+// Online holds the figures that online callers saw.
 type Online struct {
 	Requests      int       `json:"requests"`
 	Completed     int       `json:"completed"`
 	RefusedNotRun int       `json:"refused_not_run"`
 	Failed        int       `json:"failed"`
 	Unknown       int       `json:"unknown"`
-	TTFT          Quantiles `json:"ttft_ms"`  // scheduled arrival to first token
+	TTFT          Quantiles `json:"ttft_ms"`  // from scheduled arrival to first token
 	TPOT          Quantiles `json:"tpot_ms"`  // mean time between tokens of a request
-	Added         Quantiles `json:"added_ms"` // to the first token, over a direct call to the engine
+	Added         Quantiles `json:"added_ms"` // time to the first token in excess of a direct call to the engine
 }
 
-// Batch is what batch callers saw.
+// Batch holds the figures that batch callers saw.
 type Batch struct {
 	ItemsAccepted  int       `json:"items_accepted"`
 	ItemsCompleted int       `json:"items_completed"`
@@ -51,60 +51,60 @@
 	IdleBound      float64   `json:"idle_bound_items_per_s"`
 	DeadlineMisses int       `json:"deadline_misses"`
 	Preemptions    int       `json:"preemptions"`
-	Yield          Quantiles `json:"yield_ms"` // online waits on a full engine until batch stopped there
+	Yield          Quantiles `json:"yield_ms"` // delay of online requests at a full engine until batch work was preempted
 }
 
-// Config is how fast accepted edits were in force everywhere.
+// Config holds the times until accepted edits were in force on every node.
 type Config struct {
 	Edits   int     `json:"edits"`
 	InForce InForce `json:"in_force_ms"`
 }
 
-// InForce bounds the time from acceptance to the last node.
+// InForce holds the time from the acceptance of an edit to the last node.
 type InForce struct {
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// Control is the cost of a node without load. Processor time and memory are of
-// the whole process, stand-ins included, and so upper bounds; the bytes are those
-// that a node sends to others.
+// Control is the cost of a node without load. CPU time and memory are upper bounds, because they
+// are measured for the whole process including the stand-ins. The bytes are those that a node sends
+// to other nodes.
 type Control struct {
 	CorePercent    float64 `json:"core_percent"`
 	RSSMegabytes   float64 `json:"rss_mb"`
 	BytesPerSecond float64 `json:"bytes_per_s"`
 }
 
-// Noise tells how much the machine that ran the bench disturbed it: how often
-// it held an engine stand-in's step up by more than 20 ms, and for how long.
+// Noise is the disturbance by the machine that ran the bench: how often it delayed a step of an
+// engine stand-in by more than 20 ms, and the sum of the delays.
 type Noise struct {
 	LateSteps   int     `json:"late_steps"`
 	LateSeconds float64 `json:"late_s"`
 }
 
-// Ratios compare this system with the other runs on the same arrivals.
+// Ratios compare the ringstream run with the other runs of the same arrivals.
 type Ratios struct {
-	HarmTTFT         float64 `json:"harm_ttft_p95"` // to online alone
+	HarmTTFT         float64 `json:"harm_ttft_p95"` // relative to online alone
 	HarmTPOT         float64 `json:"harm_tpot_p95"`
 	BatchOfIdleBound float64 `json:"batch_of_idle_bound"`
 	BatchVsNaive     float64 `json:"batch_vs_naive"`
-	// NaiveHarmTTFT is the naive version's harm, for comparison.
+	// NaiveHarmTTFT is the same ratio for the naive reference system.
 	NaiveHarmTTFT float64 `json:"naive_harm_ttft_p95"`
 	NaiveHarmTPOT float64 `json:"naive_harm_tpot_p95"`
 }
 
-// Baselines are the other two runs on the same arrivals.
+// Baselines holds the figures of the other two runs of the same arrivals.
 type Baselines struct {
 	OnlineAlone Online `json:"online_alone"`
 	NaiveOnline Online `json:"naive_online"`
 	NaiveBatch  Batch  `json:"naive_batch"`
 }
 
-// Report is report.json.
+// Report is the content of report.json.
 type Report struct {
 	Scenario   string                    `json:"scenario"`
 	Seed       uint64                    `json:"seed"`
-	Partial    bool                      `json:"partial"` // interrupted: figures are of what was done
+	Partial    bool                      `json:"partial"` // interrupted; the figures cover what was done until then
 	Started    time.Time                 `json:"started"`
 	Invariants map[checker.Invariant]int `json:"invariants"`
 	Online     Online                    `json:"online"`
@@ -122,25 +122,25 @@
 // DurationHistogram collects a distribution of durations.
 type DurationHistogram struct{ histogram *hdrhistogram.Histogram }
 
-// NewDurationHistogram makes an empty distribution from 1 µs to ten minutes.
+// NewDurationHistogram creates an empty histogram with a range of 1 µs to 10 min.
 func NewDurationHistogram() DurationHistogram {
 	const significantFigures = 3
 	return DurationHistogram{hdrhistogram.New(1, (10 * time.Minute).Microseconds(), significantFigures)}
 }
 
-// Add records a duration; what is outside the range counts as its bound.
+// Add records a duration. Values outside the range count as the nearest bound.
 func (m DurationHistogram) Add(duration time.Duration) {
 	value := min(max(1, duration.Microseconds()), m.histogram.HighestTrackableValue())
 	_ = m.histogram.RecordValue(value) // the value is within the range
 }
 
-// Quantiles gives the distribution's quantiles.
+// Quantiles returns the quantiles of the recorded durations.
 func (m DurationHistogram) Quantiles() Quantiles {
 	at := func(percent float64) float64 { return float64(m.histogram.ValueAtQuantile(percent)) / 1000 }
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), Count: int(m.histogram.TotalCount())}
 }
 
-// Ratio gives a/b, or zero when b is zero.
+// Ratio returns a/b, or zero if b is zero.
 func Ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -148,7 +148,7 @@
 	return a / b
 }
 
-// Judge fills in the ratios and what the scenario's rules say of them.
+// Judge computes the ratios and evaluates the scenario's rules.
 func (r *Report) Judge(rules scenario.Rules) {
 	r.Ratios = Ratios{
 		HarmTTFT:         Ratio(r.Online.TTFT.P95, r.Baselines.OnlineAlone.TTFT.P95),
@@ -159,29 +159,29 @@
 		NaiveHarmTPOT:    Ratio(r.Baselines.NaiveOnline.TPOT.P95, r.Baselines.OnlineAlone.TPOT.P95),
 	}
 	r.RulesNot = []string{}
-	unless := func(met bool, message string, arguments ...any) {
+	require := func(met bool, message string, arguments ...any) {
 		if !met {
 			r.RulesNot = append(r.RulesNot, fmt.Sprintf(message, arguments...))
 		}
 	}
 	atMost := func(name string, value, bound float64) {
-		unless(bound == 0 || value <= bound, "%s is %.3f, at most %.3f is asked", name, value, bound)
+		require(bound == 0 || value <= bound, "%s is %.3f, at most %.3f is asked", name, value, bound)
 	}
 	atMost("harm_ttft_p95", r.Ratios.HarmTTFT, rules.HarmTTFT)
 	atMost("harm_tpot_p95", r.Ratios.HarmTPOT, rules.HarmTPOT)
 	atMost("yield_ms.p99", r.Batch.Yield.P99, rules.YieldP99Millis)
 	atMost("added_ms.p99", r.Online.Added.P99, rules.AddedP99Millis)
 	atMost("in_force_ms.max", r.Config.InForce.Max, rules.InForceMaxMillis)
-	unless(rules.BatchOfIdleBound == 0 || r.Ratios.BatchOfIdleBound >= rules.BatchOfIdleBound,
+	require(rules.BatchOfIdleBound == 0 || r.Ratios.BatchOfIdleBound >= rules.BatchOfIdleBound,
 		"batch_of_idle_bound is %.3f, at least %.3f is asked", r.Ratios.BatchOfIdleBound, rules.BatchOfIdleBound)
 	for _, invariant := range checker.Invariants {
-		unless(r.Invariants[invariant] == 0, "%s has %d violations", invariant, r.Invariants[invariant])
+		require(r.Invariants[invariant] == 0, "%s has %d violations", invariant, r.Invariants[invariant])
 	}
-	unless(!r.Partial, "the run was interrupted")
+	require(!r.Partial, "the run was interrupted")
 	r.RulesMet = len(r.RulesNot) == 0
 }
 
-// Write writes a report, its series and its page into a directory.
+// Write writes a report, its series and its page to a directory.
 func Write(directory string, report Report, series Series) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
