--- a/internal/bench/naive/naive.go
+++ b/internal/bench/naive/naive.go
@@ -1,6 +1,6 @@
 // Package naive is a simple reference system that ringstream is compared with. Engines are
 // permanently divided among the nodes, each node has one first-in, first-out queue, and every
-// request has the same priority. Jobs are kept in memory, and failures are not handled. Callers use
+// request has the same priority. Jobs are kept in memory, and no failures are injected. Callers use
 // function calls instead of HTTP, which saves a network hop and so favors this system.
 package naive
 
--- a/internal/bench/soak/deadly.go
+++ b/internal/bench/soak/deadly.go
@@ -189,8 +189,8 @@
 }
 
 // lateRuns counts the runs of one body, sorted by time, that undisturbed nodes began after the
-// nodes had time to agree. Runs of an item always count, because the sending node is not known. The
-// caller holds mu.
+// nodes had time to agree. Runs of an item always count, whichever node sent them. The caller holds
+// mu.
 func (j *judge) lateRuns(runs []engineRun) int {
 	late := 0
 	for i, run := range runs {
--- a/internal/bench/soak/restarts.go
+++ b/internal/bench/soak/restarts.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() //nolint:errcheck
+	defer log.Close() //nolint:errcheck // it is only read
 	return j.judgeLog(log)
 }
 
