--- a/internal/emulator/netsim/conn.go
+++ b/internal/emulator/netsim/conn.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// pipe carries bytes one way.
+// pipe carries the bytes of one direction of a connection.
 type pipe struct {
 	network  *Network
 	from, to netip.Addr
 
-	mu       sync.Mutex
-	segments []segment
-	size     int
-	end      error // what the reader gets after the last segment
-	broken   error // what the writer gets
-	closed   bool  // the reader has closed
-	reading  time.Time
-	writing  time.Time
-	signal   chan struct{} // closed and replaced at each change
+	mu            sync.Mutex
+	segments      []segment
+	size          int
+	readErr       error // returned to the reader after the last segment
+	writeErr      error // returned to the writer; nil while the pipe is open
+	readerClosed  bool  // the reader has closed its end
+	readDeadline  time.Time
+	writeDeadline time.Time
+	changed       chan struct{} // closed and replaced at each change
 }
 
-// segment is some bytes on their way.
+// segment holds bytes in transit and the time at which they arrive.
 type segment struct {
-	due  time.Time
-	data []byte
+	arrival time.Time
+	data    []byte
 }
 
-// pipeBuffer is how much a pipe holds before its writer waits.
-const pipeBuffer = 256 << 10
+// pipeBufferBytes is the number of bytes that a pipe holds before its writer blocks.
+const pipeBufferBytes = 256 << 10
 
 func newPipe(network *Network, from, to netip.Addr) *pipe {
-	return &pipe{network: network, from: from, to: to, signal: make(chan struct{})}
+	return &pipe{network: network, from: from, to: to, changed: make(chan struct{})}
 }
 
 // update edits the pipe under its lock and wakes its reader and writer.
@@ -45,17 +45,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	edit()
-	close(p.signal)
-	p.signal = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// wait is what a blocked reader or writer waits for.
-type wait struct {
-	signal, changed <-chan struct{}
-	until           time.Time // zero: no timer
+// wakeup holds the events that unblock a reader or writer.
+type wakeup struct {
+	pipeChanged, networkChanged <-chan struct{}
+	until                       time.Time // zero: no timer
 }
 
-func (w wait) wait() {
+func (w wakeup) wait() {
 	var due <-chan time.Time
 	if !w.until.IsZero() {
 		left := time.Until(w.until)
@@ -67,13 +67,13 @@
 		due = timer.C
 	}
 	select {
-	case <-w.signal:
-	case <-w.changed:
+	case <-w.pipeChanged:
+	case <-w.networkChanged:
 	case <-due:
 	}
 }
 
-// read takes bytes that have arrived.
+// read returns bytes that have arrived and blocks until there are some.
 func (p *pipe) read(into []byte) (int, error) {
 	for {
 		count, blocked, err := p.tryRead(into)
@@ -84,25 +84,25 @@
 	}
 }
 
-func (p *pipe) tryRead(into []byte) (int, wait, error) {
+func (p *pipe) tryRead(into []byte) (int, wakeup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held, changed := p.network.held(p.from, p.to)
-	frozen, _ := p.network.stopped(p.to)
-	blocked := wait{signal: p.signal, changed: changed, until: p.reading}
+	linkBlocked, changed := p.network.linkBlocked(p.from, p.to)
+	frozen, _ := p.network.isFrozen(p.to)
+	blocked := wakeup{pipeChanged: p.changed, networkChanged: changed, until: p.readDeadline}
 	now := time.Now()
 	switch {
-	case p.closed:
+	case p.readerClosed:
 		return 0, blocked, net.ErrClosed
-	case !p.reading.IsZero() && !now.Before(p.reading):
+	case !p.readDeadline.IsZero() && !now.Before(p.readDeadline):
 		return 0, blocked, os.ErrDeadlineExceeded
-	case held || frozen:
+	case linkBlocked || frozen:
 		return 0, blocked, nil
 	case len(p.segments) == 0:
-		return 0, blocked, p.end
-	case p.segments[0].due.After(now):
-		if blocked.until.IsZero() || p.segments[0].due.Before(blocked.until) {
-			blocked.until = p.segments[0].due
+		return 0, blocked, p.readErr
+	case p.segments[0].arrival.After(now):
+		if blocked.until.IsZero() || p.segments[0].arrival.Before(blocked.until) {
+			blocked.until = p.segments[0].arrival
 		}
 		return 0, blocked, nil
 	}
@@ -113,12 +113,12 @@
 		p.segments = p.segments[1:]
 	}
 	p.size -= count
-	close(p.signal)
-	p.signal = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 	return count, blocked, nil
 }
 
-// write sends bytes; it waits while the pipe is full or its host frozen.
+// write sends bytes. It blocks while the pipe is full or the sending host is frozen.
 func (p *pipe) write(data []byte) (int, error) {
 	written := 0
 	for written < len(data) {
@@ -134,26 +134,26 @@
 	return written, nil
 }
 
-func (p *pipe) tryWrite(data []byte) (int, wait, error) {
+func (p *pipe) tryWrite(data []byte) (int, wakeup, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	frozen, changed := p.network.stopped(p.from)
-	blocked := wait{signal: p.signal, changed: changed, until: p.writing}
+	frozen, changed := p.network.isFrozen(p.from)
+	blocked := wakeup{pipeChanged: p.changed, networkChanged: changed, until: p.writeDeadline}
 	now := time.Now()
 	switch {
-	case p.broken != nil:
-		return 0, blocked, p.broken
-	case !p.writing.IsZero() && !now.Before(p.writing):
+	case p.writeErr != nil:
+		return 0, blocked, p.writeErr
+	case !p.writeDeadline.IsZero() && !now.Before(p.writeDeadline):
 		return 0, blocked, os.ErrDeadlineExceeded
-	case frozen || p.size >= pipeBuffer:
+	case frozen || p.size >= pipeBufferBytes:
 		return 0, blocked, nil
 	}
-	count := min(len(data), pipeBuffer-p.size)
-	due := now.Add(p.network.latency(p.from, p.to))
-	p.segments = append(p.segments, segment{due: due, data: append([]byte(nil), data[:count]...)})
+	count := min(len(data), pipeBufferBytes-p.size)
+	arrival := now.Add(p.network.latency(p.from, p.to))
+	p.segments = append(p.segments, segment{arrival: arrival, data: append([]byte(nil), data[:count]...)})
 	p.size += count
-	close(p.signal)
-	p.signal = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 	return count, blocked, nil
 }
 
@@ -169,57 +169,57 @@
 // Read implements net.Conn.
 func (c *conn) Read(into []byte) (int, error) {
 	count, err := c.in.read(into)
-	return count, wrap("read", err)
+	return count, wrapError("read", err)
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(data []byte) (int, error) {
 	count, err := c.out.write(data)
-	return count, wrap("write", err)
+	return count, wrapError("write", err)
 }
 
-// wrap dresses an error as package net does, which io.EOF is spared.
-func wrap(operation string, err error) error {
+// wrapError wraps an error in a net.OpError as package net does. It returns io.EOF unwrapped.
+func wrapError(operation string, err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
 		return err
 	}
 	return &net.OpError{Op: operation, Net: "tcp", Err: err}
 }
 
-// Close implements net.Conn: the other end reads what was sent, then io.EOF.
+// Close implements net.Conn. The other end reads what was sent, then gets io.EOF.
 func (c *conn) Close() error {
-	c.forget()
+	c.unregister()
 	c.in.update(func() {
-		c.in.closed = true
-		if c.in.broken == nil {
-			c.in.broken = syscall.EPIPE
+		c.in.readerClosed = true
+		if c.in.writeErr == nil {
+			c.in.writeErr = syscall.EPIPE
 		}
 	})
 	c.out.update(func() {
-		c.out.broken = net.ErrClosed
-		if c.out.end == nil {
-			c.out.end = io.EOF
+		c.out.writeErr = net.ErrClosed
+		if c.out.readErr == nil {
+			c.out.readErr = io.EOF
 		}
 	})
 	return nil
 }
 
-// reset ends the connection at both ends, as when the process dies.
+// reset ends the connection at both ends with ECONNRESET for the peer, as when the process dies.
 func (c *conn) reset() {
-	c.forget()
+	c.unregister()
 	c.in.update(func() {
-		c.in.closed = true
-		if c.in.broken == nil {
-			c.in.broken = syscall.ECONNRESET
+		c.in.readerClosed = true
+		if c.in.writeErr == nil {
+			c.in.writeErr = syscall.ECONNRESET
 		}
 	})
 	c.out.update(func() {
-		c.out.broken = net.ErrClosed
-		c.out.end = syscall.ECONNRESET
+		c.out.writeErr = net.ErrClosed
+		c.out.readErr = syscall.ECONNRESET
 	})
 }
 
-func (c *conn) forget() {
+func (c *conn) unregister() {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	delete(c.network.conns, c)
@@ -239,12 +239,12 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(deadline time.Time) error {
-	c.in.update(func() { c.in.reading = deadline })
+	c.in.update(func() { c.in.readDeadline = deadline })
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(deadline time.Time) error {
-	c.out.update(func() { c.out.writing = deadline })
+	c.out.update(func() { c.out.writeDeadline = deadline })
 	return nil
 }
--- a/internal/emulator/netsim/netsim_test.go
+++ b/internal/emulator/netsim/netsim_test.go
@@ -17,21 +17,21 @@
 )
 
 var (
-	one = netip.MustParseAddr("10.0.0.1")
-	two = netip.MustParseAddr("10.0.0.2")
+	hostOne = netip.MustParseAddr("10.0.0.1")
+	hostTwo = netip.MustParseAddr("10.0.0.2")
 )
 
-// pair connects two hosts, 5 ms apart.
-func pair(t *testing.T, test func(t *testing.T, network *netsim.Network, client, server net.Conn)) {
+// withConnection runs a test with a connection between two hosts with 5 ms of one-way latency.
+func withConnection(t *testing.T, test func(t *testing.T, network *netsim.Network, client, server net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := netsim.New(func(netip.Addr, netip.Addr) time.Duration { return 5 * time.Millisecond })
-		listener, err := network.Host(two).Listen("10.0.0.2:80")
+		listener, err := network.Host(hostTwo).Listen("10.0.0.2:80")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer listener.Close()
-		client, err := network.Host(one).DialContext(t.Context(), "tcp", "10.0.0.2:80")
+		client, err := network.Host(hostOne).DialContext(t.Context(), "tcp", "10.0.0.2:80")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +52,7 @@
 	}
 }
 
-// mustRead reads the text and gives how long that took.
+// mustRead reads the text and returns how long that took.
 func mustRead(t *testing.T, from net.Conn, text string) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -64,34 +64,34 @@
 }
 
 func TestBytesTakeTheLatency(t *testing.T) {
-	pair(t, func(t *testing.T, _ *netsim.Network, client, server net.Conn) {
+	withConnection(t, func(t *testing.T, _ *netsim.Network, client, server net.Conn) {
 		mustWrite(t, client, "hello")
 		if took := mustRead(t, server, "hello"); took != 5*time.Millisecond {
-			t.Errorf("took %s", took)
+			t.Errorf("the bytes arrived after %s; want 5ms", took)
 		}
 		mustWrite(t, client, "last")
 		_ = client.Close()
 		mustRead(t, server, "last")
 		if _, err := server.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("after the close: %v", err)
+			t.Errorf("read after the close: %v; want io.EOF", err)
 		}
 	})
 }
 
 func TestACutHoldsOneDirectionUntilItEnds(t *testing.T) {
-	pair(t, func(t *testing.T, network *netsim.Network, client, server net.Conn) {
-		network.Cut(one, two)
+	withConnection(t, func(t *testing.T, network *netsim.Network, client, server net.Conn) {
+		network.Cut(hostOne, hostTwo)
 		mustWrite(t, client, "late")
 		mustWrite(t, server, "through")
 		mustRead(t, client, "through")
 		_ = server.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := server.Read(make([]byte, 1)); !isTimeout(err) {
-			t.Fatalf("read across the cut: %v", err)
+			t.Fatalf("read across the cut: %v; want a timeout", err)
 		}
 		_ = server.SetReadDeadline(time.Time{})
-		time.AfterFunc(time.Minute, func() { network.Join(one, two) })
+		time.AfterFunc(time.Minute, func() { network.Join(hostOne, hostTwo) })
 		if took := mustRead(t, server, "late"); took != time.Minute {
-			t.Errorf("took %s", took)
+			t.Errorf("the bytes arrived after %s; want 1m, the end of the cut", took)
 		}
 	})
 }
@@ -102,14 +102,14 @@
 }
 
 func TestAFrozenHostSendsAndReadsNothingUntilItWakes(t *testing.T) {
-	pair(t, func(t *testing.T, network *netsim.Network, client, server net.Conn) {
-		network.Freeze(one, true)
+	withConnection(t, func(t *testing.T, network *netsim.Network, client, server net.Conn) {
+		network.Freeze(hostOne, true)
 		mustWrite(t, server, "waits")
-		time.AfterFunc(time.Minute, func() { network.Freeze(one, false) })
+		time.AfterFunc(time.Minute, func() { network.Freeze(hostOne, false) })
 		start := time.Now()
 		mustWrite(t, client, "from the past")
 		if took := time.Since(start); took != time.Minute {
-			t.Errorf("the frozen host wrote after %s", took)
+			t.Errorf("the frozen host wrote after %s; want 1m", took)
 		}
 		mustRead(t, client, "waits")
 		mustRead(t, server, "from the past")
@@ -117,26 +117,26 @@
 }
 
 func TestAKilledHostResetsAndALostOneIsSilent(t *testing.T) {
-	pair(t, func(t *testing.T, network *netsim.Network, client, _ net.Conn) {
-		network.Kill(two)
+	withConnection(t, func(t *testing.T, network *netsim.Network, client, _ net.Conn) {
+		network.Kill(hostTwo)
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("read: %v", err)
+			t.Errorf("read from the killed host: %v; want ECONNRESET", err)
 		}
-		if _, err := network.Host(one).DialContext(t.Context(), "tcp", "10.0.0.2:80"); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("dial: %v", err)
+		if _, err := network.Host(hostOne).DialContext(t.Context(), "tcp", "10.0.0.2:80"); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Errorf("dial of the killed host: %v; want ECONNREFUSED", err)
 		}
 	})
-	pair(t, func(t *testing.T, network *netsim.Network, client, _ net.Conn) {
-		network.Lose(two)
+	withConnection(t, func(t *testing.T, network *netsim.Network, client, _ net.Conn) {
+		network.Lose(hostTwo)
 		mustWrite(t, client, "into the dark")
 		_ = client.SetReadDeadline(time.Now().Add(time.Hour))
 		if _, err := client.Read(make([]byte, 1)); !isTimeout(err) {
-			t.Errorf("read: %v", err)
+			t.Errorf("read from the lost host: %v; want a timeout", err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 		defer cancel()
-		if _, err := network.Host(one).DialContext(ctx, "tcp", "10.0.0.2:80"); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("dial: %v", err)
+		if _, err := network.Host(hostOne).DialContext(ctx, "tcp", "10.0.0.2:80"); !errors.Is(err, context.DeadlineExceeded) {
+			t.Errorf("dial of the lost host: %v; want context.DeadlineExceeded", err)
 		}
 	})
 }
@@ -144,19 +144,19 @@
 func TestAKilledProcessStaysDeadWhenItsHostIsRevived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netsim.New(nil)
-		old := network.Host(one)
-		network.Kill(one)
-		network.Revive(one)
-		listener, err := network.Host(one).Listen("10.0.0.1:80")
+		old := network.Host(hostOne)
+		network.Kill(hostOne)
+		network.Revive(hostOne)
+		listener, err := network.Host(hostOne).Listen("10.0.0.1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer listener.Close()
 		if _, err := old.Listen("10.0.0.1:81"); err == nil {
-			t.Error("the killed process listens")
+			t.Error("the killed process can still listen")
 		}
 		if _, err := old.Dial(t.Context(), "10.0.0.1:80"); err == nil {
-			t.Error("the killed process dials")
+			t.Error("the killed process can still dial")
 		}
 	})
 }
@@ -164,11 +164,11 @@
 func TestHTTPServersAndClientsRunOnIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netsim.New(func(netip.Addr, netip.Addr) time.Duration { return time.Millisecond })
-		listener, err := network.Host(two).Listen("10.0.0.2:0")
+		listener, err := network.Host(hostTwo).Listen("10.0.0.2:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer time.Sleep(time.Second) // net/http lingers for half a second
+		defer time.Sleep(time.Second) // net/http keeps goroutines for half a second after the close
 		gone := make(chan struct{})
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if _, err := io.Copy(w, r.Body); err != nil {
@@ -182,7 +182,7 @@
 		})}
 		go func() { _ = server.Serve(listener) }()
 		defer server.Close()
-		transport := &http.Transport{DialContext: network.Host(one).DialContext}
+		transport := &http.Transport{DialContext: network.Host(hostOne).DialContext}
 		defer transport.CloseIdleConnections()
 		client := &http.Client{Transport: transport}
 		large := strings.Repeat("x", 1<<20)
@@ -193,13 +193,13 @@
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if err != nil || string(body) != large {
-			t.Errorf("%d bytes, %v", len(body), err)
+			t.Errorf("the echoed body has %d bytes or differs from the one sent; error %v", len(body), err)
 		}
 		response, err = client.Post("http://"+listener.Addr().String()+"/hang", "text/plain", strings.NewReader("x"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = response.Body.Close()
-		<-gone // the server learns that its client has gone
+		<-gone // the server notices that its client has disconnected
 	})
 }
--- a/internal/emulator/netsim/network.go
+++ b/internal/emulator/netsim/network.go
@@ -1,10 +1,11 @@
-// Package netsim is a network inside one process: hosts with IP numbers that
-// listen, dial and exchange bytes over connections with latency, and that can
-// be cut, frozen, killed and lost. It keeps to timers and channels, so that
-// whole nodes run on it in a testing/synctest bubble. It models TCP as far as
-// programs see it: what a cut holds back arrives when the cut ends.
+// Package netsim simulates a network inside one process. Hosts with IP
+// addresses listen, dial and exchange bytes over connections with latency.
+// Links can be cut, and hosts can be frozen, killed or lost. The package blocks
+// only on timers and channels, so that whole nodes run on it in a
+// testing/synctest bubble. It models TCP as far as programs see it: bytes that
+// a cut delays arrive when the cut ends.
 //
-// Lock order: a pipe's lock before the Network's.
+// Lock order: a pipe's lock is taken before the Network's.
 package netsim
 
 import (
@@ -17,28 +18,28 @@
 	"time"
 )
 
-// Latency gives the one-way delay between two hosts.
+// Latency returns the one-way delay between two hosts.
 type Latency func(from, to netip.Addr) time.Duration
 
-// Network joins hosts. It is safe for concurrent use.
+// Network connects hosts. It is safe for concurrent use.
 type Network struct {
 	latency Latency
 
-	mu        sync.Mutex
-	listeners map[netip.AddrPort]*listener
-	conns     map[*conn]struct{}
-	cuts      map[link]bool
-	frozen    map[netip.Addr]bool
-	lost      map[netip.Addr]bool
-	dead      map[netip.Addr]bool
-	processes map[netip.Addr]int // killed or lost so far, by host
-	changed   chan struct{}      // closed and replaced when cuts, frozen, lost or dead change
-	lastPort  uint16
+	mu          sync.Mutex
+	listeners   map[netip.AddrPort]*listener
+	conns       map[*conn]struct{}
+	cuts        map[link]bool
+	frozen      map[netip.Addr]bool
+	lost        map[netip.Addr]bool
+	dead        map[netip.Addr]bool
+	generations map[netip.Addr]int // number of processes killed or lost so far, by host
+	changed     chan struct{}      // closed and replaced when cuts, frozen, lost or dead change
+	lastPort    uint16
 }
 
 type link struct{ from, to netip.Addr }
 
-// New makes a network; nil latency means none.
+// New returns a network without hosts. A nil latency means no delay.
 func New(latency Latency) *Network {
 	if latency == nil {
 		latency = func(netip.Addr, netip.Addr) time.Duration { return 0 }
@@ -47,12 +48,12 @@
 	return &Network{
 		latency: latency, listeners: map[netip.AddrPort]*listener{}, conns: map[*conn]struct{}{},
 		cuts: map[link]bool{}, frozen: map[netip.Addr]bool{}, lost: map[netip.Addr]bool{}, dead: map[netip.Addr]bool{},
-		processes: map[netip.Addr]int{}, changed: make(chan struct{}), lastPort: firstPort,
+		generations: map[netip.Addr]int{}, changed: make(chan struct{}), lastPort: firstPort,
 	}
 }
 
-// change edits the state of the network and wakes all that wait on it.
-func (n *Network) change(edit func()) {
+// update edits the state of the network and wakes all goroutines that wait for it to change.
+func (n *Network) update(edit func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	edit()
@@ -60,45 +61,47 @@
 	n.changed = make(chan struct{})
 }
 
-// Cut holds back what the first host sends to the second, in this direction
-// only. No connection is made between the two meanwhile.
-func (n *Network) Cut(from, to netip.Addr) { n.change(func() { n.cuts[link{from, to}] = true }) }
+// Cut delays what the first host sends to the second until Join, in this
+// direction only. Meanwhile no connection is established between the two.
+func (n *Network) Cut(from, to netip.Addr) { n.update(func() { n.cuts[link{from, to}] = true }) }
 
 // Join ends a Cut.
-func (n *Network) Join(from, to netip.Addr) { n.change(func() { delete(n.cuts, link{from, to}) }) }
+func (n *Network) Join(from, to netip.Addr) { n.update(func() { delete(n.cuts, link{from, to}) }) }
 
-// Freeze stops a host's own reads, writes, dials and accepts, as when its
-// process is paused; others can still connect and send to it.
+// Freeze blocks a host's own reads, writes, dials and accepts, as when its
+// process is paused, or unblocks them. Other hosts can still connect and send
+// to a frozen host.
 func (n *Network) Freeze(host netip.Addr, frozen bool) {
-	n.change(func() { n.frozen[host] = frozen })
+	n.update(func() { n.frozen[host] = frozen })
 }
 
-// Kill ends a host's process: its listeners go and its connections are reset.
-// What is left of the process in memory can do nothing more.
+// Kill ends a host's process: its listeners are closed and its connections are
+// reset. Goroutines of the killed process can no longer use the network.
 func (n *Network) Kill(host netip.Addr) {
-	n.change(func() {
+	n.update(func() {
 		n.dead[host] = true
-		n.processes[host]++
+		n.generations[host]++
 	})
-	n.drop(host)
+	n.closeHost(host)
 }
 
-// Lose takes a host's machine away: whoever talks to it hears nothing more.
+// Lose makes a host unreachable, as when its machine fails: its peers receive
+// neither data nor a reset.
 func (n *Network) Lose(host netip.Addr) {
-	n.change(func() {
+	n.update(func() {
 		n.lost[host] = true
-		n.processes[host]++
+		n.generations[host]++
 	})
 }
 
 // Revive makes a killed or lost host usable again; its old connections are reset.
 func (n *Network) Revive(host netip.Addr) {
-	n.drop(host)
-	n.change(func() { n.dead[host], n.lost[host], n.frozen[host] = false, false, false })
+	n.closeHost(host)
+	n.update(func() { n.dead[host], n.lost[host], n.frozen[host] = false, false, false })
 }
 
-// drop ends all listeners and connections of a host.
-func (n *Network) drop(host netip.Addr) {
+// closeHost closes all listeners and resets all connections of a host.
+func (n *Network) closeHost(host netip.Addr) {
 	n.mu.Lock()
 	var listeners []*listener
 	for address, open := range n.listeners {
@@ -121,36 +124,38 @@
 	}
 }
 
-// held says whether bytes from one host do not reach another now.
-func (n *Network) held(from, to netip.Addr) (bool, <-chan struct{}) {
+// linkBlocked reports whether bytes from one host currently do not reach
+// another. The returned channel is closed at the next change of the network.
+func (n *Network) linkBlocked(from, to netip.Addr) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[link{from, to}] || n.lost[from] || n.lost[to], n.changed
 }
 
-// stopped says whether a host's own calls stand still now.
-func (n *Network) stopped(host netip.Addr) (bool, <-chan struct{}) {
+// isFrozen reports whether a host's own calls are currently blocked. The
+// returned channel is closed at the next change of the network.
+func (n *Network) isFrozen(host netip.Addr) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.frozen[host], n.changed
 }
 
-// Host gives the calls of one process on a host. Once the process has been
-// killed or lost, a new one needs a new Host.
+// Host returns the network interface of one process on a host. Once the process
+// has been killed or lost, a new process needs a new Host.
 func (n *Network) Host(address netip.Addr) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return &Host{network: n, address: address, process: n.processes[address]}
+	return &Host{network: n, address: address, generation: n.generations[address]}
 }
 
 // Host listens and dials as one process.
 type Host struct {
-	network *Network
-	address netip.Addr
-	process int
+	network    *Network
+	address    netip.Addr
+	generation int
 }
 
-// Listen opens a listener at an address of this host; port 0 takes a free one.
+// Listen opens a listener at an address of this host. Port 0 selects a free port.
 func (h *Host) Listen(address string) (net.Listener, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -163,7 +168,7 @@
 		n.lastPort++
 		at = netip.AddrPortFrom(at.Addr(), n.lastPort)
 	}
-	if at.Addr() != h.address || h.gone() {
+	if at.Addr() != h.address || h.terminated() {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: syscall.EADDRNOTAVAIL}
 	}
 	if n.listeners[at] != nil {
@@ -175,7 +180,7 @@
 	return open, nil
 }
 
-// DialContext is Dial in the form of net.Dialer.
+// DialContext is Dial with the signature of net.Dialer.DialContext; the network name is ignored.
 func (h *Host) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	return h.Dial(ctx, address)
 }
@@ -196,14 +201,14 @@
 	return client, nil
 }
 
-// pass waits for a time; its error is that of ctx. Without a time there is no timer: one that is due as
-// it is made runs at once inside of a synctest bubble, where the runtime crashed under the race
-// detector in 10 of 12 runs of package jobs on a busy machine.
-func pass(ctx context.Context, length time.Duration) error {
-	if length <= 0 {
+// sleep waits for a duration and returns the error of ctx if that ends first. It creates no timer for a
+// duration of zero or less: such a timer fires at once inside a synctest bubble, where the runtime
+// crashed under the race detector in 10 of 12 runs of package jobs on a busy machine.
+func sleep(ctx context.Context, duration time.Duration) error {
+	if duration <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -213,18 +218,18 @@
 	}
 }
 
-// handshake takes the time of one round trip, and as long as anything is in
-// its way.
+// handshake waits for one round trip, and then until the host is not frozen and
+// the link is open in both directions.
 func (h *Host) handshake(ctx context.Context, to netip.Addr) error {
 	n := h.network
-	if err := pass(ctx, n.latency(h.address, to)+n.latency(to, h.address)); err != nil {
+	if err := sleep(ctx, n.latency(h.address, to)+n.latency(to, h.address)); err != nil {
 		return err
 	}
 	for {
-		frozen, changed := n.stopped(h.address)
-		out, _ := n.held(h.address, to)
-		back, _ := n.held(to, h.address)
-		if !frozen && !out && !back {
+		frozen, changed := n.isFrozen(h.address)
+		outboundBlocked, _ := n.linkBlocked(h.address, to)
+		inboundBlocked, _ := n.linkBlocked(to, h.address)
+		if !frozen && !outboundBlocked && !inboundBlocked {
 			return nil
 		}
 		select {
@@ -235,15 +240,15 @@
 	}
 }
 
-// gone says that the process was killed or lost. Caller holds the network's lock.
-func (h *Host) gone() bool { return h.process != h.network.processes[h.address] }
+// terminated reports whether the process was killed or lost. The caller holds the network's lock.
+func (h *Host) terminated() bool { return h.generation != h.network.generations[h.address] }
 
-// connect makes both ends of a connection.
+// connect creates both ends of a connection and queues the server's end at the listener.
 func (h *Host) connect(to netip.AddrPort) (*conn, error) {
 	n, from := h.network, h.address
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if h.gone() {
+	if h.terminated() {
 		return nil, syscall.ENETDOWN
 	}
 	target := n.listeners[to]
@@ -252,9 +257,9 @@
 	}
 	n.lastPort++
 	local := netip.AddrPortFrom(from, n.lastPort)
-	there, back := newPipe(n, from, to.Addr()), newPipe(n, to.Addr(), from)
-	client := &conn{network: n, local: local, remote: to, in: back, out: there}
-	server := &conn{network: n, local: to, remote: local, in: there, out: back}
+	toServer, toClient := newPipe(n, from, to.Addr()), newPipe(n, to.Addr(), from)
+	client := &conn{network: n, local: local, remote: to, in: toClient, out: toServer}
+	server := &conn{network: n, local: to, remote: local, in: toServer, out: toClient}
 	select {
 	case target.backlog <- server:
 	default:
@@ -276,7 +281,7 @@
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
-		frozen, changed := l.network.stopped(l.address.Addr())
+		frozen, changed := l.network.isFrozen(l.address.Addr())
 		if frozen {
 			select {
 			case <-l.closed:
@@ -295,7 +300,7 @@
 	}
 }
 
-// Close implements net.Listener; connections not yet accepted are reset.
+// Close implements net.Listener. Connections not yet accepted are reset.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
@@ -317,7 +322,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
-// Open counts the open connections of a host, both those dialled and accepted.
+// Open returns the number of open connections of a host, dialed and accepted ones.
 func (n *Network) Open(host netip.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -330,7 +335,7 @@
 	return count
 }
 
-// Cuts lists the cuts in force, for reports.
+// Cuts returns the cuts in force as pairs of sender and receiver in address order, for reports.
 func (n *Network) Cuts() [][2]netip.Addr {
 	n.mu.Lock()
 	defer n.mu.Unlock()
