--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -16,7 +16,7 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// EngineConfig describes an engine stand-in.
+// EngineConfig configures an engine stand-in.
 type EngineConfig struct {
 	ID       string
 	Capacity float64 // relative size; scales MaxRunning, KVTokens and CacheTokens
@@ -24,28 +24,29 @@
 	Role     string
 	Models   []backend.LoadedModel
 
-	MaxRunning  int // sequences in the batch
-	MaxWaiting  int // sequences queued, of each priority
-	KVTokens    int // KV memory of running sequences
-	CacheTokens int // KV memory of the prefix cache
+	MaxRunning  int // maximum number of running sequences
+	MaxWaiting  int // sequences queued, per priority
+	KVTokens    int // KV memory of running sequences, in tokens
+	CacheTokens int // KV memory of the prefix cache, in tokens
 
-	// A step takes StepBase + running sequences * StepPerSequence + prompt
-	// tokens prefilled in it * StepPerPrefill, sizes corrected for Capacity.
+	// A step takes StepBase + (running sequences * StepPerSequence + prompt
+	// tokens prefilled in it * StepPerPrefill) / Capacity.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
 	StepPerPrefill  time.Duration
-	PrefillChunk    int // prompt tokens prefilled in one step, at most
-
-	ReportEvery  time.Duration // load is measured this often
-	ReportLag    time.Duration // and published this late
-	CacheLag     time.Duration // cache events are published this late
-	CacheLoss    float64       // share of cache events that are lost
-	KeepFinished time.Duration // ended attempts can be resumed this long
-	LoadTime     time.Duration // of a model or adapter, when there is no weight store
-	LedgerSize   int           // attempts remembered for checkers
+	PrefillChunk    int // maximum number of prompt tokens prefilled in one step
+
+	ReportInterval    time.Duration // interval between load measurements
+	ReportLag         time.Duration // delay before a load measurement is visible
+	CacheLag          time.Duration // delay before a cache event is visible
+	CacheLossRate     float64       // fraction of cache events that are lost
+	FinishedRetention time.Duration // how long ended attempts can be resumed
+	LoadTime          time.Duration // load time of a model or adapter without a weight store
+	LedgerSize        int           // maximum number of attempts kept for checkers
 }
 
-// DefaultEngineConfig is an engine with 20 ms steps at 16 to 32 sequences.
+// DefaultEngineConfig returns the settings of an engine with steps of about
+// 20 ms at 16 to 32 sequences.
 func DefaultEngineConfig() EngineConfig {
 	return EngineConfig{
 		ID: "engine", Capacity: 1, Role: "mixed",
@@ -53,14 +54,15 @@
 		MaxRunning: 32, MaxWaiting: 64, KVTokens: 64_000, CacheTokens: 32_000,
 		StepBase: 13 * time.Millisecond, StepPerSequence: 280 * time.Microsecond,
 		StepPerPrefill: 15 * time.Microsecond, PrefillChunk: 512,
-		ReportEvery: 100 * time.Millisecond, ReportLag: 300 * time.Millisecond,
-		CacheLag: 500 * time.Millisecond, CacheLoss: 0.05,
-		KeepFinished: time.Minute, LoadTime: 2 * time.Second, LedgerSize: 200_000,
+		ReportInterval: 100 * time.Millisecond, ReportLag: 300 * time.Millisecond,
+		CacheLag: 500 * time.Millisecond, CacheLossRate: 0.05,
+		FinishedRetention: time.Minute, LoadTime: 2 * time.Second, LedgerSize: 200_000,
 	}
 }
 
-// Engine is one model engine with continuous batching. Run must run for it to
-// make tokens. Role and Capacity are reported; the role changes nothing else.
+// Engine emulates one model engine with continuous batching. It generates
+// tokens only while Run is running. Its role is only reported and has no effect
+// on its work.
 type Engine struct {
 	Faults *Faults
 
@@ -68,34 +70,35 @@
 	weights *Weights
 	wake    chan struct{}
 
-	mu        sync.Mutex
-	stopped   chan struct{} // closed when Run has returned
-	random    *rand.Rand
-	attempts  map[string]*sequence
-	cancelled map[string]bool // cancelled before they came: refused for good
-	seen      map[string]bool // every attempt taken in this incarnation
-	lives     int             // incarnations so far
-	online    []*sequence     // waiting, first come first served
-	batch     []*sequence
-	running   []*sequence
-	ended     []*sequence // oldest first, for KeepFinished
-	kvUsed    int
-	cache     *prefixCache
-	step      step
-	reports   []wire.Load
-	models    []backend.LoadedModel
-	loading   []loading
-	role      string
-	epoch     uint64 // the highest of any order
-	orders    map[string]bool
-	leaving   time.Time // zero: not leaving
-	ledger    ledger
-	usage     Usage
+	mu             sync.Mutex
+	stopped        chan struct{} // closed when Run has returned
+	random         *rand.Rand
+	attempts       map[string]*sequence
+	cancelledEarly map[string]bool // attempts cancelled before they arrived; always refused
+	accepted       map[string]bool // every attempt accepted in this incarnation
+	incarnations   int             // number of incarnations so far
+	waitingOnline  []*sequence     // waiting online sequences in order of arrival
+	waitingBatch   []*sequence     // waiting batch sequences in order of arrival
+	running        []*sequence
+	ended          []*sequence // ended sequences, oldest first, kept for FinishedRetention
+	kvUsed         int
+	cache          *prefixCache
+	step           step
+	reports        []wire.Load
+	models         []backend.LoadedModel
+	loading        []loading
+	role           string
+	highestEpoch   uint64          // the highest epoch of the orders applied
+	appliedOrders  map[string]bool // identifiers of the orders applied in this incarnation
+	leavingSince   time.Time       // when the engine began to leave; zero when it is not leaving
+	ledger         ledger
+	usage          Usage
 
 	standstills []Standstill
 }
 
-// NewEngine makes an engine; weights may be nil.
+// NewEngine returns an engine. Without a weight store (weights is nil), loads take
+// the configured LoadTime.
 func NewEngine(config EngineConfig, weights *Weights) *Engine {
 	if config.Capacity <= 0 {
 		config.Capacity = 1
@@ -111,35 +114,36 @@
 	return e
 }
 
-// reset forgets everything but the ledger, as a restart does.
+// reset clears all state that a restart loses. The ledger, the usage and the
+// highest epoch are kept.
 func (e *Engine) reset() {
 	e.stopped = make(chan struct{})
 	e.random = rand.New(rand.NewPCG(e.config.Seed, PromptHash("engine", e.config.ID))) //nolint:gosec // seeded on purpose
 	e.attempts = map[string]*sequence{}
-	e.cancelled, e.seen = map[string]bool{}, map[string]bool{}
-	e.lives++
-	e.online, e.batch, e.running, e.ended = nil, nil, nil, nil
+	e.cancelledEarly, e.accepted = map[string]bool{}, map[string]bool{}
+	e.incarnations++
+	e.waitingOnline, e.waitingBatch, e.running, e.ended = nil, nil, nil, nil
 	e.kvUsed = 0
 	e.cache = newPrefixCache(e.config.CacheTokens / blockTokens)
 	e.step = step{}
 	e.models = cloneModels(e.config.Models)
 	e.loading = nil
 	e.role = e.config.Role
-	e.orders = map[string]bool{}
-	e.leaving = time.Time{}
+	e.appliedOrders = map[string]bool{}
+	e.leavingSince = time.Time{}
 	e.ledger.engine = e.config.ID
 	e.ledger.limit = e.config.LedgerSize
-	e.reports = []wire.Load{e.measure(time.Now())}
+	e.reports = []wire.Load{e.measureLoad(time.Now())}
 }
 
-// Run makes the engine's steps until the context ends. What was running is
-// then lost, as when its machine dies; Run may be called again.
+// Run executes the engine's steps until the context ends. All sequences are
+// then lost, as when the engine's machine dies. Run may be called again.
 func (e *Engine) Run(ctx context.Context) error {
-	report := time.NewTicker(e.config.ReportEvery)
+	report := time.NewTicker(e.config.ReportInterval)
 	defer report.Stop()
-	stepEnd := time.NewTimer(e.config.ReportEvery) // set anew before it is waited for
+	stepEnd := time.NewTimer(e.config.ReportInterval) // reset before each use
 	defer stepEnd.Stop()
-	e.endStep(time.Now()) // the first step is an empty one
+	e.endStep(time.Now()) // ends the empty initial step
 	stepping := false
 	var due time.Time
 	for {
@@ -159,7 +163,7 @@
 			e.crash()
 			return nil
 		case <-report.C:
-			e.publish(time.Now())
+			e.publishLoad(time.Now())
 		case <-e.wake:
 		case <-stepEnded:
 			e.endStep(time.Now())
@@ -168,12 +172,12 @@
 	}
 }
 
-// nextStep begins a step, if there is work for one, and gives when it is due; zero: there is none.
-// The step before was due at lastDue.
+// nextStep begins a step if there is work and returns the time at which it ends, or the zero time if
+// there is no work. The previous step was due to end at lastDue.
 func (e *Engine) nextStep(lastDue time.Time) time.Time {
 	length := e.beginStep()
-	if now := time.Now(); !lastDue.IsZero() && now.Sub(lastDue) > lateStep {
-		e.noteStandstill(lastDue, now)
+	if now := time.Now(); !lastDue.IsZero() && now.Sub(lastDue) > lateStepThreshold {
+		e.recordStandstill(lastDue, now)
 	}
 	if length == 0 {
 		return time.Time{}
@@ -181,32 +185,33 @@
 	return nextDue(lastDue, length)
 }
 
-// lateStep is how late a step may end by the machine's own scheduling before
-// it is noted as a standstill.
-const lateStep = 20 * time.Millisecond
+// lateStepThreshold is how late a step may end because of the host's scheduling
+// before it is recorded as a standstill.
+const lateStepThreshold = 20 * time.Millisecond
 
-// Standstill is a time in which an engine should have ended a step, and the
-// machine that runs the stand-in did not let it.
+// Standstill is a period in which an engine should have ended a step but was
+// delayed by the machine that runs the stand-in.
 type Standstill struct{ From, Until time.Time }
 
-// Standstills gives the engine's standstills, oldest first, up to a bound.
+// Standstills returns the engine's first 10,000 standstills, oldest first.
 func (e *Engine) Standstills() []Standstill {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.standstills)
 }
 
-func (e *Engine) noteStandstill(from, until time.Time) {
-	const most = 10_000
+func (e *Engine) recordStandstill(from, until time.Time) {
+	const maxStandstills = 10_000
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.standstills) < most {
+	if len(e.standstills) < maxStandstills {
 		e.standstills = append(e.standstills, Standstill{From: from, Until: until})
 	}
 }
 
-// nextDue gives the end of a step of this length. A step that ended late by the
-// machine's own scheduling is made up for by the next, in part.
+// nextDue returns the end of a step of the given length. If the previous step
+// ended late because of the host's scheduling, by at most half a step, the step
+// is shortened by that delay.
 func nextDue(lastDue time.Time, length time.Duration) time.Time {
 	now := time.Now()
 	late := now.Sub(lastDue)
@@ -216,26 +221,26 @@
 	return now.Add(length - late)
 }
 
-// ID is the engine's identifier.
+// ID returns the engine's identifier.
 func (e *Engine) ID() string { return e.config.ID }
 
-// Leave makes the engine refuse new work, or take it again.
+// Leave makes the engine refuse new requests, or accept them again.
 func (e *Engine) Leave(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !leaving {
-		e.leaving = time.Time{}
-	} else if e.leaving.IsZero() {
-		e.leaving = time.Now()
+		e.leavingSince = time.Time{}
+	} else if e.leavingSince.IsZero() {
+		e.leavingSince = time.Now()
 	}
 }
 
-// crash ends all that the engine holds, then forgets it.
+// crash ends all sequences as crashed and resets the engine.
 func (e *Engine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	for _, group := range [][]*sequence{e.online, e.batch, e.running} {
+	for _, group := range [][]*sequence{e.waitingOnline, e.waitingBatch, e.running} {
 		for _, s := range group {
 			s.entry.EndedAt = now
 			s.entry.End = endCrashed
@@ -245,7 +250,7 @@
 	e.reset()
 }
 
-// refusal is a call that the engine turned down without effect.
+// refusal is the error of a call that the engine refused without effect.
 type refusal struct {
 	code    backend.ErrorCode
 	message string
@@ -254,10 +259,11 @@
 // Error implements error.
 func (r *refusal) Error() string { return string(r.code) + ": " + r.message }
 
-// errNoAttempt answers calls on attempts that the engine does not hold.
+// errNoAttempt is the answer to calls about attempts that the engine does not hold.
 var errNoAttempt = &refusal{backend.CodeNotFound, "no such attempt"}
 
-// generate takes a new attempt, or gives the one that it already holds.
+// generate queues a new attempt, or returns the one that the engine already holds
+// under this identifier.
 func (e *Engine) generate(request wire.GenerateRequest, from string) (*sequence, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -267,36 +273,36 @@
 	}
 	now := time.Now()
 	s := newSequence(request, now)
-	s.entry.From, _, _ = net.SplitHostPort(from) // empty when it has no port
-	if err := e.admissible(request); err != nil {
+	s.entry.From, _, _ = net.SplitHostPort(from) // empty when the address has no port
+	if err := e.checkAdmission(request); err != nil {
 		s.entry.EndedAt = now
 		var refused *refusal
 		if errors.As(err, &refused) {
 			s.entry.Refused = string(refused.code)
 		}
-		_, s.entry.BatchRunning = e.runningByClass()
-		s.entry.Queued = len(e.online) + len(e.batch)
-		if !e.leaving.IsZero() {
-			s.entry.LeavingFor = now.Sub(e.leaving)
+		_, s.entry.BatchRunning = e.runningByPriority()
+		s.entry.Queued = len(e.waitingOnline) + len(e.waitingBatch)
+		if !e.leavingSince.IsZero() {
+			s.entry.LeavingFor = now.Sub(e.leavingSince)
 		}
 		e.ledger.add(s.entry)
 		return nil, err
 	}
 	e.ledger.add(s.entry)
 	e.attempts[request.Attempt] = s
-	e.seen[request.Attempt] = true
+	e.accepted[request.Attempt] = true
 	if s.priority == backend.PriorityOnline {
-		e.online = append(e.online, s)
+		e.waitingOnline = append(e.waitingOnline, s)
 	} else {
-		e.batch = append(e.batch, s)
+		e.waitingBatch = append(e.waitingBatch, s)
 	}
-	e.nudge()
+	e.notifyRun()
 	return s, nil
 }
 
-// admissible says why a request cannot be taken; nil when it can.
-func (e *Engine) admissible(request wire.GenerateRequest) error {
-	e.settleLoads(time.Now())
+// checkAdmission returns the reason why a request cannot be accepted, or nil if it can.
+func (e *Engine) checkAdmission(request wire.GenerateRequest) error {
+	e.completeLoads(time.Now())
 	need := backend.PromptTokens(request.Prompt) + request.MaxTokens
 	switch {
 	case request.Attempt == "" || request.Model == "" || request.MaxTokens <= 0:
@@ -309,75 +315,75 @@
 	if request.Incarnation != "" && request.Incarnation != e.incarnation() {
 		return &refusal{backend.CodeFenced, "the engine was restarted"}
 	}
-	if e.cancelled[request.Attempt] {
+	if e.cancelledEarly[request.Attempt] {
 		return &refusal{backend.CodeInvalid, "the attempt was cancelled before it came"}
 	}
-	if !e.leaving.IsZero() {
+	if !e.leavingSince.IsZero() {
 		return &refusal{backend.CodeLeaving, "the engine is leaving"}
 	}
-	if !e.loaded(request.Model, request.Version, request.Adapter) {
+	if !e.isLoaded(request.Model, request.Version, request.Adapter) {
 		return &refusal{backend.CodeNotLoaded, "model, version or adapter not loaded"}
 	}
-	waiting, room := len(e.batch), e.config.MaxWaiting
+	waiting, limit := len(e.waitingBatch), e.config.MaxWaiting
 	if backend.Priority(request.Priority) == backend.PriorityOnline {
-		// Places that batch holds, or no one, are taken at the next step.
-		online, _ := e.runningByClass()
-		waiting, room = len(e.online), e.config.MaxWaiting+e.config.MaxRunning-online
+		// Free slots and slots of batch sequences go to online sequences at the next step.
+		online, _ := e.runningByPriority()
+		waiting, limit = len(e.waitingOnline), e.config.MaxWaiting+e.config.MaxRunning-online
 	}
-	if waiting >= room {
+	if waiting >= limit {
 		return &refusal{backend.CodeSaturated, "the queue is full"}
 	}
 	return nil
 }
 
-// incarnation names the engine's present life. Caller holds mu.
+// incarnation identifies the engine's current incarnation. The caller holds mu.
 func (e *Engine) incarnation() identity.Incarnation {
-	return identity.Incarnation(e.config.ID + "/" + strconv.Itoa(e.lives))
+	return identity.Incarnation(e.config.ID + "/" + strconv.Itoa(e.incarnations))
 }
 
-// cancel stops an attempt; one that has not come yet will be refused.
+// cancel stops an attempt. An attempt that has not arrived yet will be refused.
 func (e *Engine) cancel(attempt string) wire.CancelReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	s, found := e.attempts[attempt]
 	if !found {
-		e.cancelled[attempt] = true
-		return wire.CancelReport{Never: !e.seen[attempt], Incarnation: e.incarnation()}
+		e.cancelledEarly[attempt] = true
+		return wire.CancelReport{Never: !e.accepted[attempt], Incarnation: e.incarnation()}
 	}
-	report := wire.CancelReport{Found: true, Running: !s.done, OutputTokens: s.made, Incarnation: e.incarnation()}
+	report := wire.CancelReport{Found: true, Running: !s.done, OutputTokens: s.outputTokens, Incarnation: e.incarnation()}
 	if !s.done {
 		s.entry.CancelledAt = now
-		e.drop(s)
-		e.end(s, endCancelled, now)
-		e.nudge()
+		e.remove(s)
+		e.finish(s, endCancelled, now)
+		e.notifyRun()
 	}
 	return report
 }
 
-// nudge has Run look at the queues.
-func (e *Engine) nudge() {
+// notifyRun makes Run check the queues.
+func (e *Engine) notifyRun() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Usage gives the engine's totals since it was made.
+// Usage returns the engine's totals since it was created.
 func (e *Engine) Usage() Usage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.usage
 }
 
-// Ledger gives what the engine was asked to run, oldest first.
+// Ledger returns the attempts that were offered to the engine, oldest first.
 func (e *Engine) Ledger() []LedgerEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ledger.copy()
 }
 
-// MaxRunning is the number of sequences that the engine runs at once.
+// MaxRunning returns the number of sequences that the engine can run at once.
 func (e *Engine) MaxRunning() int { return e.config.MaxRunning }
 
 func cloneModels(models []backend.LoadedModel) []backend.LoadedModel {
--- a/internal/emulator/engine_http.go
+++ b/internal/emulator/engine_http.go
@@ -12,7 +12,7 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// Handler is the engine's HTTP API.
+// Handler returns the engine's HTTP API.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	attempt := wire.PathAttempts + "{id}"
@@ -24,14 +24,14 @@
 	mux.HandleFunc("GET "+attempt+wire.SuffixKV, e.Faults.wrap("export_kv", e.serveExport))
 	mux.HandleFunc("POST "+wire.PathImportKV, e.Faults.wrap("import_kv", e.serveImport))
 	mux.HandleFunc("GET "+wire.PathLoad, e.Faults.wrap("load", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, e.published(time.Now()))
+		writeJSON(w, e.publishedLoad(time.Now()))
 	}))
 	mux.HandleFunc("GET "+wire.PathCacheEvents, e.Faults.wrap("cache_events", func(w http.ResponseWriter, r *http.Request) {
 		since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64) // absent: from the start
 		writeJSON(w, wire.CacheEvents{Events: e.cacheEvents(since, time.Now())})
 	}))
 	mux.HandleFunc("POST "+wire.PathOrders, e.Faults.wrap("order", e.serveOrder))
-	e.Faults.admin(mux)
+	e.Faults.registerAdmin(mux)
 	mux.HandleFunc("GET /admin/ledger", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Ledger()) })
 	mux.HandleFunc("GET /admin/usage", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Usage()) })
 	mux.HandleFunc("POST /admin/leaving", func(_ http.ResponseWriter, r *http.Request) {
@@ -40,8 +40,8 @@
 	return mux
 }
 
-// statusOf gives the HTTP status of a refusal.
-var statusOf = map[backend.ErrorCode]int{
+// refusalStatus maps the code of a refusal to its HTTP status.
+var refusalStatus = map[backend.ErrorCode]int{
 	backend.CodeNotFound:  http.StatusNotFound,
 	backend.CodeFenced:    http.StatusConflict,
 	backend.CodeSaturated: http.StatusTooManyRequests,
@@ -55,7 +55,7 @@
 	if !errors.As(err, &refused) {
 		refused = &refusal{backend.CodeInvalid, err.Error()}
 	}
-	refuse(w, statusOf[refused.code], refused.code, refused.message)
+	refuse(w, refusalStatus[refused.code], refused.code, refused.message)
 }
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
@@ -91,14 +91,14 @@
 	if !decode(w, r, &order) {
 		return
 	}
-	if err := e.order(order); err != nil {
+	if err := e.applyOrder(order); err != nil {
 		writeRefusal(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// kvBlock is an exported KV cache; only its names are kept.
+// kvBlock is an exported KV cache. It holds only the hashes of the prefix blocks.
 type kvBlock struct {
 	Hashes []uint64 `json:"hashes"`
 }
--- a/internal/emulator/engine_step.go
+++ b/internal/emulator/engine_step.go
@@ -8,7 +8,7 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// sequence is one attempt on an engine, guarded by the engine's lock.
+// sequence is one attempt on an engine. It is guarded by the engine's lock.
 type sequence struct {
 	request  wire.GenerateRequest
 	priority backend.Priority
@@ -16,12 +16,12 @@
 	entry    *LedgerEntry
 
 	promptTokens int
-	cached       int // prompt tokens found in the cache when last started
-	prefill      int // tokens to prefill before the next output token
-	made         int // output tokens, kept ones included
+	cachedTokens int // prompt tokens found in the prefix cache at the last start
+	prefillLeft  int // tokens left to prefill before the next output token
+	outputTokens int // output tokens, including those kept by the caller
 	preemptions  int
 	done         bool
-	end          string
+	finishReason string
 	endedAt      time.Time
 	watchers     map[chan struct{}]struct{}
 }
@@ -30,7 +30,7 @@
 	s := &sequence{
 		request: request, priority: backend.Priority(request.Priority),
 		hash:         PromptHash(request.Model, request.Prompt),
-		promptTokens: backend.PromptTokens(request.Prompt), made: len(request.Kept),
+		promptTokens: backend.PromptTokens(request.Prompt), outputTokens: len(request.Kept),
 		watchers: map[chan struct{}]struct{}{},
 	}
 	s.entry = &LedgerEntry{
@@ -40,8 +40,8 @@
 	return s
 }
 
-// held is the KV memory that a running sequence holds, in tokens.
-func (s *sequence) held() int { return s.promptTokens + s.made }
+// kvTokens returns the KV memory that the sequence uses while it runs, in tokens.
+func (s *sequence) kvTokens() int { return s.promptTokens + s.outputTokens }
 
 func (s *sequence) notify() {
 	for watcher := range s.watchers {
@@ -52,22 +52,23 @@
 	}
 }
 
-// step is the engine's step under way.
+// step is the engine's current step.
 type step struct {
-	length   time.Duration
-	decoding []*sequence // get one token each at the end
-	last     time.Duration
+	length     time.Duration
+	decoding   []*sequence // sequences that get one token each when the step ends
+	lastLength time.Duration
 }
 
-// beginStep starts what fits and plans a step; zero when there is nothing to do.
+// beginStep starts the waiting sequences that fit, plans a step and returns its
+// length. It returns zero when nothing runs.
 func (e *Engine) beginStep() time.Duration {
 	if e.Faults.Settings().Stall {
-		const look = 10 * time.Millisecond
-		return look // an empty step: see again whether the stall is over
+		const stallPollInterval = 10 * time.Millisecond
+		return stallPollInterval // an empty step, after which the stall is checked again
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.start()
+	e.schedule()
 	if len(e.running) == 0 {
 		return 0
 	}
@@ -79,11 +80,11 @@
 			if s.priority != priority {
 				continue
 			}
-			part := min(s.prefill, budget)
-			s.prefill -= part
+			part := min(s.prefillLeft, budget)
+			s.prefillLeft -= part
 			budget -= part
 			prefilled += part
-			if s.prefill == 0 {
+			if s.prefillLeft == 0 {
 				e.step.decoding = append(e.step.decoding, s)
 			}
 		}
@@ -91,121 +92,124 @@
 	scaled := time.Duration(float64(len(e.running))*float64(e.config.StepPerSequence)/e.config.Capacity) +
 		time.Duration(float64(prefilled)*float64(e.config.StepPerPrefill)/e.config.Capacity)
 	e.step.length = e.config.StepBase + scaled
-	e.step.last = e.step.length
+	e.step.lastLength = e.step.length
 	return e.step.length
 }
 
-// start moves waiting sequences into the batch: online first, and online in
-// place of batch when there is no room.
-func (e *Engine) start() {
-	for len(e.online) > 0 {
-		s := e.online[0]
+// schedule moves waiting sequences into the running batch, online sequences
+// first. An online sequence that does not fit preempts batch sequences.
+func (e *Engine) schedule() {
+	for len(e.waitingOnline) > 0 {
+		s := e.waitingOnline[0]
 		for !e.fits(s) && e.preempt() {
 		}
 		if !e.fits(s) {
 			return
 		}
-		e.online = e.online[1:]
-		e.run(s)
+		e.waitingOnline = e.waitingOnline[1:]
+		e.startSequence(s)
 	}
-	for len(e.batch) > 0 && e.fits(e.batch[0]) {
-		s := e.batch[0]
-		e.batch = e.batch[1:]
-		e.run(s)
+	for len(e.waitingBatch) > 0 && e.fits(e.waitingBatch[0]) {
+		s := e.waitingBatch[0]
+		e.waitingBatch = e.waitingBatch[1:]
+		e.startSequence(s)
 	}
 }
 
-// growth is the KV memory kept free for a sequence's next tokens.
-const growth = 64
+// kvReserveTokens is the KV memory that must be free for a sequence's next tokens
+// when it starts.
+const kvReserveTokens = 64
 
 func (e *Engine) fits(s *sequence) bool {
-	return len(e.running) < e.config.MaxRunning && e.kvUsed+s.held()+growth <= e.config.KVTokens
+	return len(e.running) < e.config.MaxRunning && e.kvUsed+s.kvTokens()+kvReserveTokens <= e.config.KVTokens
 }
 
-// run puts a waiting sequence into the batch.
-func (e *Engine) run(s *sequence) {
+// startSequence puts a waiting sequence into the running batch.
+func (e *Engine) startSequence(s *sequence) {
 	hashes := prefixHashes(s)
-	s.cached = min(e.cache.match(hashes)*blockTokens, s.promptTokens)
-	// Tokens made before a preemption, or kept by the caller, are prefilled again.
-	s.prefill = s.held() - s.cached
+	s.cachedTokens = min(e.cache.match(hashes)*blockTokens, s.promptTokens)
+	// Tokens generated before a preemption, or kept by the caller, are prefilled again.
+	s.prefillLeft = s.kvTokens() - s.cachedTokens
 	e.cache.store(hashes, time.Now())
-	e.kvUsed += s.held()
+	e.kvUsed += s.kvTokens()
 	e.running = append(e.running, s)
 	if s.entry.StartedAt.IsZero() {
 		s.entry.StartedAt = time.Now()
 	}
 }
 
-// preempt sets the batch sequence that started last back to the head of its
-// queue; false when none runs. Only its stream is told.
+// preempt requeues the batch sequence that started last at the head of its
+// queue. It returns false when no batch sequence runs. Only the sequence's
+// stream reports the preemption.
 func (e *Engine) preempt() bool {
 	for _, s := range slices.Backward(e.running) {
 		if s.priority == backend.PriorityBatch {
-			e.setBack(s)
+			e.requeue(s)
 			return true
 		}
 	}
 	return false
 }
 
-func (e *Engine) setBack(s *sequence) {
-	e.drop(s)
+func (e *Engine) requeue(s *sequence) {
+	e.remove(s)
 	s.preemptions++
 	s.entry.Preemptions++
 	if s.priority == backend.PriorityOnline {
-		e.online = append([]*sequence{s}, e.online...)
+		e.waitingOnline = append([]*sequence{s}, e.waitingOnline...)
 	} else {
-		e.batch = append([]*sequence{s}, e.batch...)
+		e.waitingBatch = append([]*sequence{s}, e.waitingBatch...)
 	}
 	s.notify()
 }
 
-// drop takes a sequence out of the batch and the queues.
-func (e *Engine) drop(s *sequence) {
+// remove takes a sequence out of the running batch and the queues.
+func (e *Engine) remove(s *sequence) {
 	if i := slices.Index(e.running, s); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
-		e.kvUsed -= s.held()
+		e.kvUsed -= s.kvTokens()
 	}
-	if i := slices.Index(e.online, s); i >= 0 {
-		e.online = slices.Delete(e.online, i, i+1)
+	if i := slices.Index(e.waitingOnline, s); i >= 0 {
+		e.waitingOnline = slices.Delete(e.waitingOnline, i, i+1)
 	}
-	if i := slices.Index(e.batch, s); i >= 0 {
-		e.batch = slices.Delete(e.batch, i, i+1)
+	if i := slices.Index(e.waitingBatch, s); i >= 0 {
+		e.waitingBatch = slices.Delete(e.waitingBatch, i, i+1)
 	}
 	if i := slices.Index(e.step.decoding, s); i >= 0 {
 		e.step.decoding = slices.Delete(e.step.decoding, i, i+1)
 	}
 }
 
-// endStep gives each decoding sequence its token.
+// endStep ends the current step: each decoding sequence gets its token, and
+// sequences are preempted while the KV memory is over its limit.
 func (e *Engine) endStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account()
+	e.recordUsage()
 	decoding := e.step.decoding
-	e.step = step{last: e.step.last}
+	e.step = step{lastLength: e.step.lastLength}
 	for _, s := range decoding {
-		s.made++
+		s.outputTokens++
 		e.kvUsed++
 		if s.entry.Tokens == 0 {
 			s.entry.FirstTokenAt = now
 		}
 		s.entry.Tokens++
-		if s.made >= s.request.MaxTokens {
-			e.drop(s)
-			e.end(s, endLength, now)
+		if s.outputTokens >= s.request.MaxTokens {
+			e.remove(s)
+			e.finish(s, endLength, now)
 		}
 		s.notify()
 	}
 	for e.kvUsed > e.config.KVTokens && len(e.running) > 1 {
 		if !e.preempt() {
-			e.setBack(e.running[len(e.running)-1])
+			e.requeue(e.running[len(e.running)-1])
 		}
 	}
 }
 
-// account adds the step that ends to the totals.
-func (e *Engine) account() {
+// recordUsage adds the ending step to the totals.
+func (e *Engine) recordUsage() {
 	seconds := e.step.length.Seconds()
 	if seconds == 0 {
 		return
@@ -228,10 +232,10 @@
 	}
 }
 
-// end closes a sequence; it can be resumed for a while.
-func (e *Engine) end(s *sequence, reason string, now time.Time) {
+// finish ends a sequence. Its stream can be resumed until FinishedRetention has passed.
+func (e *Engine) finish(s *sequence, reason string, now time.Time) {
 	s.done = true
-	s.end = reason
+	s.finishReason = reason
 	s.endedAt = now
 	s.entry.EndedAt = now
 	s.entry.End = reason
@@ -239,42 +243,43 @@
 	s.notify()
 }
 
-// publish measures the load, and forgets what was kept long enough.
-func (e *Engine) publish(now time.Time) {
+// publishLoad measures the load, and removes load reports and ended attempts that
+// are no longer needed.
+func (e *Engine) publishLoad(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settleLoads(now)
-	e.reports = append(e.reports, e.measure(now))
+	e.completeLoads(now)
+	e.reports = append(e.reports, e.measureLoad(now))
 	visible := now.Add(-e.config.ReportLag)
 	for len(e.reports) > 1 && !e.reports[1].ReportedAt.After(visible) {
 		e.reports = e.reports[1:]
 	}
-	forget := now.Add(-e.config.KeepFinished)
-	for len(e.ended) > 0 && e.ended[0].endedAt.Before(forget) {
+	expiredBefore := now.Add(-e.config.FinishedRetention)
+	for len(e.ended) > 0 && e.ended[0].endedAt.Before(expiredBefore) {
 		delete(e.attempts, e.ended[0].request.Attempt)
 		e.ended = e.ended[1:]
 	}
 }
 
-// measure reads the load as it is now.
-func (e *Engine) measure(now time.Time) wire.Load {
+// measureLoad returns the current load.
+func (e *Engine) measureLoad(now time.Time) wire.Load {
 	load := wire.Load{
 		Engine: e.config.ID, ReportedAt: now,
-		Waiting: len(e.online) + len(e.batch), MaxRunning: e.config.MaxRunning,
+		Waiting: len(e.waitingOnline) + len(e.waitingBatch), MaxRunning: e.config.MaxRunning,
 		KVUsed: e.kvUsed, KVCapacity: e.config.KVTokens,
-		StepMillis: float64(e.step.last) / float64(time.Millisecond),
-		Role:       e.role, Leaving: !e.leaving.IsZero(),
+		StepMillis: float64(e.step.lastLength) / float64(time.Millisecond),
+		Role:       e.role, Leaving: !e.leavingSince.IsZero(),
 		Incarnation: e.incarnation(),
 	}
-	load.RunningOnline, load.RunningBatch = e.runningByClass()
+	load.RunningOnline, load.RunningBatch = e.runningByPriority()
 	for _, model := range cloneModels(e.models) {
 		load.Models = append(load.Models, wire.LoadedModel(model))
 	}
 	return load
 }
 
-// runningByClass counts the sequences in the batch.
-func (e *Engine) runningByClass() (online, batch int) {
+// runningByPriority counts the sequences in the running batch by priority.
+func (e *Engine) runningByPriority() (online, batch int) {
 	for _, s := range e.running {
 		if s.priority == backend.PriorityOnline {
 			online++
@@ -285,8 +290,8 @@
 	return online, batch
 }
 
-// published gives the newest report that the lag lets through.
-func (e *Engine) published(now time.Time) wire.Load {
+// publishedLoad returns the newest load report that is at least ReportLag old.
+func (e *Engine) publishedLoad(now time.Time) wire.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	visible := now.Add(-e.config.ReportLag)
--- a/internal/emulator/engine_stream.go
+++ b/internal/emulator/engine_stream.go
@@ -11,41 +11,41 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// streamFaults is how one token stream goes wrong.
+// streamFaults are the faults injected into one token stream.
 type streamFaults struct {
 	drop, cross bool
-	after       int // lines before it does
-	late        time.Duration
+	afterLines  int // number of lines written before the fault
+	writeDelay  time.Duration
 }
 
-// takeStream decides how the next token stream goes wrong.
-func (f *Faults) takeStream() streamFaults {
+// nextStreamFaults decides the faults of the next token stream and consumes them.
+func (f *Faults) nextStreamFaults() streamFaults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := &f.settings
-	faults := streamFaults{after: s.DropStreamAfter, late: time.Duration(s.LateMillis) * time.Millisecond}
-	faults.drop = takeOne(&s.DropStreams)
+	faults := streamFaults{afterLines: s.DropStreamAfter, writeDelay: time.Duration(s.LateMillis) * time.Millisecond}
+	faults.drop = consumeOne(&s.DropStreams)
 	if !faults.drop {
-		faults.cross = takeOne(&s.CrossStreams)
+		faults.cross = consumeOne(&s.CrossStreams)
 	}
 	return faults
 }
 
-// progress is what a stream has to write next.
+// progress is the state of a sequence that its stream has to report.
 type progress struct {
-	made        int
-	preemptions int
-	done        bool
-	finish      wire.Finish
+	outputTokens int
+	preemptions  int
+	done         bool
+	finish       wire.Finish
 }
 
-// stream writes an attempt's tokens from an offset until its end. When the
-// reader goes away the attempt runs on.
+// stream writes an attempt's tokens from an offset until its end. The attempt
+// continues when the reader disconnects.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, offset int) {
 	watcher := make(chan struct{}, 1)
 	stopped := e.watch(s, watcher)
 	defer e.unwatch(s, watcher)
-	faults := e.Faults.takeStream()
+	faults := e.Faults.nextStreamFaults()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
 	flush := http.NewResponseController(w)
@@ -53,13 +53,13 @@
 		return
 	}
 	out := streamWriter{
-		request: r, priority: s.priority, half: len(s.request.Kept) + (s.request.MaxTokens-len(s.request.Kept))/2,
+		request: r, priority: s.priority, halfwayOffset: len(s.request.Kept) + (s.request.MaxTokens-len(s.request.Kept))/2,
 		w: w, flush: flush, prefix: wire.AppendPrefix(nil, s.request.Attempt),
-		attempt: s.request.Attempt, hash: s.hash, next: offset, faults: faults,
+		attempt: s.request.Attempt, hash: s.hash, nextOffset: offset, faults: faults,
 	}
 	for {
 		state := e.progress(s)
-		if out.pending(state) && !wait.For(r.Context(), faults.late) {
+		if out.pending(state) && !wait.For(r.Context(), faults.writeDelay) {
 			return
 		}
 		if !out.write(state, e) || state.done {
@@ -92,14 +92,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return progress{
-		made: s.made, preemptions: s.preemptions, done: s.done,
-		finish: wire.Finish{Reason: s.end, PromptTokens: s.promptTokens, OutputTokens: s.made, CachedTokens: s.cached},
+		outputTokens: s.outputTokens, preemptions: s.preemptions, done: s.done,
+		finish: wire.Finish{Reason: s.finishReason, PromptTokens: s.promptTokens, OutputTokens: s.outputTokens, CachedTokens: s.cachedTokens},
 	}
 }
 
-// another gives the attempt and hash of some other sequence, for a line that
-// comes crossed.
-func (e *Engine) another(attempt string) (string, uint64) {
+// otherSequence returns the attempt and prompt hash of another running
+// sequence, for a line of a wrong attempt.
+func (e *Engine) otherSequence(attempt string) (string, uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.running {
@@ -107,52 +107,53 @@
 			return s.request.Attempt, s.hash
 		}
 	}
-	const strangerHash = 0x5ee5
-	return "another-attempt", strangerHash
+	const otherHash = 0x5ee5
+	return "another-attempt", otherHash
 }
 
 // streamWriter writes the lines of one stream.
 type streamWriter struct {
-	request     *http.Request
-	priority    backend.Priority
-	half        int // the offset that counts as halfway
-	w           http.ResponseWriter
-	flush       *http.ResponseController
-	buffer      []byte
-	prefix      []byte
-	attempt     string
-	hash        uint64
-	next        int // the next offset to write
-	lines       int
-	preemptions int
-	faults      streamFaults
+	request       *http.Request
+	priority      backend.Priority
+	halfwayOffset int // the offset of OperationHalfway
+	w             http.ResponseWriter
+	flush         *http.ResponseController
+	buffer        []byte
+	prefix        []byte
+	attempt       string
+	hash          uint64
+	nextOffset    int // the next offset to write
+	lines         int
+	preemptions   int
+	faults        streamFaults
 }
 
 func (o *streamWriter) pending(state progress) bool {
-	return state.made > o.next || state.done || state.preemptions > o.preemptions
+	return state.outputTokens > o.nextOffset || state.done || state.preemptions > o.preemptions
 }
 
-// write brings the reader up to the state; false when the reader has gone.
+// write sends the reader all lines up to the state. It returns false when the
+// reader has disconnected.
 func (o *streamWriter) write(state progress, e *Engine) bool {
 	o.buffer = o.buffer[:0]
 	if state.preemptions > o.preemptions {
 		o.preemptions = state.preemptions
-		o.special(wire.Line{Attempt: o.attempt, Preempted: true})
+		o.appendLine(wire.Line{Attempt: o.attempt, Preempted: true})
 	}
-	for ; o.next < state.made; o.next++ {
-		o.tell(e, state)
-		if o.lines == o.faults.after {
-			o.goWrong(e)
+	for ; o.nextOffset < state.outputTokens; o.nextOffset++ {
+		o.notifyProgress(e, state)
+		if o.lines == o.faults.afterLines {
+			o.injectFault(e)
 		}
-		o.buffer = wire.AppendToken(o.buffer, o.prefix, o.next, tokenAt(o.hash, o.next))
+		o.buffer = wire.AppendToken(o.buffer, o.prefix, o.nextOffset, tokenAt(o.hash, o.nextOffset))
 		o.lines++
 	}
 	if state.done {
-		o.notify(e, OperationFinish)
-		if o.lines <= o.faults.after {
-			o.goWrong(e)
+		o.callHook(e, OperationFinish)
+		if o.lines <= o.faults.afterLines {
+			o.injectFault(e)
 		}
-		o.special(wire.Line{Attempt: o.attempt, Finish: &state.finish})
+		o.appendLine(wire.Line{Attempt: o.attempt, Finish: &state.finish})
 	}
 	if len(o.buffer) == 0 {
 		return true
@@ -160,34 +161,34 @@
 	if _, err := o.w.Write(o.buffer); err != nil {
 		return false
 	}
-	// The last line goes out with the end of the body.
+	// The last line is flushed with the end of the body.
 	return state.done || o.flush.Flush() == nil
 }
 
-// tell has the hook called at the points of the stream that it can wait for.
-func (o *streamWriter) tell(e *Engine, state progress) {
+// notifyProgress calls the hook before the first line and halfway through the output.
+func (o *streamWriter) notifyProgress(e *Engine, state progress) {
 	switch {
 	case o.lines == 0:
-		o.notify(e, OperationFirstToken)
-	case o.next == o.half && !state.done:
-		o.notify(e, OperationHalfway)
+		o.callHook(e, OperationFirstToken)
+	case o.nextOffset == o.halfwayOffset && !state.done:
+		o.callHook(e, OperationHalfway)
 	}
 }
 
-func (o *streamWriter) notify(e *Engine, operation string) {
-	hook := e.Faults.hooked()
+func (o *streamWriter) callHook(e *Engine, operation string) {
+	hook := e.Faults.currentHook()
 	if hook == nil {
 		return
 	}
-	from, _ := netip.ParseAddrPort(o.request.RemoteAddr) // zero when there is none
+	from, _ := netip.ParseAddrPort(o.request.RemoteAddr) // zero when there is no valid address
 	hook(Call{
 		System: e.config.ID, Operation: operation, Phase: BeforeEffect, From: from,
 		Subject: o.attempt, Priority: o.priority,
 	})
 }
 
-// goWrong cuts the stream, or puts a line of another attempt into it.
-func (o *streamWriter) goWrong(e *Engine) {
+// injectFault cuts the stream, or inserts a line of another attempt.
+func (o *streamWriter) injectFault(e *Engine) {
 	switch {
 	case o.faults.drop:
 		_, _ = o.w.Write(o.buffer) // the connection is cut anyway
@@ -195,15 +196,15 @@
 		panic(http.ErrAbortHandler)
 	case o.faults.cross:
 		o.faults.cross = false
-		attempt, hash := e.another(o.attempt)
-		o.buffer = wire.AppendToken(o.buffer, wire.AppendPrefix(nil, attempt), o.next, tokenAt(hash, o.next))
+		attempt, hash := e.otherSequence(o.attempt)
+		o.buffer = wire.AppendToken(o.buffer, wire.AppendPrefix(nil, attempt), o.nextOffset, tokenAt(hash, o.nextOffset))
 	}
 }
 
-func (o *streamWriter) special(line wire.Line) {
+func (o *streamWriter) appendLine(line wire.Line) {
 	encoded, err := json.Marshal(line)
 	if err != nil {
-		panic("stream line does not encode: " + err.Error())
+		panic("cannot encode a stream line: " + err.Error())
 	}
 	o.buffer = append(append(o.buffer, encoded...), '\n')
 }
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -19,8 +19,9 @@
 
 const model = "fleetlink-llm"
 
-// testFleet starts an in-memory fleet within a synctest bubble.
-func testFleet(t *testing.T, edit func(*FleetConfig)) (*Fleet, backend.Engine) {
+// startTestFleet starts a fleet on a simulated network and returns it with a
+// client of its first engine. It must be called within a synctest bubble.
+func startTestFleet(t *testing.T, edit func(*FleetConfig)) (*Fleet, backend.Engine) {
 	t.Helper()
 	config := DefaultFleetConfig()
 	config.Network = netsim.New(nil)
@@ -47,7 +48,7 @@
 	}
 }
 
-// drain reads a stream to its end.
+// drain reads a stream to its end and returns the texts of its tokens.
 func drain(stream backend.TokenStream) ([]string, backend.Finish, error) {
 	defer stream.Close()
 	var texts []string
@@ -72,7 +73,7 @@
 	return stream
 }
 
-func codeOf(err error) (backend.ErrorCode, backend.Effect) {
+func errorCode(err error) (backend.ErrorCode, backend.Effect) {
 	var failure *backend.Error
 	if errors.As(err, &failure) {
 		return failure.Code, failure.Effect
@@ -82,7 +83,7 @@
 
 func TestAnEngineGivesTheExpectedTokensAndResumesAtAnOffset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, nil)
+		fleet, engine := startTestFleet(t, nil)
 		defer fleet.Close()
 		start := time.Now()
 		texts, finish, err := drain(mustGenerate(t, engine, request("a", 50, backend.PriorityOnline)))
@@ -94,7 +95,7 @@
 			t.Errorf("finish %+v, -want +got:\n%s", finish, diff)
 		}
 		if step := time.Since(start) / 50; step < 13*time.Millisecond || step > 15*time.Millisecond {
-			t.Errorf("one sequence alone took %s a token", step)
+			t.Errorf("a single sequence took %s per token; want 13ms to 15ms", step)
 		}
 		stream, err := engine.Resume(t.Context(), "a", 20)
 		if err != nil {
@@ -102,38 +103,38 @@
 		}
 		texts, _, err = drain(stream)
 		if diff := cmp.Diff(want[20:], texts); diff != "" || err != nil {
-			t.Errorf("resumed: %v, -want +got:\n%s", err, diff)
+			t.Errorf("resumed stream: error %v, -want +got:\n%s", err, diff)
 		}
 		kept := request("b", 50, backend.PriorityBatch)
 		kept.Prompt, kept.Kept = "prompt of a", want[:30]
 		texts, finish, err = drain(mustGenerate(t, engine, kept))
 		if diff := cmp.Diff(want[30:], texts); diff != "" || err != nil || finish.OutputTokens != 50 {
-			t.Errorf("kept: %v %+v, -want +got:\n%s", err, finish, diff)
+			t.Errorf("attempt with kept tokens: error %v, finish %+v, -want +got:\n%s", err, finish, diff)
 		}
 	})
 }
 
 func TestARepeatedAttemptJoinsTheRunningOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, nil)
+		fleet, engine := startTestFleet(t, nil)
 		defer fleet.Close()
 		first := mustGenerate(t, engine, request("a", 20, backend.PriorityOnline))
 		second := mustGenerate(t, engine, request("a", 20, backend.PriorityOnline))
 		one, _, firstErr := drain(first)
 		two, _, secondErr := drain(second)
 		if diff := cmp.Diff(one, two); diff != "" || firstErr != nil || secondErr != nil {
-			t.Errorf("%v %v, -first +second:\n%s", firstErr, secondErr, diff)
+			t.Errorf("errors %v and %v, -first +second:\n%s", firstErr, secondErr, diff)
 		}
 		ledger := fleet.Engines[0].Ledger()
 		if len(ledger) != 1 || ledger[0].Repeats != 1 || ledger[0].Tokens != 20 {
-			t.Errorf("ledger %+v", ledger)
+			t.Errorf("ledger %+v; want one entry with 1 repeat and 20 tokens", ledger)
 		}
 	})
 }
 
 func TestOnlinePreemptsBatchAndBatchStillCompletes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, func(c *FleetConfig) { c.Engine.MaxRunning = 2 })
+		fleet, engine := startTestFleet(t, func(c *FleetConfig) { c.Engine.MaxRunning = 2 })
 		defer fleet.Close()
 		batch := []backend.TokenStream{
 			mustGenerate(t, engine, request("b1", 40, backend.PriorityBatch)),
@@ -148,7 +149,7 @@
 			texts, _, err := drain(stream)
 			want := ExpectedTokens(model, fmt.Sprintf("prompt of b%d", i+1), 40)
 			if diff := cmp.Diff(want, texts); diff != "" || err != nil {
-				t.Errorf("batch %d: %v, -want +got:\n%s", i, err, diff)
+				t.Errorf("batch stream %d: error %v, -want +got:\n%s", i, err, diff)
 			}
 		}
 		var preempted, waited int
@@ -159,30 +160,30 @@
 			}
 		}
 		if preempted != 1 || waited != 0 {
-			t.Errorf("%d preemptions, online waited %d times", preempted, waited)
+			t.Errorf("%d preemptions, %d online attempts waited over 20ms; want 1 and 0", preempted, waited)
 		}
 	})
 }
 
 func TestCancelStopsAnAttemptAlsoBeforeItComes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, nil)
+		fleet, engine := startTestFleet(t, nil)
 		defer fleet.Close()
 		stream := mustGenerate(t, engine, request("a", 100, backend.PriorityBatch))
 		time.Sleep(100 * time.Millisecond)
 		report, err := engine.Cancel(t.Context(), "a")
 		if err != nil || !report.Found || !report.Running || report.OutputTokens == 0 {
-			t.Errorf("%+v, %v", report, err)
+			t.Errorf("cancel of a running attempt: %+v, %v", report, err)
 		}
 		if _, finish, err := drain(stream); err != nil || finish.Reason != "cancelled" {
-			t.Errorf("finish %+v, %v", finish, err)
+			t.Errorf("finish %+v, error %v; want reason cancelled", finish, err)
 		}
 		if report, err := engine.Cancel(t.Context(), "later"); err != nil || report.Found {
-			t.Errorf("%+v, %v", report, err)
+			t.Errorf("cancel of an attempt that has not arrived: %+v, %v", report, err)
 		}
 		_, err = engine.Generate(t.Context(), request("later", 10, backend.PriorityBatch))
-		if code, effect := codeOf(err); code != backend.CodeInvalid || effect != backend.EffectNone {
-			t.Errorf("a cancelled attempt was taken: %v", err)
+		if code, effect := errorCode(err); code != backend.CodeInvalid || effect != backend.EffectNone {
+			t.Errorf("generate of an attempt cancelled before it arrived: %v; want CodeInvalid without effect", err)
 		}
 	})
 }
@@ -196,7 +197,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fleet, engine := testFleet(t, nil)
+				fleet, engine := startTestFleet(t, nil)
 				defer fleet.Close()
 				other := mustGenerate(t, engine, request("other", 60, backend.PriorityOnline))
 				fleet.Engines[0].Faults.Set(faults)
@@ -206,8 +207,8 @@
 				if err == nil {
 					texts, _, err = drain(stream)
 				}
-				if _, effect := codeOf(err); err == nil || effect != backend.EffectUnknown {
-					t.Fatalf("got %d tokens and %v, want a failure of unknown effect", len(texts), err)
+				if _, effect := errorCode(err); err == nil || effect != backend.EffectUnknown {
+					t.Fatalf("got %d tokens and error %v; want an error with unknown effect", len(texts), err)
 				}
 				resumed, err := engine.Resume(t.Context(), "a", len(texts))
 				if err != nil {
@@ -215,7 +216,7 @@
 				}
 				rest, _, err := drain(resumed)
 				if diff := cmp.Diff(want, append(texts, rest...)); diff != "" || err != nil {
-					t.Errorf("%v, -want +got:\n%s", err, diff)
+					t.Errorf("resumed stream: error %v, -want +got:\n%s", err, diff)
 				}
 				if _, _, err := drain(other); err != nil {
 					t.Error(err)
@@ -227,7 +228,7 @@
 
 func TestAKilledEngineLosesItsAttemptsAndComesBackEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, nil)
+		fleet, engine := startTestFleet(t, nil)
 		defer fleet.Close()
 		stream := mustGenerate(t, engine, request("a", 100, backend.PriorityOnline))
 		time.Sleep(100 * time.Millisecond)
@@ -235,35 +236,35 @@
 			t.Fatal(err)
 		}
 		if _, _, err := drain(stream); err == nil {
-			t.Error("the stream of a killed engine ended well")
+			t.Error("the stream of a killed engine ended without an error")
 		}
 		_, err := engine.Generate(t.Context(), request("b", 10, backend.PriorityOnline))
-		if _, effect := codeOf(err); err == nil || effect != backend.EffectNone {
-			t.Errorf("a refused connection is EffectNone, got %v", err)
+		if _, effect := errorCode(err); err == nil || effect != backend.EffectNone {
+			t.Errorf("generate at a killed engine: %v; want an error with EffectNone", err)
 		}
 		if err := fleet.Restart(fleet.Engines[0].ID()); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := engine.Resume(t.Context(), "a", 0); !isCode(err, backend.CodeNotFound) {
-			t.Errorf("resume gave %v", err)
+			t.Errorf("resume after the restart: %v; want CodeNotFound", err)
 		}
 		if _, _, err := drain(mustGenerate(t, engine, request("b", 10, backend.PriorityOnline))); err != nil {
 			t.Error(err)
 		}
 		if entry := fleet.Engines[0].Ledger()[0]; entry.End != "crashed" {
-			t.Errorf("ledger %+v", entry)
+			t.Errorf("ledger entry of the lost attempt: %+v; want end crashed", entry)
 		}
 	})
 }
 
 func isCode(err error, want backend.ErrorCode) bool {
-	code, _ := codeOf(err)
+	code, _ := errorCode(err)
 	return code == want
 }
 
 func TestLoadReportsAndCacheEventsComeLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, func(c *FleetConfig) { c.Engine.CacheLoss = 0.5 })
+		fleet, engine := startTestFleet(t, func(c *FleetConfig) { c.Engine.CacheLossRate = 0.5 })
 		defer fleet.Close()
 		long := request("a", 100, backend.PriorityOnline)
 		long.Prompt = strings.Repeat("x", 40*backend.PrefixBlockBytes)
@@ -271,33 +272,33 @@
 		time.Sleep(250 * time.Millisecond)
 		load, err := engine.Load(t.Context())
 		if err != nil || load.RunningOnline != 0 {
-			t.Errorf("the report is not lagged: %+v, %v", load, err)
+			t.Errorf("the load report is visible before its lag: %+v, %v", load, err)
 		}
 		if events, err := engine.CacheEvents(t.Context(), 0); err != nil || len(events) != 0 {
-			t.Errorf("cache events are not late: %v, %v", events, err)
+			t.Errorf("cache events are visible before their lag: %v, %v", events, err)
 		}
 		time.Sleep(400 * time.Millisecond)
 		load, err = engine.Load(t.Context())
 		if err != nil || load.RunningOnline != 1 || time.Since(load.ReportedAt) < 300*time.Millisecond {
-			t.Errorf("%+v, %v", load, err)
+			t.Errorf("load report after the lag: %+v, %v; want 1 running online sequence", load, err)
 		}
 		events, err := engine.CacheEvents(t.Context(), 0)
 		if err != nil || len(events) == 0 || len(events) >= 40 {
-			t.Errorf("%d cache events of 40, want some lost: %v", len(events), err)
+			t.Errorf("got %d of 40 cache events, error %v; want some but not all", len(events), err)
 		}
 		if _, finish, err := drain(stream); err != nil || finish.CachedTokens != 0 {
-			t.Errorf("%+v, %v", finish, err)
+			t.Errorf("first run of the prompt: finish %+v, error %v; want no cached tokens", finish, err)
 		}
 		long.Attempt = "b"
 		if _, finish, err := drain(mustGenerate(t, engine, long)); err != nil || finish.CachedTokens != 40*blockTokens {
-			t.Errorf("%+v, %v", finish, err)
+			t.Errorf("second run of the prompt: finish %+v, error %v; want 40 cached blocks", finish, err)
 		}
 	})
 }
 
 func TestOrdersAreFencedAndLoadsTakeTheWeightStoresTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, nil)
+		fleet, engine := startTestFleet(t, nil)
 		defer fleet.Close()
 		order := backend.Order{ID: "o1", Epoch: 5, Kind: backend.OrderLoadModel, Model: model, Version: "2"}
 		if err := engine.Order(t.Context(), order); err != nil {
@@ -305,14 +306,14 @@
 		}
 		stale := backend.Order{ID: "o2", Epoch: 4, Kind: backend.OrderUnloadModel, Model: model}
 		if err := engine.Order(t.Context(), stale); !isCode(err, backend.CodeFenced) {
-			t.Errorf("a stale order gave %v", err)
+			t.Errorf("order with a stale epoch: %v; want CodeFenced", err)
 		}
 		second := request("a", 5, backend.PriorityOnline)
 		second.Version = "2"
 		if _, err := engine.Generate(t.Context(), second); !isCode(err, backend.CodeNotLoaded) {
-			t.Errorf("while loading: %v", err)
+			t.Errorf("generate while the model is loading: %v; want CodeNotLoaded", err)
 		}
-		time.Sleep(2100 * time.Millisecond) // 8 GiB at 4 GiB a second
+		time.Sleep(2100 * time.Millisecond) // the load takes 2 s: 8 GiB at 4 GiB per second
 		second.Attempt = "b"
 		if _, _, err := drain(mustGenerate(t, engine, second)); err != nil {
 			t.Error(err)
@@ -322,17 +323,17 @@
 
 func TestALeavingEngineRefusesNewWorkAndFinishesTheOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet, engine := testFleet(t, nil)
+		fleet, engine := startTestFleet(t, nil)
 		defer fleet.Close()
 		stream := mustGenerate(t, engine, request("a", 50, backend.PriorityOnline))
 		if err := fleet.Leave(fleet.Engines[0].ID()); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := engine.Generate(t.Context(), request("b", 5, backend.PriorityOnline)); !isCode(err, backend.CodeLeaving) {
-			t.Errorf("new work: %v", err)
+			t.Errorf("new attempt: %v; want CodeLeaving", err)
 		}
 		if texts, _, err := drain(stream); err != nil || len(texts) != 50 {
-			t.Errorf("old work: %d tokens, %v", len(texts), err)
+			t.Errorf("running attempt: %d tokens, error %v; want 50", len(texts), err)
 		}
 	})
 }
@@ -354,7 +355,7 @@
 	defer cancel()
 	snapshot, err := clients.Machines.Machines(ctx, 0)
 	if err != nil || len(snapshot.Machines) != 12 {
-		t.Fatalf("%d machines, %v", len(snapshot.Machines), err)
+		t.Fatalf("%d machines, error %v; want 12", len(snapshot.Machines), err)
 	}
 	engine := clients.Engines.Engine(snapshot.Machines[3])
 	stream, err := engine.Generate(ctx, request("a", 30, backend.PriorityOnline))
@@ -363,14 +364,14 @@
 	}
 	texts, _, err := drain(stream)
 	if diff := cmp.Diff(ExpectedTokens(model, "prompt of a", 30), texts); diff != "" || err != nil {
-		t.Errorf("%v, -want +got:\n%s", err, diff)
+		t.Errorf("error %v, -want +got:\n%s", err, diff)
 	}
 	if err := fleet.Kill(snapshot.Machines[3].ID); err != nil {
 		t.Fatal(err)
 	}
-	clients.Close() // a request sent on an idle connection could have arrived
+	clients.Close() // on an idle connection the effect would be unknown: the request could have arrived
 	_, err = engine.Generate(ctx, request("b", 30, backend.PriorityOnline))
-	if _, effect := codeOf(err); err == nil || effect != backend.EffectNone {
-		t.Errorf("a refused connection is EffectNone, got %v", err)
+	if _, effect := errorCode(err); err == nil || effect != backend.EffectNone {
+		t.Errorf("generate at a killed engine: %v; want an error with EffectNone", err)
 	}
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -19,74 +19,74 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// FaultSettings says how a stand-in misbehaves. The zero value: not at all.
+// FaultSettings holds the faults of a stand-in. The zero value injects no faults.
 type FaultSettings struct {
-	// DelayMillis is added to each call, and up to JitterMillis at random.
+	// DelayMillis and a random time of up to JitterMillis are added to each call.
 	DelayMillis  int `json:"delay_ms"`
 	JitterMillis int `json:"jitter_ms"`
-	// Outage refuses each call, which then has no effect and says so.
+	// Outage refuses each call with an answer that reports no effect.
 	Outage bool `json:"outage"`
-	// Hang takes calls and never answers them; they have no effect.
+	// Hang accepts calls and never answers them. They have no effect.
 	Hang bool `json:"hang"`
-	// ErrorRate is the share of calls refused without effect, 0 to 1.
+	// ErrorRate is the fraction of calls refused without effect, from 0 to 1.
 	ErrorRate float64 `json:"error_rate"`
-	// LoseAnswers counts the next calls that take effect and get no answer.
+	// LoseAnswers is the number of next calls that take effect but get no answer.
 	LoseAnswers int `json:"lose_answers"`
-	// LoseRequests counts the next calls cut before they have an effect.
+	// LoseRequests is the number of next calls cut before they have an effect.
 	LoseRequests int `json:"lose_requests"`
-	// RatePerSecond bounds the calls; zero: no bound. The rest get 429.
+	// RatePerSecond limits the calls; zero means no limit. Calls over the limit get status 429.
 	RatePerSecond float64 `json:"rate_per_second"`
-	// Operations limits the faults above to these operations; empty: all.
+	// Operations limits the faults above, except RatePerSecond, to these operations; empty means all.
 	Operations []string `json:"operations,omitempty"`
 
-	// DropStreams counts the next token streams that are cut after
+	// DropStreams is the number of next token streams that are cut after
 	// DropStreamAfter lines.
 	DropStreams     int `json:"drop_streams"`
 	DropStreamAfter int `json:"drop_stream_after"`
-	// CrossStreams counts the next token streams that get a line of another
+	// CrossStreams is the number of next token streams that get a line of another
 	// attempt after DropStreamAfter lines.
 	CrossStreams int `json:"cross_streams"`
-	// LateMillis holds each batch of token lines back before it is written.
+	// LateMillis delays each write of token lines.
 	LateMillis int `json:"late_ms"`
-	// Stall stops an engine's steps: it answers calls and makes no token.
+	// Stall stops an engine's steps: it answers calls but generates no tokens.
 	Stall bool `json:"stall"`
 }
 
-// CallPhase says when a hook is called.
+// CallPhase is the point of a call at which a hook is called.
 type CallPhase uint8
 
-// The phases of a call at a stand-in.
+// The phases of a call to a stand-in.
 const (
-	// BeforeEffect: the call has arrived and done nothing yet.
+	// BeforeEffect means that the call has arrived and has had no effect yet.
 	BeforeEffect CallPhase = iota
-	// AfterEffect: the call has taken effect and was not answered yet.
+	// AfterEffect means that the call has taken effect and has not been answered yet.
 	AfterEffect
 )
 
-// The operations of an engine that a hook sees beside its calls: points of a
-// token stream, before the line is written.
+// The operations of an engine that a hook sees in addition to its calls. They
+// are points of a token stream; the hook is called before the line is written.
 const (
 	OperationFirstToken = "first_token"
 	OperationHalfway    = "halfway"
 	OperationFinish     = "finish"
 )
 
-// Call is one call at a stand-in, as a hook sees it.
+// Call is one call to a stand-in, as passed to a hook.
 type Call struct {
 	System    string // "table", an engine's ID
 	Operation string // "commit", "generate", OperationFirstToken
 	Phase     CallPhase
-	// From is the address that the call came from.
+	// From is the remote address of the call.
 	From netip.AddrPort
 	// Subject is the key, object name, prefix or attempt that the call is about.
 	Subject string
-	// Body is what was sent; it must not be changed.
+	// Body is the request body. The hook must not modify it.
 	Body []byte
-	// Priority is that of the attempt, for an engine's streams.
+	// Priority is the attempt's priority, for an engine's streams only.
 	Priority backend.Priority
 }
 
-// Faults makes one stand-in misbehave. It is safe for concurrent use.
+// Faults injects faults into one stand-in. It is safe for concurrent use.
 type Faults struct {
 	system string
 
@@ -99,8 +99,8 @@
 	refused  int
 }
 
-// newFaults makes the faults of one stand-in; the settings hold its standing
-// rate and delay.
+// newFaults returns the faults of one stand-in. The settings hold its permanent
+// rate limit and delay.
 func newFaults(system string, seed uint64, settings FaultSettings) *Faults {
 	f := &Faults{
 		system: system, calls: map[string]int{},
@@ -129,22 +129,22 @@
 	}
 }
 
-// Settings gives the settings; counters show what is left of them.
+// Settings returns the current settings. Counters show the number of faults left.
 func (f *Faults) Settings() FaultSettings {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.settings
 }
 
-// SetHook has a function called at each phase of each call, on the call's own
-// goroutine; it may block or change the faults. Nil: none.
+// SetHook sets a function that is called at each phase of each call, on the
+// call's own goroutine. It may block or change the faults. Nil removes the hook.
 func (f *Faults) SetHook(hook func(Call)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hook = hook
 }
 
-// Calls counts the calls that came, by operation.
+// Calls returns the number of calls that arrived, by operation.
 func (f *Faults) Calls() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,15 +155,15 @@
 	return calls
 }
 
-// Refused counts the calls refused for the rate or by a fault.
+// Refused returns the number of calls refused by the rate limit or a fault.
 func (f *Faults) Refused() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.refused
 }
 
-// verdict is what becomes of one call.
-type verdict struct {
+// outcome is the result that the faults decide for one call.
+type outcome struct {
 	delay       time.Duration
 	hang        bool
 	loseRequest bool
@@ -172,8 +172,8 @@
 	status      int
 }
 
-// judge decides what becomes of a call.
-func (f *Faults) judge(operation string) verdict {
+// decide counts a call and returns its outcome.
+func (f *Faults) decide(operation string) outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls[operation]++
@@ -185,25 +185,25 @@
 		}
 	}
 	if len(s.Operations) > 0 && !slices.Contains(s.Operations, operation) {
-		return verdict{}
+		return outcome{}
 	}
 	if s.Outage || (s.ErrorRate > 0 && f.random.Float64() < s.ErrorRate) {
 		f.refused++
 		return refusedCall(http.StatusServiceUnavailable, backend.CodeUnavailable, "out of service", 0)
 	}
-	v := verdict{delay: time.Duration(s.DelayMillis) * time.Millisecond, hang: s.Hang}
+	v := outcome{delay: time.Duration(s.DelayMillis) * time.Millisecond, hang: s.Hang}
 	if s.JitterMillis > 0 {
 		v.delay += time.Duration(f.random.IntN(s.JitterMillis+1)) * time.Millisecond
 	}
-	v.loseRequest = takeOne(&s.LoseRequests)
+	v.loseRequest = consumeOne(&s.LoseRequests)
 	if !v.loseRequest {
-		v.loseAnswer = takeOne(&s.LoseAnswers)
+		v.loseAnswer = consumeOne(&s.LoseAnswers)
 	}
 	return v
 }
 
-// reserve takes one call from the rate; above zero it is refused, and the
-// duration says when to ask again.
+// reserve takes one call from the rate limiter. A result above zero means that
+// the call is refused and may be retried after that time.
 func (f *Faults) reserve() time.Duration {
 	reservation := f.limiter.Reserve()
 	wait := reservation.Delay()
@@ -213,13 +213,13 @@
 	return wait
 }
 
-func refusedCall(status int, code backend.ErrorCode, message string, wait time.Duration) verdict {
-	return verdict{status: status, refusal: &wire.Error{
+func refusedCall(status int, code backend.ErrorCode, message string, wait time.Duration) outcome {
+	return outcome{status: status, refusal: &wire.Error{
 		Code: string(code), Effect: wire.EffectNone, Message: message, RetryAfterMillis: wait.Milliseconds(),
 	}}
 }
 
-func takeOne(counter *int) bool {
+func consumeOne(counter *int) bool {
 	if *counter <= 0 {
 		return false
 	}
@@ -227,17 +227,17 @@
 	return true
 }
 
-// wrap puts the faults before a handler.
+// wrap applies the faults to a handler.
 func (f *Faults) wrap(operation string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// Read first: net/http notices that a caller has gone only after that.
+		// The body is read first because net/http detects only after that that a caller has disconnected.
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		f.notify(operation, r, body, BeforeEffect)
-		v := f.judge(operation)
+		v := f.decide(operation)
 		switch {
 		case v.refusal != nil:
 			writeError(w, v.status, *v.refusal)
@@ -252,31 +252,31 @@
 			panic(http.ErrAbortHandler)
 		}
 		if v.loseAnswer {
-			next(&discard{header: http.Header{}}, r)
+			next(&discardWriter{header: http.Header{}}, r)
 			f.notify(operation, r, body, AfterEffect)
 			panic(http.ErrAbortHandler)
 		}
-		next(&notifying{ResponseWriter: w, notify: func() { f.notify(operation, r, body, AfterEffect) }}, r)
+		next(&hookWriter{ResponseWriter: w, notify: func() { f.notify(operation, r, body, AfterEffect) }}, r)
 	}
 }
 
-// hooked gives the hook, or nil.
-func (f *Faults) hooked() func(Call) {
+// currentHook returns the hook, or nil if there is none.
+func (f *Faults) currentHook() func(Call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hook
 }
 
 func (f *Faults) notify(operation string, r *http.Request, body []byte, phase CallPhase) {
-	hook := f.hooked()
+	hook := f.currentHook()
 	if hook == nil {
 		return
 	}
-	from, _ := netip.ParseAddrPort(r.RemoteAddr) // zero when there is none
+	from, _ := netip.ParseAddrPort(r.RemoteAddr) // zero when there is no valid address
 	hook(Call{System: f.system, Operation: operation, Phase: phase, From: from, Subject: subject(r), Body: body})
 }
 
-// subject reads what a call is about from its URL.
+// subject returns the key, object name, prefix or attempt that a call's URL names.
 func subject(r *http.Request) string {
 	if id := r.PathValue("id"); id != "" {
 		return id
@@ -290,42 +290,42 @@
 	return ""
 }
 
-// notifying tells the hook just before the first byte of the answer.
-type notifying struct {
+// hookWriter calls the hook just before the first byte of the answer.
+type hookWriter struct {
 	http.ResponseWriter
 	notify func()
 	once   sync.Once
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (n *notifying) WriteHeader(status int) {
+func (n *hookWriter) WriteHeader(status int) {
 	n.once.Do(n.notify)
 	n.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (n *notifying) Write(p []byte) (int, error) {
+func (n *hookWriter) Write(p []byte) (int, error) {
 	n.once.Do(n.notify)
 	return n.ResponseWriter.Write(p)
 }
 
-// Unwrap is for http.ResponseController.
-func (n *notifying) Unwrap() http.ResponseWriter { return n.ResponseWriter }
+// Unwrap returns the wrapped writer for http.ResponseController.
+func (n *hookWriter) Unwrap() http.ResponseWriter { return n.ResponseWriter }
 
-// discard takes an answer that is lost.
-type discard struct{ header http.Header }
+// discardWriter discards a lost answer.
+type discardWriter struct{ header http.Header }
 
 // Header implements http.ResponseWriter.
-func (d *discard) Header() http.Header { return d.header }
+func (d *discardWriter) Header() http.Header { return d.header }
 
-// Write implements http.ResponseWriter: a lost stream ends at its first line.
-func (d *discard) Write([]byte) (int, error) { return 0, http.ErrAbortHandler }
+// Write implements http.ResponseWriter. It fails, so that a lost stream ends at its first line.
+func (d *discardWriter) Write([]byte) (int, error) { return 0, http.ErrAbortHandler }
 
 // WriteHeader implements http.ResponseWriter.
-func (d *discard) WriteHeader(int) {}
+func (d *discardWriter) WriteHeader(int) {}
 
-// admin registers the faults' own endpoint, which no fault touches.
-func (f *Faults) admin(mux *http.ServeMux) {
+// registerAdmin registers the endpoint of the fault settings, to which no fault applies.
+func (f *Faults) registerAdmin(mux *http.ServeMux) {
 	mux.HandleFunc("GET /admin/faults", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, f.Settings()) })
 	mux.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) {
 		settings := f.Settings()
@@ -340,13 +340,13 @@
 	})
 }
 
-// writeJSON answers a call that succeeded.
+// writeJSON answers a successful call.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(value) // the caller may have disconnected
 }
 
-// refuse answers a call that did nothing.
+// refuse answers a call that had no effect.
 func refuse(w http.ResponseWriter, status int, code backend.ErrorCode, message string) {
 	writeError(w, status, wire.Error{Code: string(code), Effect: wire.EffectNone, Message: message})
 }
@@ -358,10 +358,10 @@
 		w.Header().Set("Retry-After", strconv.FormatInt((body.RetryAfterMillis+millisPerSecond-1)/millisPerSecond, 10))
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
 
-// decode reads a JSON body; false after it has refused the call.
+// decode reads a JSON body. If it cannot, it refuses the call and returns false.
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		refuse(w, http.StatusBadRequest, backend.CodeInvalid, err.Error())
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -21,35 +21,36 @@
 	Name    string
 	Engines int
 	Models  []backend.LoadedModel
-	// Capacities are given to the engines in turn; empty: all 1.
+	// Capacities are assigned to the engines in turn; empty means 1 for all.
 	Capacities []float64
 }
 
-// FleetConfig says which stand-ins to start.
+// FleetConfig configures the stand-ins of a fleet.
 type FleetConfig struct {
 	Region string
-	Zones  []string // engines are put in them in turn
+	Zones  []string // engines are assigned to the zones in turn
 	Pools  []Pool
-	Engine EngineConfig // of each engine; ID, Capacity, Seed and Models are set per engine
+	Engine EngineConfig // settings of each engine; ID, Capacity, Seed and Models are set per engine
 	Seed   uint64
 
-	TableRate, ObjectsRate float64 // calls a second; zero: no bound
-	WeightsBudget          int64   // bytes a second
+	TableRate, ObjectsRate float64 // calls per second; zero means no limit
+	WeightsBudget          int64   // bytes per second
 	Artifacts              []backend.Artifact
 	MachinesLag            time.Duration
-	SiteStep               time.Duration // a token of the other site
+	SiteTokenInterval      time.Duration // time per token at the other site
 
-	// Network to run on; nil: loopback sockets. Each stand-in is a host of its
-	// own, from FirstHost on.
+	// Network is the network to run on; nil means loopback sockets. Each stand-in
+	// is a separate host, with addresses from FirstHost on.
 	Network *netsim.Network
-	// Wrap, when set, may put a handler of its own before each stand-in's.
+	// Wrap, when set, may replace the handler of each stand-in.
 	Wrap Wrapper
-	// BasePort numbers the loopback listeners from there on; zero: any free ports.
+	// BasePort is the port of the first loopback listener, and the others follow
+	// it; zero means any free ports.
 	BasePort int
 }
 
-// DefaultFleetConfig is the fleet of the first user: one pool of 12 engines in
-// three zones.
+// DefaultFleetConfig returns the fleet of the first user: one pool of 12 engines
+// in three zones.
 func DefaultFleetConfig() FleetConfig {
 	const gigabyte = 1 << 30
 	models := []backend.LoadedModel{{Model: "fleetlink-llm", Version: "1"}}
@@ -63,12 +64,12 @@
 			{Model: "fleetlink-llm", Version: "2", Bytes: 8 * gigabyte},
 			{Model: "fleetlink-llm", Version: "1", Adapter: "alerts", Bytes: gigabyte / 8},
 		},
-		SiteStep: 5 * time.Millisecond,
+		SiteTokenInterval: 5 * time.Millisecond,
 	}
 }
 
-// Wrapper gives the handler to serve in place of a stand-in's own; name is as
-// for Kill.
+// Wrapper returns the handler to serve in place of a stand-in's own. The name is
+// one of those that Kill accepts.
 type Wrapper func(name string, handler http.Handler) http.Handler
 
 // Fleet is a running set of stand-ins.
@@ -86,13 +87,13 @@
 	tasks  sync.WaitGroup
 
 	mu    sync.Mutex
-	hosts map[string]*fleetHost // by name: "table", an engine's ID
+	hosts map[string]*fleetHost // by stand-in name: "table", an engine's ID
 }
 
-// fleetHost is where one stand-in listens.
+// fleetHost is the host of one stand-in, with its listener and server.
 type fleetHost struct {
 	address string
-	host    netip.Addr // on a netsim.Network only
+	host    netip.Addr // set on a netsim.Network only
 	handler http.Handler
 	engine  *Engine
 	server  *http.Server
@@ -100,14 +101,14 @@
 	stopped chan struct{} // closed when the engine's Run has returned
 }
 
-// StartFleet starts all stand-ins. Close ends them.
+// StartFleet starts all stand-ins. Close stops them.
 func StartFleet(config FleetConfig) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{config: config, ctx: ctx, cancel: cancel, hosts: map[string]*fleetHost{}}
 	f.Table = NewTable(config.Seed, config.TableRate)
 	f.Objects = NewObjects(config.Seed, config.ObjectsRate)
 	f.Weights = NewWeights(config.Seed, max(1, config.WeightsBudget), config.Artifacts)
-	f.Site = NewSite(config.Seed, config.SiteStep)
+	f.Site = NewSite(config.Seed, config.SiteTokenInterval)
 	if err := f.startEngines(); err != nil {
 		f.Close()
 		return nil, err
@@ -131,7 +132,7 @@
 	return f, nil
 }
 
-// startEngines starts the engines and puts them on the machine list.
+// startEngines starts the engines and creates the machine list with them.
 func (f *Fleet) startEngines() error {
 	var list []backend.Machine
 	for _, pool := range f.config.Pools {
@@ -174,7 +175,8 @@
 	return config
 }
 
-// start opens a host's listener, at its old address when it had one.
+// start opens a host's listener, at its previous address if it had one, and runs
+// its engine.
 func (f *Fleet) start(name string, host *fleetHost) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,14 +191,14 @@
 		host.stop, host.stopped = stop, make(chan struct{})
 		f.tasks.Go(func() {
 			defer close(host.stopped)
-			_ = host.engine.Run(ctx) // ends with the context only
+			_ = host.engine.Run(ctx) // returns only when the context ends
 		})
 	}
 	f.hosts[name] = host
 	return nil
 }
 
-// listen opens a host's listener and serves it.
+// listen opens a host's listener and starts its HTTP server.
 func (f *Fleet) listen(host *fleetHost) error {
 	listener, err := f.openListener(host)
 	if err != nil {
@@ -206,7 +208,7 @@
 	const headerTimeout = 10 * time.Second
 	server := &http.Server{Handler: host.handler, ReadHeaderTimeout: headerTimeout}
 	host.server = server
-	f.tasks.Go(func() { _ = server.Serve(listener) }) // ends when the server is closed
+	f.tasks.Go(func() { _ = server.Serve(listener) }) // returns when the server is closed
 	return nil
 }
 
@@ -214,7 +216,7 @@
 // others follow it.
 var FirstHost = netip.MustParseAddr("10.200.0.1")
 
-// hostPort is where stand-ins listen on a netsim.Network.
+// hostPort is the port of each stand-in on a netsim.Network.
 const hostPort = 80
 
 func (f *Fleet) openListener(host *fleetHost) (net.Listener, error) {
@@ -240,18 +242,18 @@
 	return (&net.ListenConfig{}).Listen(f.ctx, "tcp", address)
 }
 
-// ErrNoHost says that the fleet has no stand-in of that name.
-var ErrNoHost = errors.New("no such stand-in")
+// ErrNoStandIn means that the fleet has no stand-in of that name.
+var ErrNoStandIn = errors.New("no such stand-in")
 
-// Kill takes a stand-in's machine away: its connections are cut, and an engine
-// loses all that it holds. Names are engine IDs, "table", "objects", "weights",
-// "machines" and "site". The machine list is left as it is.
+// Kill stops a stand-in as if its machine failed: its connections are cut, and an
+// engine loses its state as in a restart. Names are engine IDs, "table",
+// "objects", "weights", "machines" and "site". The machine list is not changed.
 func (f *Fleet) Kill(name string) error {
 	f.mu.Lock()
 	host, found := f.hosts[name]
 	f.mu.Unlock()
 	if !found {
-		return fmt.Errorf("%s: %w", name, ErrNoHost)
+		return fmt.Errorf("%s: %w", name, ErrNoStandIn)
 	}
 	f.stop(host)
 	return nil
@@ -262,7 +264,7 @@
 		f.config.Network.Kill(host.host)
 	}
 	if host.server != nil {
-		_ = host.server.Close() // the machine is gone; there is no one to tell
+		_ = host.server.Close() // the stand-in is killed, so there is no one to report an error to
 	}
 	if host.stop != nil {
 		host.stop()
@@ -270,31 +272,31 @@
 	}
 }
 
-// Restart brings a killed stand-in back, empty where it is an engine, at its
-// old address.
+// Restart starts a killed stand-in again at its previous address. An engine
+// restarts empty.
 func (f *Fleet) Restart(name string) error {
 	f.mu.Lock()
 	host, found := f.hosts[name]
 	f.mu.Unlock()
 	if !found {
-		return fmt.Errorf("%s: %w", name, ErrNoHost)
+		return fmt.Errorf("%s: %w", name, ErrNoStandIn)
 	}
 	return f.start(name, host)
 }
 
-// Leave makes an engine leave: it takes no new work, and the machine list says
-// so after its lag.
+// Leave makes an engine leave: it refuses new requests, and the machine list
+// shows it as leaving after the list's lag.
 func (f *Fleet) Leave(id string) error {
 	engine, found := f.Engine(id)
 	if !found {
-		return fmt.Errorf("%s: %w", id, ErrNoHost)
+		return fmt.Errorf("%s: %w", id, ErrNoStandIn)
 	}
 	engine.Leave(true)
 	f.Machines.Leave(id, true)
 	return nil
 }
 
-// Engine finds an engine.
+// Engine returns an engine by its ID.
 func (f *Fleet) Engine(id string) (*Engine, bool) {
 	for _, engine := range f.Engines {
 		if engine.ID() == id {
@@ -304,7 +306,7 @@
 	return nil, false
 }
 
-// URL gives a stand-in's base URL.
+// URL returns a stand-in's base URL, or an empty string if there is no stand-in of that name.
 func (f *Fleet) URL(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -314,8 +316,8 @@
 	return ""
 }
 
-// PlatformConfig gives the settings of a node that uses this fleet; without
-// the other site unless asked.
+// PlatformConfig returns the client settings of a node that uses this fleet. They
+// include the other site only if withSite is true.
 func (f *Fleet) PlatformConfig(withSite bool) httpclient.Config {
 	config := httpclient.DefaultConfig()
 	config.TableURL = f.URL("table")
@@ -328,7 +330,7 @@
 	return config
 }
 
-// Host is a stand-in's address on a netsim.Network.
+// Host returns a stand-in's address on a netsim.Network.
 func (f *Fleet) Host(name string) netip.Addr {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -341,7 +343,7 @@
 // ClientHost is the address that Clients dials from on a netsim.Network.
 var ClientHost = netip.MustParseAddr("10.201.0.1")
 
-// Clients makes one set of adapters to the fleet.
+// Clients returns a set of clients for the fleet's stand-ins.
 func (f *Fleet) Clients(withSite bool) (*httpclient.Clients, error) {
 	if f.config.Network == nil {
 		return httpclient.New(f.PlatformConfig(withSite))
@@ -349,7 +351,7 @@
 	return httpclient.NewWithDial(f.PlatformConfig(withSite), f.config.Network.Host(ClientHost).DialContext)
 }
 
-// Ledger joins the ledgers of all engines.
+// Ledger returns the ledger entries of all engines.
 func (f *Fleet) Ledger() []LedgerEntry {
 	var entries []LedgerEntry
 	for _, engine := range f.Engines {
@@ -358,7 +360,7 @@
 	return entries
 }
 
-// Close ends all stand-ins and waits for them.
+// Close stops all stand-ins and waits for them.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	hosts := make([]*fleetHost, 0, len(f.hosts))
@@ -376,6 +378,6 @@
 	}
 }
 
-// lingerTime is how long net/http keeps goroutines for connections that it has
-// closed; tests in virtual time must outlive them.
+// lingerTime covers the time for which net/http keeps goroutines for connections
+// that it has closed. Tests in virtual time must not end before these goroutines.
 const lingerTime = time.Second
--- a/internal/emulator/intent_test.go
+++ b/internal/emulator/intent_test.go
@@ -8,16 +8,16 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// An attempt that was cancelled before it came never runs, and neither does
-// one that was meant for an earlier life of the engine.
-func TestEngineVouchesForAttemptsThatNeverCame(t *testing.T) {
+// An attempt that was cancelled before it arrived never runs, and neither does
+// an attempt for an earlier incarnation of the engine.
+func TestEngineRefusesAttemptsCancelledBeforeArrival(t *testing.T) {
 	engine := NewEngine(DefaultEngineConfig(), nil)
 	late := wire.GenerateRequest{Attempt: "late", Model: engine.config.Models[0].Model, Prompt: "p", MaxTokens: 1, Incarnation: engine.incarnation()}
 	if report := engine.cancel(late.Attempt); !report.Never || report.Incarnation != late.Incarnation {
-		t.Fatalf("cancel of an attempt that never came: %+v", report)
+		t.Fatalf("cancel of an attempt that never arrived: %+v; want Never and the incarnation", report)
 	}
 	if _, err := engine.generate(late, ""); err == nil {
-		t.Error("an attempt cancelled before it came was taken")
+		t.Error("an attempt cancelled before it arrived was accepted")
 	}
 	other := late
 	other.Attempt = "other"
@@ -25,11 +25,11 @@
 		t.Fatal(err)
 	}
 	if report := engine.cancel(other.Attempt); report.Never {
-		t.Error("the engine vouches for an attempt that came")
+		t.Error("cancel reports Never for an attempt that arrived")
 	}
 	engine.crash()
 	var refused *refusal
 	if _, err := engine.generate(other, ""); !errors.As(err, &refused) || refused.code != backend.CodeFenced {
-		t.Errorf("an attempt of an earlier life: %v", err)
+		t.Errorf("attempt for an earlier incarnation: %v; want CodeFenced", err)
 	}
 }
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -6,50 +6,50 @@
 	"ringstream.example/ringstream/internal/backend"
 )
 
-// The ends of an attempt in a ledger. The first two are also finish reasons.
+// The values of LedgerEntry.End. The first two are also finish reasons.
 const (
 	endLength    = "length"
 	endCancelled = "cancelled"
 	endCrashed   = "crashed"
 )
 
-// LedgerEntry is one attempt that was offered to an engine, for checkers.
+// LedgerEntry is the record of one attempt that was offered to an engine, for checkers.
 type LedgerEntry struct {
 	Engine     string           `json:"engine"`
 	Attempt    string           `json:"attempt"`
 	Model      string           `json:"model"`
 	PromptHash uint64           `json:"prompt_hash"` // PromptHash(model, prompt)
 	Priority   backend.Priority `json:"priority"`
-	Kept       int              `json:"kept"` // tokens that came with the request
+	Kept       int              `json:"kept"` // output tokens that were sent with the request
 	MaxTokens  int              `json:"max_tokens"`
-	// From is the address that the request came from, without its port.
+	// From is the remote address of the request, without its port.
 	From string `json:"from,omitempty"`
-	// OfferedAt is when the request came; it is set also for refused ones.
+	// OfferedAt is the arrival time of the request. It is also set for refused requests.
 	OfferedAt time.Time `json:"offered_at"`
-	// Refused is the code of the refusal; empty when the engine took it.
+	// Refused is the code of the refusal; empty when the engine accepted the attempt.
 	Refused string `json:"refused,omitempty"`
-	// BatchRunning and Queued are what the engine held when it refused:
-	// batch sequences in the running batch, and sequences waiting.
+	// BatchRunning and Queued are the numbers of running sequences of batch
+	// priority and of waiting sequences when the engine refused the attempt.
 	BatchRunning int `json:"batch_running,omitempty"`
 	Queued       int `json:"queued,omitempty"`
-	// LeavingFor is how long the engine had been leaving when it refused.
+	// LeavingFor is how long the engine had been leaving when it refused the attempt.
 	LeavingFor time.Duration `json:"leaving_for,omitempty"`
-	// Repeats counts later requests with the same attempt, which joined it.
+	// Repeats counts later requests for the same attempt, which joined it.
 	Repeats      int       `json:"repeats,omitempty"`
-	StartedAt    time.Time `json:"started_at,omitzero"` // entered the batch
+	StartedAt    time.Time `json:"started_at,omitzero"` // first entered the running batch
 	FirstTokenAt time.Time `json:"first_token_at,omitzero"`
-	EndedAt      time.Time `json:"ended_at,omitzero"` // zero: it still holds a place
+	EndedAt      time.Time `json:"ended_at,omitzero"` // zero while the attempt is queued or running
 	CancelledAt  time.Time `json:"cancelled_at,omitzero"`
-	// End is "length", "cancelled" or "crashed"; empty while it holds a place.
+	// End is "length", "cancelled" or "crashed"; empty while the attempt is queued or running.
 	End         string `json:"end,omitempty"`
-	Tokens      int    `json:"tokens"` // made here, kept ones excluded
+	Tokens      int    `json:"tokens"` // generated here, without the kept tokens
 	Preemptions int    `json:"preemptions,omitempty"`
 }
 
-// Ran says that the engine made at least one step for the attempt.
+// Ran reports whether the attempt entered the running batch.
 func (e LedgerEntry) Ran() bool { return !e.StartedAt.IsZero() }
 
-// ledger remembers the newest entries.
+// ledger keeps the newest entries.
 type ledger struct {
 	engine  string
 	limit   int
@@ -75,11 +75,11 @@
 	return entries
 }
 
-// Usage is what an engine did since it was made.
+// Usage holds an engine's totals since it was created.
 type Usage struct {
 	Steps       int     `json:"steps"`
 	BusySeconds float64 `json:"busy_seconds"`
-	// Sequence seconds: time in the batch, summed over sequences.
+	// Sequence seconds are the time in the running batch, summed over sequences.
 	OnlineSequenceSeconds float64 `json:"online_sequence_seconds"`
 	BatchSequenceSeconds  float64 `json:"batch_sequence_seconds"`
 	OnlineTokens          int     `json:"online_tokens"`
--- a/internal/emulator/orders.go
+++ b/internal/emulator/orders.go
@@ -8,28 +8,28 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// loading is a model version or adapter on its way from the weight store.
+// loading is a model version or adapter that is being loaded from the weight store.
 type loading struct {
-	order wire.Order
-	done  time.Time
+	order  wire.Order
+	doneAt time.Time
 }
 
-// order takes a fenced order. Loads are done later; a repeated order is taken
-// once.
-func (e *Engine) order(order wire.Order) error {
+// applyOrder applies an order unless its epoch is stale. Loads complete later. A
+// repeated order is applied once.
+func (e *Engine) applyOrder(order wire.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if order.Epoch < e.epoch {
+	if order.Epoch < e.highestEpoch {
 		return &refusal{backend.CodeFenced, "an order of a higher epoch was taken"}
 	}
-	e.settleLoads(now)
-	if e.orders[order.ID] {
+	e.completeLoads(now)
+	if e.appliedOrders[order.ID] {
 		return nil
 	}
 	switch backend.OrderKind(order.Kind) {
 	case backend.OrderLoadModel, backend.OrderLoadAdapter:
-		if err := e.load(order, now); err != nil {
+		if err := e.startLoad(order, now); err != nil {
 			return err
 		}
 	case backend.OrderUnloadModel:
@@ -48,13 +48,13 @@
 	default:
 		return &refusal{backend.CodeInvalid, "no such kind of order"}
 	}
-	e.epoch = order.Epoch
-	e.orders[order.ID] = true
+	e.highestEpoch = order.Epoch
+	e.appliedOrders[order.ID] = true
 	return nil
 }
 
-// load books a load in the weight store.
-func (e *Engine) load(order wire.Order, now time.Time) error {
+// startLoad reserves a load in the weight store and adds it to the pending loads.
+func (e *Engine) startLoad(order wire.Order, now time.Time) error {
 	done := now.Add(e.config.LoadTime)
 	if e.weights != nil {
 		booked, found := e.weights.reserve(order.Model, order.Version, order.Adapter)
@@ -63,24 +63,24 @@
 		}
 		done = booked
 	}
-	e.loading = append(e.loading, loading{order: order, done: done})
+	e.loading = append(e.loading, loading{order: order, doneAt: done})
 	return nil
 }
 
-// settleLoads makes loads that are done usable.
-func (e *Engine) settleLoads(now time.Time) {
+// completeLoads makes loaded models and adapters available.
+func (e *Engine) completeLoads(now time.Time) {
 	pending := e.loading[:0]
 	for _, load := range e.loading {
-		if load.done.After(now) {
+		if load.doneAt.After(now) {
 			pending = append(pending, load)
 			continue
 		}
-		e.loadedNow(load.order)
+		e.addLoaded(load.order)
 	}
 	e.loading = pending
 }
 
-func (e *Engine) loadedNow(order wire.Order) {
+func (e *Engine) addLoaded(order wire.Order) {
 	if backend.OrderKind(order.Kind) == backend.OrderLoadAdapter {
 		e.eachVersion(order, func(m *backend.LoadedModel) {
 			if !slices.Contains(m.Adapters, order.Adapter) {
@@ -89,7 +89,7 @@
 		})
 		return
 	}
-	if !e.loaded(order.Model, order.Version, "") || order.Version == "" {
+	if !e.isLoaded(order.Model, order.Version, "") || order.Version == "" {
 		e.models = append(e.models, backend.LoadedModel{Model: order.Model, Version: order.Version})
 	}
 }
@@ -102,9 +102,9 @@
 	}
 }
 
-// loaded says whether the engine can run the model; an empty version or
-// adapter asks for none in particular.
-func (e *Engine) loaded(model, version, adapter string) bool {
+// isLoaded reports whether the engine can run the model. An empty version matches
+// any version, and an empty adapter requires none.
+func (e *Engine) isLoaded(model, version, adapter string) bool {
 	return slices.ContainsFunc(e.models, func(m backend.LoadedModel) bool {
 		return m.Model == model && (version == "" || m.Version == version) &&
 			(adapter == "" || slices.Contains(m.Adapters, adapter))
--- a/internal/emulator/site.go
+++ b/internal/emulator/site.go
@@ -15,52 +15,54 @@
 	"ringstream.example/ringstream/internal/wait"
 )
 
-// SiteRun is one request that the other site was given.
+// SiteRun is one request that the other site received.
 type SiteRun struct {
 	At             time.Time `json:"at"`
 	PromptHash     uint64    `json:"prompt_hash"`
 	IdempotencyKey string    `json:"idempotency_key,omitempty"`
 	Hop            bool      `json:"hop"`
-	// Repeat: the key had been seen, and the earlier answer was given again.
+	// Repeat means that the key was seen before: the same answer is returned, and
+	// the request counts as not run again.
 	Repeat bool `json:"repeat"`
-	// Forwarded: handed to our site and not run here.
+	// Forwarded means that the request was forwarded to our site and not run here.
 	Forwarded bool `json:"forwarded"`
 }
 
-// Site is the other site: an OpenAI-shaped API with the text that our engines
-// make. A request under a key that it has seen is not run again.
+// Site emulates the other site with an OpenAI-compatible API that returns the
+// same text as our engines. A request with an idempotency key seen before counts
+// as a repeat that is not run again.
 type Site struct {
 	Faults *Faults
 
-	stepTime time.Duration
-	client   *http.Client
+	tokenInterval time.Duration
+	client        *http.Client
 
 	mu        sync.Mutex
 	runs      []SiteRun
-	seen      map[string]bool // idempotency keys
+	seenKeys  map[string]bool // idempotency keys
 	forwardTo string
 }
 
-// NewSite makes the other site; it makes a token every stepTime.
-func NewSite(seed uint64, stepTime time.Duration) *Site {
+// NewSite returns the other site. It generates a token every tokenInterval.
+func NewSite(seed uint64, tokenInterval time.Duration) *Site {
 	return &Site{
-		Faults: newFaults("site", seed, FaultSettings{}), stepTime: stepTime,
-		client: &http.Client{}, seen: map[string]bool{},
+		Faults: newFaults("site", seed, FaultSettings{}), tokenInterval: tokenInterval,
+		client: &http.Client{}, seenKeys: map[string]bool{},
 	}
 }
 
-// Handler is the other site's callers' API.
+// Handler returns the other site's API for callers.
 func (s *Site) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", s.Faults.wrap("completions", s.serve))
 	mux.HandleFunc("POST /v1/chat/completions", s.Faults.wrap("chat_completions", s.serve))
 	mux.HandleFunc("GET /admin/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Runs()) })
-	s.Faults.admin(mux)
+	s.Faults.registerAdmin(mux)
 	return mux
 }
 
-// ForwardTo has requests without a hop mark handed to our site's base URL;
-// empty: none.
+// ForwardTo makes the site forward requests without a hop header to our site's
+// base URL. An empty URL turns forwarding off.
 func (s *Site) ForwardTo(base string, transport http.RoundTripper) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,14 +70,14 @@
 	s.client = &http.Client{Transport: transport}
 }
 
-// Runs gives the requests that came, oldest first.
+// Runs returns the requests received, oldest first.
 func (s *Site) Runs() []SiteRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]SiteRun(nil), s.runs...)
 }
 
-// siteRequest is the part of an OpenAI request that matters here.
+// siteRequest holds the fields of an OpenAI request that the site uses.
 type siteRequest struct {
 	Model               string               `json:"model"`
 	Prompt              string               `json:"prompt"`
@@ -85,7 +87,7 @@
 	Messages            []chatprompt.Message `json:"messages"`
 }
 
-// prompt gives the text that the model sees.
+// prompt returns the prompt text for the model.
 func (r siteRequest) prompt() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -124,17 +126,18 @@
 		s.writeStream(w, r, request.Model, tokens, chat)
 		return
 	}
-	if wait.For(r.Context(), time.Duration(len(tokens))*s.stepTime) {
+	if wait.For(r.Context(), time.Duration(len(tokens))*s.tokenInterval) {
 		text := strings.Join(tokens, "")
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = fmt.Fprintf(w, `{"id":"other-site","object":%q,"created":%d,"model":%q,"choices":[{"index":0,%s,"finish_reason":"length"}],`+
 			`"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`,
-			object(chat, false), time.Now().Unix(), request.Model, choice(chat, "message", text),
+			objectType(chat, false), time.Now().Unix(), request.Model, choiceField(chat, "message", text),
 			backend.PromptTokens(request.prompt()), len(tokens), backend.PromptTokens(request.prompt())+len(tokens))
 	}
 }
 
-// record notes a request; a target is given when it is handed on.
+// record stores a request. It returns a target and client if the request is to be
+// forwarded.
 func (s *Site) record(r *http.Request, request siteRequest) (target string, client *http.Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,8 +147,8 @@
 	}
 	run.Forwarded = s.forwardTo != "" && !run.Hop
 	if run.IdempotencyKey != "" && !run.Forwarded {
-		run.Repeat = s.seen[run.IdempotencyKey]
-		s.seen[run.IdempotencyKey] = true
+		run.Repeat = s.seenKeys[run.IdempotencyKey]
+		s.seenKeys[run.IdempotencyKey] = true
 	}
 	s.runs = append(s.runs, run)
 	if run.Forwarded {
@@ -154,7 +157,7 @@
 	return "", nil
 }
 
-// forward hands a request to our site, marked so that it does not come back.
+// forward sends a request to our site, with a hop header so that it is not sent back.
 func (s *Site) forward(w http.ResponseWriter, r *http.Request, body []byte, target string, client *http.Client) {
 	outgoing, err := http.NewRequestWithContext(r.Context(), http.MethodPost, target+r.URL.Path, bytes.NewReader(body))
 	if err != nil {
@@ -165,19 +168,19 @@
 	outgoing.Header.Set(backend.HopHeader, "1")
 	response, err := client.Do(outgoing)
 	if err != nil {
-		panic(http.ErrAbortHandler) // whether it ran is not known
+		panic(http.ErrAbortHandler) // it is unknown whether the request ran
 	}
 	defer func() { _ = response.Body.Close() }()
 	w.Header().Set("Content-Type", response.Header.Get("Content-Type"))
 	w.WriteHeader(response.StatusCode)
-	_, _ = io.Copy(w, response.Body) // the caller may have gone
+	_, _ = io.Copy(w, response.Body) // the caller may have disconnected
 }
 
 func (s *Site) writeStream(w http.ResponseWriter, r *http.Request, model string, tokens []string, chat bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
 	for i, token := range tokens {
-		if !wait.For(r.Context(), s.stepTime) {
+		if !wait.For(r.Context(), s.tokenInterval) {
 			return
 		}
 		finish := "null"
@@ -185,15 +188,15 @@
 			finish = `"length"`
 		}
 		_, err := fmt.Fprintf(w, `data: {"id":"other-site","object":%q,"created":%d,"model":%q,"choices":[{"index":0,%s,"finish_reason":%s}]}`+"\n\n",
-			object(chat, true), time.Now().Unix(), model, choice(chat, "delta", token), finish)
+			objectType(chat, true), time.Now().Unix(), model, choiceField(chat, "delta", token), finish)
 		if err != nil || flush.Flush() != nil {
 			return
 		}
 	}
-	_, _ = io.WriteString(w, "data: [DONE]\n\n") // the caller may have gone
+	_, _ = io.WriteString(w, "data: [DONE]\n\n") // the caller may have disconnected
 }
 
-func object(chat, stream bool) string {
+func objectType(chat, stream bool) string {
 	switch {
 	case chat && stream:
 		return "chat.completion.chunk"
@@ -204,8 +207,8 @@
 	}
 }
 
-// choice gives the field that holds the text; vocabulary words need no escapes.
-func choice(chat bool, field, text string) string {
+// choiceField returns the field that holds the text. Words of the vocabulary need no escapes.
+func choiceField(chat bool, field, text string) string {
 	if chat {
 		return fmt.Sprintf(`%q:{"role":"assistant","content":%q}`, field, text)
 	}
--- a/internal/emulator/storage.go
+++ b/internal/emulator/storage.go
@@ -13,7 +13,7 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// Objects is the object store.
+// Objects emulates the object store.
 type Objects struct {
 	Faults *Faults
 
@@ -21,7 +21,7 @@
 	bodies map[string][]byte
 }
 
-// NewObjects makes an empty object store with a rate of calls a second.
+// NewObjects returns an empty object store with a limit of calls per second; zero means no limit.
 func NewObjects(seed uint64, ratePerSecond float64) *Objects {
 	return &Objects{
 		Faults: newFaults("objects", seed, FaultSettings{RatePerSecond: ratePerSecond}),
@@ -29,14 +29,14 @@
 	}
 }
 
-// Handler is the store's HTTP API.
+// Handler returns the store's HTTP API.
 func (o *Objects) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+wire.PathObject, o.Faults.wrap("put", o.put))
 	mux.HandleFunc("GET "+wire.PathObject, o.Faults.wrap("get", o.get))
 	mux.HandleFunc("DELETE "+wire.PathObject, o.Faults.wrap("delete", o.remove))
 	mux.HandleFunc("GET "+wire.PathObjects, o.Faults.wrap("list", o.list))
-	o.Faults.admin(mux)
+	o.Faults.registerAdmin(mux)
 	return mux
 }
 
@@ -59,7 +59,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(body) // the caller may have gone
+	_, _ = w.Write(body) // the caller may have disconnected
 }
 
 func (o *Objects) remove(w http.ResponseWriter, r *http.Request) {
@@ -80,7 +80,7 @@
 	writeJSON(w, wire.Names{Names: names})
 }
 
-// Object gives an object's body.
+// Object returns an object's body and whether the object exists.
 func (o *Objects) Object(name string) ([]byte, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -88,7 +88,7 @@
 	return body, found
 }
 
-// Names gives the names with a prefix, in order.
+// Names returns the names with a prefix in ascending order.
 func (o *Objects) Names(prefix string) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -102,7 +102,7 @@
 	return names
 }
 
-// Weights is the weight store. All loads share its rate, one after another.
+// Weights emulates the weight store. Loads run one after another at its rate.
 type Weights struct {
 	Faults *Faults
 
@@ -112,7 +112,7 @@
 	busyUntil time.Time
 }
 
-// NewWeights makes a weight store that gives budget bytes a second.
+// NewWeights returns a weight store that transfers budget bytes per second.
 func NewWeights(seed uint64, budget int64, artifacts []backend.Artifact) *Weights {
 	w := &Weights{Faults: newFaults("weights", seed, FaultSettings{}), budget: budget}
 	for _, artifact := range artifacts {
@@ -121,7 +121,7 @@
 	return w
 }
 
-// Handler is the store's HTTP API.
+// Handler returns the store's HTTP API.
 func (w *Weights) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathArtifacts, w.Faults.wrap("artifacts", func(out http.ResponseWriter, _ *http.Request) {
@@ -133,12 +133,12 @@
 	mux.HandleFunc("GET "+wire.PathBudget, w.Faults.wrap("budget", func(out http.ResponseWriter, _ *http.Request) {
 		writeJSON(out, wire.Budget{BytesPerSecond: w.budget})
 	}))
-	w.Faults.admin(mux)
+	w.Faults.registerAdmin(mux)
 	return mux
 }
 
-// reserve books one load and gives the time at which it will be done; false
-// when there is no such artifact or the store is out of service.
+// reserve reserves one load and returns the time at which it completes. It
+// returns false when there is no such artifact or the store is out of service.
 func (w *Weights) reserve(model, version, adapter string) (time.Time, bool) {
 	if settings := w.Faults.Settings(); settings.Outage || settings.Hang {
 		return time.Time{}, false
@@ -160,13 +160,13 @@
 	return time.Time{}, false
 }
 
-// Machines is the platform's machine list. Readers see it as it was Lag ago.
+// Machines emulates the platform's machine list. Readers see changes after a lag.
 type Machines struct {
 	Faults *Faults
 
 	mu       sync.Mutex
 	lag      time.Duration
-	versions []machineVersion // oldest first; only the last of those past the lag is kept
+	versions []machineVersion // oldest first; of the versions past the lag only the newest is kept
 }
 
 type machineVersion struct {
@@ -175,7 +175,7 @@
 	machines []backend.Machine
 }
 
-// NewMachines makes a list with these machines, visible at once.
+// NewMachines returns a list with these machines, which are visible at once.
 func NewMachines(seed uint64, lag time.Duration, machines []backend.Machine) *Machines {
 	return &Machines{
 		Faults: newFaults("machines", seed, FaultSettings{}), lag: lag,
@@ -183,11 +183,11 @@
 	}
 }
 
-// Handler is the list's HTTP API.
+// Handler returns the list's HTTP API.
 func (m *Machines) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathMachineList, m.Faults.wrap("list", m.list))
-	m.Faults.admin(mux)
+	m.Faults.registerAdmin(mux)
 	return mux
 }
 
@@ -205,7 +205,7 @@
 	writeJSON(w, answer)
 }
 
-// visible is the version that readers see, and drops older ones.
+// visible returns the version that readers see, and removes older ones.
 func (m *Machines) visible(now time.Time) machineVersion {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -228,7 +228,7 @@
 	})
 }
 
-// Remove takes a machine off the list.
+// Remove removes a machine from the list.
 func (m *Machines) Remove(id string) {
 	m.change(func(machines []backend.Machine) []backend.Machine {
 		return slices.DeleteFunc(machines, func(machine backend.Machine) bool { return machine.ID == id })
@@ -247,7 +247,7 @@
 	})
 }
 
-// SetLag changes how late readers see changes.
+// SetLag sets the delay before readers see changes.
 func (m *Machines) SetLag(lag time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -263,7 +263,7 @@
 	})
 }
 
-// Current gives the list as it really is.
+// Current returns the current list, regardless of the lag.
 func (m *Machines) Current() []backend.Machine {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/emulator/table.go
+++ b/internal/emulator/table.go
@@ -12,29 +12,29 @@
 	"ringstream.example/ringstream/internal/backend/wire"
 )
 
-// Commit is one transaction that the table service decided.
+// Commit is the record of one transaction, applied or not.
 type Commit struct {
 	At      time.Time `json:"at"`
 	ID      string    `json:"id"`
-	Keys    []string  `json:"keys"` // written
+	Keys    []string  `json:"keys"` // keys to be written
 	Applied bool      `json:"applied"`
 }
 
-// commitLogSize bounds the log of transactions.
+// commitLogSize is the maximum number of transactions in the log.
 const commitLogSize = 200_000
 
-// Table is the transactional table service.
+// Table emulates the transactional table service.
 type Table struct {
 	Faults *Faults
 
 	mu      sync.Mutex
 	records *btree.BTreeG[wire.Record]
-	version uint64 // rises with each write of any record: no version is ever reused
+	version uint64 // increases with each write of any record, so that no version is reused
 	commits []Commit
 	applied int
 }
 
-// NewTable makes an empty table service with a rate of calls a second.
+// NewTable returns an empty table service with a limit of calls per second; zero means no limit.
 func NewTable(seed uint64, ratePerSecond float64) *Table {
 	const degree = 32
 	return &Table{
@@ -43,13 +43,13 @@
 	}
 }
 
-// Handler is the service's HTTP API.
+// Handler returns the service's HTTP API.
 func (t *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathRecord, t.Faults.wrap("get", t.get))
 	mux.HandleFunc("GET "+wire.PathRecords, t.Faults.wrap("list", t.list))
 	mux.HandleFunc("POST "+wire.PathCommit, t.Faults.wrap("commit", t.commit))
-	t.Faults.admin(mux)
+	t.Faults.registerAdmin(mux)
 	return mux
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// Record gives a record; Version 0 when absent.
+// Record returns a record. Its Version is 0 when the record does not exist.
 func (t *Table) Record(key string) wire.Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,10 +82,10 @@
 	return record
 }
 
-// Records gives all records with a prefix, by key.
+// Records returns all records with a prefix in key order.
 func (t *Table) Records(prefix string) []wire.Record { return t.page(prefix, "", 0) }
 
-// page lists records; limit 0: all.
+// page returns the records with a prefix after a key; limit 0 means all.
 func (t *Table) page(prefix, after string, limit int) []wire.Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +103,7 @@
 	return page
 }
 
-// Apply decides one transaction.
+// Apply applies one transaction if all its compares match, and logs it.
 func (t *Table) Apply(transaction wire.Transaction) wire.CommitResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,22 +147,22 @@
 	t.commits = append(t.commits, entry)
 }
 
-// Commits gives the transactions decided, oldest first; the oldest are
-// forgotten after some hundred thousand.
+// Commits returns the logged transactions, oldest first. The log holds at most
+// commitLogSize transactions; older ones are removed.
 func (t *Table) Commits() []Commit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Commit(nil), t.commits...)
 }
 
-// Applied counts the transactions that took effect.
+// Applied returns the number of transactions that took effect.
 func (t *Table) Applied() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.applied
 }
 
-// pageOf reads the query of a list.
+// pageOf returns the query parameters of a list call. The limit defaults to 1000.
 func pageOf(r *http.Request) (prefix, after string, limit int) {
 	query := r.URL.Query()
 	limit, err := strconv.Atoi(query.Get("limit"))
@@ -173,7 +173,7 @@
 	return query.Get("prefix"), query.Get("after"), limit
 }
 
-// Version of the last write; for tests that watch for progress.
+// Version returns the version of the last write, for tests that watch for progress.
 func (t *Table) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/emulator/table_test.go
+++ b/internal/emulator/table_test.go
@@ -11,10 +11,10 @@
 	"ringstream.example/ringstream/internal/backend/httpclient"
 )
 
-func inBubble(t *testing.T, test func(t *testing.T, fleet *Fleet, clients *httpclient.Clients)) {
+func withFleet(t *testing.T, test func(t *testing.T, fleet *Fleet, clients *httpclient.Clients)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		fleet, _ := testFleet(t, nil)
+		fleet, _ := startTestFleet(t, nil)
 		defer fleet.Close()
 		clients, err := fleet.Clients(true)
 		if err != nil {
@@ -25,7 +25,7 @@
 	})
 }
 
-func put(id, key, value string, version uint64) backend.Transaction {
+func putTransaction(id, key, value string, version uint64) backend.Transaction {
 	return backend.Transaction{
 		ID: id, Compares: []backend.Compare{{Key: key, Version: version}},
 		Writes: []backend.Write{{Key: key, Value: []byte(value)}},
@@ -33,36 +33,36 @@
 }
 
 func TestTableComparesAndNeverReusesVersions(t *testing.T) {
-	inBubble(t, func(t *testing.T, _ *Fleet, clients *httpclient.Clients) {
+	withFleet(t, func(t *testing.T, _ *Fleet, clients *httpclient.Clients) {
 		table := clients.Table
-		first, err := table.Commit(t.Context(), put("t1", "k", "one", 0))
+		first, err := table.Commit(t.Context(), putTransaction("t1", "k", "one", 0))
 		if err != nil || !first.Applied {
-			t.Fatalf("%+v, %v", first, err)
+			t.Fatalf("first commit: %+v, %v", first, err)
 		}
-		lost, err := table.Commit(t.Context(), put("t2", "k", "two", 0))
+		lost, err := table.Commit(t.Context(), putTransaction("t2", "k", "two", 0))
 		if err != nil || lost.Applied || len(lost.Conflicts) != 1 || lost.Conflicts[0].TransactionID != "t1" {
-			t.Errorf("%+v, %v", lost, err)
+			t.Errorf("commit with a stale version: %+v, %v; want a conflict with t1", lost, err)
 		}
 		remove := backend.Transaction{ID: "t3", Writes: []backend.Write{{Key: "k", Delete: true}}}
 		if result, err := table.Commit(t.Context(), remove); err != nil || !result.Applied {
-			t.Errorf("%+v, %v", result, err)
+			t.Errorf("delete: %+v, %v", result, err)
 		}
-		again, err := table.Commit(t.Context(), put("t4", "k", "three", 0))
+		again, err := table.Commit(t.Context(), putTransaction("t4", "k", "three", 0))
 		if err != nil || !again.Applied || again.Versions[0] <= first.Versions[0] {
-			t.Errorf("%+v, %v", again, err)
+			t.Errorf("create after the delete: %+v, %v; want a version above the first", again, err)
 		}
 		record, err := table.Get(t.Context(), "k")
 		want := backend.Record{Key: "k", Version: again.Versions[0], TransactionID: "t4", Value: []byte("three")}
 		if diff := cmp.Diff(want, record); diff != "" || err != nil {
-			t.Errorf("%v, -want +got:\n%s", err, diff)
+			t.Errorf("get: error %v, -want +got:\n%s", err, diff)
 		}
 	})
 }
 
 func TestTableListsByPage(t *testing.T) {
-	inBubble(t, func(t *testing.T, _ *Fleet, clients *httpclient.Clients) {
+	withFleet(t, func(t *testing.T, _ *Fleet, clients *httpclient.Clients) {
 		for _, key := range []string{"a/1", "b/1", "b/2", "b/3", "c/1"} {
-			if _, err := clients.Table.Commit(t.Context(), put(key, key, key, 0)); err != nil {
+			if _, err := clients.Table.Commit(t.Context(), putTransaction(key, key, key, 0)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestTableFaultsSayTheTruthOfTheirEffect(t *testing.T) {
+func TestTableFaultsReportTheirEffect(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults  FaultSettings
 		code    backend.ErrorCode
@@ -101,17 +101,17 @@
 		"over rate":    {FaultSettings{RatePerSecond: 0.001}, backend.CodeRateLimited, backend.EffectNone, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
+			withFleet(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
 				fleet.Table.Faults.Set(test.faults)
 				if test.code == backend.CodeRateLimited {
 					_, _ = clients.Table.Get(t.Context(), "takes the only place")
 				}
-				_, err := clients.Table.Commit(t.Context(), put("t", "k", "v", 0))
-				if code, effect := codeOf(err); code != test.code || effect != test.effect {
-					t.Errorf("got %v (%v), want %s, effect %v", err, effect, test.code, test.effect)
+				_, err := clients.Table.Commit(t.Context(), putTransaction("t", "k", "v", 0))
+				if code, effect := errorCode(err); code != test.code || effect != test.effect {
+					t.Errorf("got error %v with effect %v; want %s with effect %v", err, effect, test.code, test.effect)
 				}
 				if applied := fleet.Table.Record("k").Version > 0; applied != test.applied {
-					t.Errorf("applied: %v, want %v", applied, test.applied)
+					t.Errorf("transaction applied: %v; want %v", applied, test.applied)
 				}
 			})
 		})
@@ -119,50 +119,50 @@
 }
 
 func TestAStandInThatIsDownDoesNothing(t *testing.T) {
-	inBubble(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
+	withFleet(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
 		if err := fleet.Kill("table"); err != nil {
 			t.Fatal(err)
 		}
-		_, err := clients.Table.Commit(t.Context(), put("t", "k", "v", 0))
-		if _, effect := codeOf(err); err == nil || effect != backend.EffectNone {
-			t.Errorf("got %v", err)
+		_, err := clients.Table.Commit(t.Context(), putTransaction("t", "k", "v", 0))
+		if _, effect := errorCode(err); err == nil || effect != backend.EffectNone {
+			t.Errorf("commit at a killed table service: %v; want an error with EffectNone", err)
 		}
 		if err := fleet.Restart("table"); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := clients.Table.Commit(t.Context(), put("t", "k", "v", 0)); err != nil {
+		if _, err := clients.Table.Commit(t.Context(), putTransaction("t", "k", "v", 0)); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
 func TestObjectsComeBackWhole(t *testing.T) {
-	inBubble(t, func(t *testing.T, _ *Fleet, clients *httpclient.Clients) {
+	withFleet(t, func(t *testing.T, _ *Fleet, clients *httpclient.Clients) {
 		if err := clients.Objects.Put(t.Context(), "jobs/a b/1", []byte("body")); err != nil {
 			t.Fatal(err)
 		}
 		body, err := clients.Objects.Get(t.Context(), "jobs/a b/1")
 		if err != nil || string(body) != "body" {
-			t.Errorf("%q, %v", body, err)
+			t.Errorf("get: body %q, error %v", body, err)
 		}
 		names, err := clients.Objects.List(t.Context(), "jobs/", "", 10)
 		if diff := cmp.Diff([]string{"jobs/a b/1"}, names); diff != "" || err != nil {
-			t.Errorf("%v %s", err, diff)
+			t.Errorf("list: error %v, -want +got:\n%s", err, diff)
 		}
 		if err := clients.Objects.Delete(t.Context(), "jobs/a b/1"); err != nil {
 			t.Error(err)
 		}
 		if _, err := clients.Objects.Get(t.Context(), "jobs/a b/1"); !isCode(err, backend.CodeNotFound) {
-			t.Errorf("%v", err)
+			t.Errorf("get of a deleted object: %v; want CodeNotFound", err)
 		}
 	})
 }
 
 func TestTheMachineListLags(t *testing.T) {
-	inBubble(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
+	withFleet(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
 		first, err := clients.Machines.Machines(t.Context(), 0)
 		if err != nil || len(first.Machines) != 2 {
-			t.Fatalf("%+v, %v", first, err)
+			t.Fatalf("first read: %+v, %v; want 2 machines", first, err)
 		}
 		fleet.Machines.Remove(first.Machines[0].ID)
 		time.Sleep(time.Second)
@@ -177,20 +177,20 @@
 }
 
 func TestTheOtherSiteRunsAKeyOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
+	withFleet(t, func(t *testing.T, fleet *Fleet, clients *httpclient.Clients) {
 		forwarded := backend.SiteRequest{
 			Path: "/v1/completions", Body: []byte(`{"model":"fleetlink-llm","prompt":"p","max_tokens":3}`), IdempotencyKey: "key",
 		}
 		for range 2 {
 			response, err := clients.Site.Forward(t.Context(), forwarded)
 			if err != nil || response.Status != 200 {
-				t.Fatalf("%+v, %v", response, err)
+				t.Fatalf("forwarded request: %+v, %v; want status 200", response, err)
 			}
 			_ = response.Body.Close()
 		}
 		runs := fleet.Site.Runs()
 		if len(runs) != 2 || !runs[0].Hop || runs[0].Repeat || !runs[1].Repeat {
-			t.Errorf("%+v", runs)
+			t.Errorf("runs of the other site: %+v; want two hops, the second a repeat", runs)
 		}
 	})
 }
