--- a/cmd/ringstream/command_test.go
+++ b/cmd/ringstream/command_test.go
@@ -27,7 +27,7 @@
 
 const testKey = "operator-key"
 
-// memoryRows is a table in memory; before is run ahead of each edit.
+// memoryRows is a row table in memory. If before is set, it runs ahead of each edit.
 type memoryRows struct {
 	table  *policy.Table
 	before func()
@@ -59,14 +59,14 @@
 	return membership.View{Self: "n1", Members: []membership.Member{{ID: "n1", Zone: "galway-hall"}}}
 }
 
-// console runs command lines against an admin server.
-type console struct {
+// testCLI runs command lines against an admin server.
+type testCLI struct {
 	t      *testing.T
 	rows   *memoryRows
 	server string
 }
 
-func startConsole(t *testing.T) *console {
+func startTestCLI(t *testing.T) *testCLI {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testKey))
 	keys, err := auth.NewKeys(auth.Config{Operators: []auth.OperatorKey{{Name: "alice", SHA256: []string{hex.EncodeToString(sum[:])}}}}, zap.NewNop())
@@ -86,10 +86,10 @@
 	go func() { done <- server.Run(ctx) }()
 	<-server.Listening()
 	t.Cleanup(func() { cancel(); <-done })
-	return &console{t: t, rows: table, server: "http://" + server.Address()}
+	return &testCLI{t: t, rows: table, server: "http://" + server.Address()}
 }
 
-func (c *console) run(input string, line ...string) (code int, output, errorOutput string) {
+func (c *testCLI) run(input string, line ...string) (code int, output, errorOutput string) {
 	c.t.Helper()
 	var out, errors bytes.Buffer
 	line = append(line, "--server", c.server, "--key", testKey)
@@ -98,20 +98,20 @@
 }
 
 func TestRowCommands(t *testing.T) {
-	c := startConsole(t)
+	c := startTestCLI(t)
 	code, out, text := c.run("", "row", "edit", "alerts", "--set", "weight=40", "--set", "limits.tokens_per_second=1.5", "--set", "match.tenant=7", "-o", "json")
 	var change admin.RowChange
 	if err := json.Unmarshal([]byte(out), &change); err != nil || code != exitOK {
-		t.Fatalf("%d %s %s %v", code, out, text, err)
+		t.Fatalf("edit: exit code %d, output %s, errors %s, decoding %v", code, out, text, err)
 	}
 	if change.Row.Weight != 40 || change.Row.Limits.TokensPerSecond != 1.5 || change.Row.Match.Tenant != "7" || change.Row.Revision != 2 {
-		t.Errorf("got %+v", change.Row)
+		t.Errorf("edited row: %+v", change.Row)
 	}
 	if code, out, _ := c.run("", "row", "list"); code != exitOK || !strings.Contains(out, "fleetlink-llm") {
-		t.Errorf("list: %d %s", code, out)
+		t.Errorf("list: exit code %d, output %s", code, out)
 	}
 	if code, out, _ := c.run("", "row", "get", "alerts"); code != exitOK || !strings.Contains(out, "interactive") {
-		t.Errorf("get: %d %s", code, out)
+		t.Errorf("get: exit code %d, output %s", code, out)
 	}
 	code, exported, _ := c.run("", "row", "export")
 	if code != exitOK {
@@ -119,21 +119,21 @@
 	}
 	changed := strings.Replace(exported, "weight: 40", "weight: 50", 1)
 	if code, out, text := c.run(changed, "row", "import", "-"); code != exitOK || c.rows.table.Revision() != 3 {
-		t.Errorf("import: %d %s %s", code, out, text)
+		t.Errorf("import: exit code %d, output %s, errors %s", code, out, text)
 	}
 	if code, out, text := c.run(changed, "row", "import", "-"); code != exitFailure || !strings.Contains(out, "conflict") || !strings.Contains(text, "1 of 1 rows were not imported") {
-		t.Errorf("import of an old file: %d %s %s", code, out, text)
+		t.Errorf("import of an old file: exit code %d, output %s, errors %s", code, out, text)
 	}
 	if code, _, text := c.run("", "row", "delete", "alerts"); code != exitOK || c.rows.table.Len() != 0 {
-		t.Errorf("delete: %d %s", code, text)
+		t.Errorf("delete: exit code %d, errors %s", code, text)
 	}
 	if code, _, _ := c.run("", "row", "get", "alerts"); code != exitNotFound {
-		t.Errorf("get of a deleted row: %d", code)
+		t.Errorf("get of a deleted row: exit code %d", code)
 	}
 }
 
 func TestLostRaceShowsTheCurrentRow(t *testing.T) {
-	c := startConsole(t)
+	c := startTestCLI(t)
 	c.rows.before = func() {
 		c.rows.before = nil
 		row, _ := c.rows.table.Row("alerts")
@@ -142,15 +142,15 @@
 	}
 	code, out, text := c.run("", "row", "edit", "alerts", "--set", "weight=40")
 	if code != exitConflict || out != "" || !strings.Contains(text, `"weight": 77`) || !strings.Contains(text, "made against revision 1, the row is at 2") {
-		t.Errorf("%d %s %s", code, out, text)
+		t.Errorf("edit of a row changed meanwhile: exit code %d, output %s, errors %s", code, out, text)
 	}
 	if row, _ := c.rows.table.Row("alerts"); row.Weight != 77 {
-		t.Errorf("the loser of the race changed the row: %+v", row)
+		t.Errorf("the edit with the stale revision changed the row: %+v", row)
 	}
 }
 
 func TestFailuresSayWhatToDo(t *testing.T) {
-	c := startConsole(t)
+	c := startTestCLI(t)
 	row := filepath.Join(t.TempDir(), "row.yaml")
 	if err := os.WriteFile(row, []byte("id: a\nweigth: 3\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -184,13 +184,13 @@
 			arguments := append([]string{"--server", c.server, "--key", testKey}, test.line...)
 			var out, text bytes.Buffer
 			if code := execute(t.Context(), arguments, strings.NewReader(""), &out, &text); code != test.code || !strings.Contains(text.String(), test.want) {
-				t.Errorf("exit code %d: %s", code, text.String())
+				t.Errorf("wrong exit code %d or errors %s", code, text.String())
 			}
 		})
 	}
 	var out, text bytes.Buffer
 	if code := execute(t.Context(), []string{"row", "list", "--server", c.server, "--key", "x"}, nil, &out, &text); code != exitForbidden || !strings.Contains(text.String(), "RINGSTREAM_KEY") {
-		t.Errorf("unknown key: %d %s", code, text.String())
+		t.Errorf("unknown key: exit code %d, errors %s", code, text.String())
 	}
 }
 
@@ -212,7 +212,7 @@
 	} {
 		var out, text bytes.Buffer
 		if code := execute(t.Context(), test.line, nil, &out, &text); code != test.code || !strings.Contains(out.String(), test.out) || !strings.Contains(text.String(), test.text) {
-			t.Errorf("%s: %d %s %s", test.name, code, out.String(), text.String())
+			t.Errorf("%s: exit code %d, output %s, errors %s", test.name, code, out.String(), text.String())
 		}
 	}
 }
@@ -230,20 +230,20 @@
 	}
 	good := "node: {id: n1, zone: z, region: r}\npass_through:\n  address: 127.0.0.1:1\n  ready_address: 127.0.0.1:2\n  store_address: 127.0.0.1:3\n"
 	if code, text := check(good); code != exitOK {
-		t.Errorf("%d %s", code, text)
+		t.Errorf("valid settings: exit code %d, errors %s", code, text)
 	}
 	if code, text := check(strings.Replace(good, "127.0.0.1:3", "store", 1)); code != exitUsage || !strings.Contains(text, "node.yaml:5") || !strings.Contains(text, `pass_through.store_address: "store"`) || !strings.Contains(text, "allowed") {
-		t.Errorf("%d %s", code, text)
+		t.Errorf("invalid address: exit code %d, errors %s", code, text)
 	}
 	if code, text := check(good + "  store_addresses: x\n"); code != exitUsage || !strings.Contains(text, "store_addresses") {
-		t.Errorf("%d %s", code, text)
+		t.Errorf("unknown key: exit code %d, errors %s", code, text)
 	}
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
 	var out, text bytes.Buffer
 	if code := execute(t.Context(), []string{"node"}, nil, &out, &text); code == exitOK || !strings.Contains(text.String(), "no such file") {
-		t.Errorf("%d %s", code, text.String())
+		t.Errorf("missing settings file: exit code %d, errors %s", code, text.String())
 	}
 }
 
@@ -253,29 +253,29 @@
 	defer server.Close()
 	var out, text bytes.Buffer
 	if code := execute(t.Context(), []string{"row", "list", "--server", server.URL}, nil, &out, &text); code != exitUnavailable || !strings.Contains(text.String(), "--ca-file") {
-		t.Errorf("%d %s", code, text.String())
+		t.Errorf("unknown authority: exit code %d, errors %s", code, text.String())
 	}
 }
 
 func TestCompletionAsksTheServer(t *testing.T) {
-	c := startConsole(t)
+	c := startTestCLI(t)
 	var out, text bytes.Buffer
 	execute(t.Context(), []string{"__complete", "--server", c.server, "--key", testKey, "row", "edit", ""}, nil, &out, &text)
 	if !strings.Contains(out.String(), string(identity.RowID("alerts"))+"\t* * online") {
-		t.Errorf("got %s", out.String())
+		t.Errorf("completions: %s", out.String())
 	}
 }
 
 func TestConfigPrint(t *testing.T) {
-	c := startConsole(t)
+	c := startTestCLI(t)
 	code, out, text := c.run("", "config", "print", "--config", "../../examples/node.yaml", "--log.level", "debug", "-o", "json")
 	var entries []struct{ Key, Origin string }
 	if err := json.Unmarshal([]byte(out), &entries); err != nil || code != exitOK {
-		t.Fatalf("%d %s %v", code, text, err)
+		t.Fatalf("config print: exit code %d, errors %s, decoding %v", code, text, err)
 	}
 	for _, entry := range entries {
 		if entry.Key == "log.level" && entry.Origin != "flag --log.level" {
-			t.Errorf("got %+v", entry)
+			t.Errorf("origin of a key set by a flag: %+v", entry)
 		}
 	}
 }
--- a/cmd/ringstream/config.go
+++ b/cmd/ringstream/config.go
@@ -9,8 +9,8 @@
 	"ringstream.example/ringstream/internal/settings"
 )
 
-func newConfig(options *connection) *cobra.Command {
-	command := &cobra.Command{Use: "config", Short: "Check and show a node's settings", Args: subcommand, RunE: showHelp}
+func newConfig(options *adminFlags) *cobra.Command {
+	command := &cobra.Command{Use: "config", Short: "Check and show a node's settings", Args: requireSubcommand, RunE: showHelp}
 	command.AddCommand(newConfigCheck(options), newConfigPrint(options))
 	return command
 }
@@ -34,13 +34,13 @@
 	Problems []string `json:"problems"`
 }
 
-func newConfigCheck(options *connection) *cobra.Command {
+func newConfigCheck(options *adminFlags) *cobra.Command {
 	var file string
 	command := &cobra.Command{
 		Use:     "check",
 		Short:   "Check settings, and the files that they name, as a node would read them",
 		Example: "  ringstream config check --config node.yaml",
-		Args:    arguments(),
+		Args:    exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			loaded, err := loadSettings(command, file)
 			if err == nil {
@@ -72,12 +72,12 @@
 	return list
 }
 
-func newConfigPrint(options *connection) *cobra.Command {
+func newConfigPrint(options *adminFlags) *cobra.Command {
 	var file string
 	command := &cobra.Command{
 		Use:   "print",
 		Short: "Show the effective settings and where each comes from, secrets masked",
-		Args:  arguments(),
+		Args:  exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			loaded, err := loadSettings(command, file)
 			if err != nil {
@@ -87,11 +87,11 @@
 			if options.output == outputJSON {
 				return printJSON(command.OutOrStdout(), entries)
 			}
-			shown := &grid{header: []string{"key", "value", "from"}}
+			table := &textTable{header: []string{"key", "value", "from"}}
 			for _, entry := range entries {
-				shown.add(entry.Key, entry.Text(), entry.Origin)
+				table.add(entry.Key, entry.Text(), entry.Origin)
 			}
-			return shown.print(command.OutOrStdout())
+			return table.print(command.OutOrStdout())
 		},
 	}
 	addSettingsFlags(command, &file)
--- a/cmd/ringstream/explain.go
+++ b/cmd/ringstream/explain.go
@@ -11,14 +11,14 @@
 	"ringstream.example/ringstream/internal/explain"
 )
 
-// noStoryError says that no log line carries the id.
-type noStoryError struct {
+// idNotFoundError means that no log line is about the ID.
+type idNotFoundError struct {
 	id    string
 	lines int
 }
 
 // Error implements error.
-func (e *noStoryError) Error() string {
+func (e *idNotFoundError) Error() string {
 	return fmt.Sprintf("no line of the %d log lines is about %q: check the id, and that the files hold the logs of all nodes of that time", e.lines, e.id)
 }
 
@@ -30,22 +30,22 @@
 		Short:   "Tell the story of a request, item or job from nodes' logs",
 		Long:    "Prints the log lines about an id, of all nodes and in order of time, and beside them\nwhat the same nodes came to believe from shortly before.\nWith --summary it counts instead the late and failed requests of all the logs by cause,\nthe hand-ins of jobs and the runs of items. See docs/OPERATIONS.md.",
 		Example: "  ringstream explain 9c41d07be2a35f68 node-*.log\n  ringstream explain --summary node-*.log",
-		Args: func(command *cobra.Command, given []string) error {
-			if summary && len(given) > 0 {
+		Args: func(command *cobra.Command, args []string) error {
+			if summary && len(args) > 0 {
 				return nil
 			}
 			if summary {
 				return &usageError{command: command.CommandPath(), cause: errors.New("no FILE: --summary wants the logs of one node at least")}
 			}
-			if len(given) < 2 {
-				return &usageError{command: command.CommandPath(), cause: fmt.Errorf("%d arguments, wanted an ID and at least one FILE", len(given))}
+			if len(args) < 2 {
+				return &usageError{command: command.CommandPath(), cause: fmt.Errorf("%d arguments, wanted an ID and at least one FILE", len(args))}
 			}
 			return nil
 		},
-		RunE: func(command *cobra.Command, given []string) error {
-			files := given
+		RunE: func(command *cobra.Command, args []string) error {
+			files := args
 			if !summary {
-				files = given[1:]
+				files = args[1:]
 			}
 			lines, err := readLogs(files)
 			if err != nil {
@@ -55,9 +55,9 @@
 				_, err := fmt.Fprint(command.OutOrStdout(), explain.Summarize(lines).Text())
 				return err
 			}
-			story := explain.Story(lines, given[0], before)
+			story := explain.Story(lines, args[0], before)
 			if story == nil {
-				return &noStoryError{id: given[0], lines: len(lines)}
+				return &idNotFoundError{id: args[0], lines: len(lines)}
 			}
 			_, err = fmt.Fprint(command.OutOrStdout(), explain.Text(story))
 			return err
@@ -68,7 +68,7 @@
 	return command
 }
 
-// readLogs reads the lines of all files.
+// readLogs returns the log lines of all files.
 func readLogs(names []string) ([]explain.Line, error) {
 	var lines []explain.Line
 	for _, name := range names {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close() //nolint:errcheck // only read
+	defer file.Close() //nolint:errcheck // the file is only read
 	lines, err := explain.Read(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
--- a/cmd/ringstream/failure.go
+++ b/cmd/ringstream/failure.go
@@ -12,7 +12,7 @@
 	"ringstream.example/ringstream/internal/settings"
 )
 
-// The exit codes; exitCodesHelp explains them to operators.
+// The exit codes of the program. exitCodesHelp explains them to operators.
 const (
 	exitOK = iota
 	exitFailure
@@ -24,7 +24,7 @@
 	exitRefused
 )
 
-// usageError is a wrong command line.
+// usageError is an error in the command line.
 type usageError struct {
 	command string
 	cause   error
@@ -38,30 +38,30 @@
 	return fmt.Sprintf("%s: %v", e.command, e.cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *usageError) Unwrap() error { return e.cause }
 
 func exitCode(err error) int {
 	var usage *usageError
-	var wrong *settings.Error
-	var answer *adminclient.APIError
-	var connection *adminclient.ConnectionError
-	var untold *noStoryError
+	var settingsError *settings.Error
+	var apiError *adminclient.APIError
+	var connectionError *adminclient.ConnectionError
+	var notFound *idNotFoundError
 	switch {
-	case errors.As(err, &untold), errors.Is(err, passthrough.ErrNotFound):
+	case errors.As(err, &notFound), errors.Is(err, passthrough.ErrNotFound):
 		return exitNotFound
-	case errors.As(err, &usage), errors.As(err, &wrong), strings.HasPrefix(err.Error(), "unknown command"):
+	case errors.As(err, &usage), errors.As(err, &settingsError), strings.HasPrefix(err.Error(), "unknown command"):
 		return exitUsage
-	case errors.As(err, &connection), errors.Is(err, passthrough.ErrNothingDone), errors.Is(err, passthrough.ErrOutcomeUnknown):
+	case errors.As(err, &connectionError), errors.Is(err, passthrough.ErrNothingDone), errors.Is(err, passthrough.ErrOutcomeUnknown):
 		return exitUnavailable
-	case errors.As(err, &answer):
-		return exitCodeOf(answer.Status)
+	case errors.As(err, &apiError):
+		return exitCodeOfStatus(apiError.Status)
 	default:
 		return exitFailure
 	}
 }
 
-func exitCodeOf(status int) int {
+func exitCodeOfStatus(status int) int {
 	switch status {
 	case http.StatusNotFound:
 		return exitNotFound
@@ -78,7 +78,7 @@
 	return exitFailure
 }
 
-// explainFailure says what went wrong, where, and what to do.
+// explainFailure returns the error's text with advice on what to do about it.
 func explainFailure(err error) string {
 	text := "ringstream: " + err.Error()
 	if advice := advise(err); advice != "" {
@@ -88,9 +88,9 @@
 }
 
 func advise(err error) string {
-	var answer *adminclient.APIError
-	if errors.As(err, &answer) && len(answer.Current) > 0 {
-		return "The current row:\n" + indent(answer.Current) + "\nMake your change against it and send it again."
+	var apiError *adminclient.APIError
+	if errors.As(err, &apiError) && len(apiError.Current) > 0 {
+		return "The current row:\n" + indent(apiError.Current) + "\nMake your change against it and send it again."
 	}
 	var usage *usageError
 	if errors.As(err, &usage) && usage.command != "" {
@@ -103,7 +103,7 @@
 	case exitForbidden:
 		return "Give an operator's key with --key or " + settings.EnvironmentKey + "."
 	case exitUnavailable:
-		if answer != nil {
+		if apiError != nil {
 			return "Try again later; the message says what cannot be reached. It is the same for every node when it is the platform's."
 		}
 		return "Name another node with --server or " + settings.EnvironmentServer + ", or try again; nodes say why on /readyz."
@@ -114,8 +114,8 @@
 	}
 }
 
-// certificateRefused says whether one side did not accept the other's
-// certificate, or the lack of one.
+// certificateRefused reports whether one side rejected the other's certificate,
+// or its absence.
 func certificateRefused(err error) bool {
 	var unverified *tls.CertificateVerificationError
 	var alert tls.AlertError
--- a/cmd/ringstream/job.go
+++ b/cmd/ringstream/job.go
@@ -13,17 +13,18 @@
 	"ringstream.example/ringstream/internal/jobs"
 )
 
-const jobPage = 100
+// defaultPageSize is the default number of jobs or items on a page.
+const defaultPageSize = 100
 
-// jobFlags are the flags that the job commands share.
+// jobFlags holds the flags that the job commands share.
 type jobFlags struct {
-	*connection
+	*adminFlags
 	tenant string
 }
 
-func newJob(options *connection) *cobra.Command {
-	flags := &jobFlags{connection: options}
-	command := &cobra.Command{Use: "job", Short: "List, read and cancel batch jobs", Args: subcommand, RunE: showHelp}
+func newJob(options *adminFlags) *cobra.Command {
+	flags := &jobFlags{adminFlags: options}
+	command := &cobra.Command{Use: "job", Short: "List, read and cancel batch jobs", Args: requireSubcommand, RunE: showHelp}
 	command.PersistentFlags().StringVar(&flags.tenant, "tenant", "", "only this tenant's jobs; empty: any tenant's")
 	command.AddCommand(newJobList(flags), newJobGet(flags), newJobCancel(flags), newJobResults(flags))
 	return command
@@ -37,7 +38,7 @@
 	command := &cobra.Command{
 		Use:   "list",
 		Short: "List the open jobs of all tenants, or with --tenant all of one tenant's, newest first",
-		Args:  arguments(),
+		Args:  exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			client, err := flags.client()
 			if err != nil {
@@ -54,42 +55,42 @@
 		},
 	}
 	command.Flags().StringVar(&after, "after", "", "the last job of the page before")
-	command.Flags().IntVar(&limit, "limit", jobPage, "jobs on a page")
+	command.Flags().IntVar(&limit, "limit", defaultPageSize, "jobs on a page")
 	return command
 }
 
 func printJobs(output io.Writer, list []jobs.Job) error {
-	shown := &grid{header: []string{"job", "tenant", "model", "state", "completed", "failed", "unknown", "cancelled", "total", "deadline"}}
+	table := &textTable{header: []string{"job", "tenant", "model", "state", "completed", "failed", "unknown", "cancelled", "total", "deadline"}}
 	for _, job := range list {
-		shown.add(job.ID, job.Tenant, job.Model, job.State, job.Completed, job.Failed, job.Unknown, job.Cancelled, job.Total, job.Deadline.Format(time.RFC3339))
+		table.add(job.ID, job.Tenant, job.Model, job.State, job.Completed, job.Failed, job.Unknown, job.Cancelled, job.Total, job.Deadline.Format(time.RFC3339))
 	}
-	return shown.print(output)
+	return table.print(output)
 }
 
 func newJobGet(flags *jobFlags) *cobra.Command {
-	return newJobCall(flags, "get JOB", "Show a job", (*adminclient.Client).Job)
+	return newJobCommand(flags, "get JOB", "Show a job", (*adminclient.Client).Job)
 }
 
 func newJobCancel(flags *jobFlags) *cobra.Command {
-	return newJobCall(flags, "cancel JOB", "Stop a job; no item completes after it returns", (*adminclient.Client).CancelJob)
+	return newJobCommand(flags, "cancel JOB", "Stop a job; no item completes after it returns", (*adminclient.Client).CancelJob)
 }
 
-// jobCall is a call of the admin API about one job, which answers with the job.
-type jobCall func(client *adminclient.Client, ctx context.Context, tenant identity.TenantID, job identity.JobID) (jobs.Job, error)
+// jobRequest is a request of the admin API about one job, answered with the job.
+type jobRequest func(client *adminclient.Client, ctx context.Context, tenant identity.TenantID, job identity.JobID) (jobs.Job, error)
 
-// newJobCall makes the command of a call about one job.
-func newJobCall(flags *jobFlags, use, short string, call jobCall) *cobra.Command {
+// newJobCommand returns the command of a request about one job.
+func newJobCommand(flags *jobFlags, use, short string, request jobRequest) *cobra.Command {
 	return &cobra.Command{
 		Use:               use,
 		Short:             short,
-		Args:              arguments("JOB"),
+		Args:              exactArguments("JOB"),
 		ValidArgsFunction: completeJobs(flags),
-		RunE: func(command *cobra.Command, given []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			client, err := flags.client()
 			if err != nil {
 				return err
 			}
-			job, err := call(client, command.Context(), flags.tenantID(), identity.JobID(given[0]))
+			job, err := request(client, command.Context(), flags.tenantID(), identity.JobID(args[0]))
 			return flags.printJob(command, job, err)
 		},
 	}
@@ -110,9 +111,9 @@
 	command := &cobra.Command{
 		Use:               "results JOB",
 		Short:             "Show final outcomes of a job's items, while it runs and after",
-		Args:              arguments("JOB"),
+		Args:              exactArguments("JOB"),
 		ValidArgsFunction: completeJobs(flags),
-		RunE: func(command *cobra.Command, given []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			if from < 0 || to < from {
 				return &usageError{command: command.CommandPath(), cause: fmt.Errorf("--from %d --to %d is not a range of items", from, to)}
 			}
@@ -120,28 +121,28 @@
 			if err != nil {
 				return err
 			}
-			list, err := client.Results(command.Context(), flags.tenantID(), identity.JobID(given[0]), from, to)
+			list, err := client.Results(command.Context(), flags.tenantID(), identity.JobID(args[0]), from, to)
 			if err != nil {
 				return err
 			}
 			if flags.output == outputJSON {
 				return printJSON(command.OutOrStdout(), list)
 			}
-			shown := &grid{header: []string{"index", "custom id", "outcome", "reason", "text"}}
+			table := &textTable{header: []string{"index", "custom id", "outcome", "reason", "text"}}
 			for _, result := range list.Results {
-				shown.add(result.Index, result.ID, result.Outcome, result.Reason, result.Text)
+				table.add(result.Index, result.ID, result.Outcome, result.Reason, result.Text)
 			}
-			return shown.print(command.OutOrStdout())
+			return table.print(command.OutOrStdout())
 		},
 	}
 	command.Flags().IntVar(&from, "from", 0, "first item, by index")
-	command.Flags().IntVar(&to, "to", jobPage, "the item after the last, by index")
+	command.Flags().IntVar(&to, "to", defaultPageSize, "the item after the last, by index")
 	return command
 }
 
 func completeJobs(flags *jobFlags) cobra.CompletionFunc {
-	return complete(flags.connection, func(command *cobra.Command, client *adminclient.Client) ([]string, error) {
-		list, err := client.Jobs(command.Context(), flags.tenantID(), "", jobPage)
+	return complete(flags.adminFlags, func(command *cobra.Command, client *adminclient.Client) ([]string, error) {
+		list, err := client.Jobs(command.Context(), flags.tenantID(), "", defaultPageSize)
 		var ids []string
 		for _, job := range list.Jobs {
 			ids = append(ids, fmt.Sprintf("%s\t%s, %s", job.ID, job.Tenant, job.State))
--- a/cmd/ringstream/main.go
+++ b/cmd/ringstream/main.go
@@ -1,4 +1,4 @@
-// Command ringstream is the node and the operator's commands.
+// Command ringstream runs a node of the fleet and has the operator's commands.
 package main
 
 import (
@@ -11,8 +11,8 @@
 )
 
 func main() {
-	// A hang-up asks for nothing while the settings are not read yet, or when the node has
-	// stopped; without a handler of its own for the whole life it would end the process.
+	// SIGHUP has no effect before the settings are read and after the node has stopped. Without
+	// a handler for the whole life of the process, the signal would terminate it.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	code := execute(ctx, os.Args[1:], os.Stdin, os.Stdout, os.Stderr)
@@ -20,7 +20,7 @@
 	os.Exit(code)
 }
 
-// execute runs one command line and gives its exit code.
+// execute runs one command line and returns its exit code.
 func execute(ctx context.Context, arguments []string, input io.Reader, output, errorOutput io.Writer) int {
 	command := newRoot()
 	command.SetArgs(arguments)
@@ -31,6 +31,6 @@
 	if err == nil {
 		return exitOK
 	}
-	_, _ = fmt.Fprintln(errorOutput, explainFailure(err)) // nowhere left to report to
+	_, _ = fmt.Fprintln(errorOutput, explainFailure(err)) // there is nowhere left to report a write error
 	return exitCode(err)
 }
--- a/cmd/ringstream/node.go
+++ b/cmd/ringstream/node.go
@@ -10,7 +10,7 @@
 	"ringstream.example/ringstream/internal/settings"
 )
 
-func newNode(options *connection) *cobra.Command {
+func newNode(options *adminFlags) *cobra.Command {
 	var file string
 	command := &cobra.Command{
 		Use:     "node",
@@ -39,11 +39,11 @@
 	return command
 }
 
-func newNodeList(options *connection) *cobra.Command {
+func newNodeList(options *adminFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the nodes as one of them sees the fleet",
-		Args:  arguments(),
+		Args:  exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			client, err := options.client()
 			if err != nil {
@@ -56,27 +56,27 @@
 			if options.output == outputJSON {
 				return printJSON(command.OutOrStdout(), list)
 			}
-			shown := &grid{header: []string{"node", "state", "zone", "region", "gateway", "peer"}}
+			table := &textTable{header: []string{"node", "state", "zone", "region", "gateway", "peer"}}
 			for _, node := range list.Nodes {
-				shown.add(node.ID, node.State, node.Zone, node.Region, node.GatewayAddress, node.PeerAddress)
+				table.add(node.ID, node.State, node.Zone, node.Region, node.GatewayAddress, node.PeerAddress)
 			}
-			return shown.print(command.OutOrStdout())
+			return table.print(command.OutOrStdout())
 		},
 	}
 }
 
-func newNodeDrain(options *connection) *cobra.Command {
+func newNodeDrain(options *adminFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:               "drain NODE",
 		Short:             "Stop a node without cutting a request",
-		Args:              arguments("NODE"),
+		Args:              exactArguments("NODE"),
 		ValidArgsFunction: completeNodes(options),
-		RunE: func(command *cobra.Command, given []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			client, err := options.client()
 			if err != nil {
 				return err
 			}
-			answer, err := client.Drain(command.Context(), identity.NodeID(given[0]))
+			answer, err := client.Drain(command.Context(), identity.NodeID(args[0]))
 			if err != nil {
 				return err
 			}
@@ -89,7 +89,7 @@
 	}
 }
 
-func completeNodes(options *connection) cobra.CompletionFunc {
+func completeNodes(options *adminFlags) cobra.CompletionFunc {
 	return complete(options, func(command *cobra.Command, client *adminclient.Client) ([]string, error) {
 		list, err := client.Nodes(command.Context())
 		var ids []string
@@ -100,17 +100,17 @@
 	})
 }
 
-// complete makes a shell completion of the first argument from a node's answer.
-func complete(options *connection, ask func(*cobra.Command, *adminclient.Client) ([]string, error)) cobra.CompletionFunc {
-	return func(command *cobra.Command, given []string, _ string) ([]string, cobra.ShellCompDirective) {
-		if len(given) > 0 {
+// complete returns a shell completion of the first argument whose choices come from a node.
+func complete(options *adminFlags, listChoices func(*cobra.Command, *adminclient.Client) ([]string, error)) cobra.CompletionFunc {
+	return func(command *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
+		if len(args) > 0 {
 			return nil, cobra.ShellCompDirectiveNoFileComp
 		}
 		client, err := options.client()
 		if err != nil {
 			return nil, cobra.ShellCompDirectiveError
 		}
-		choices, err := ask(command, client)
+		choices, err := listChoices(command, client)
 		if err != nil {
 			return cobra.AppendActiveHelp(nil, err.Error()), cobra.ShellCompDirectiveNoFileComp
 		}
--- a/cmd/ringstream/output.go
+++ b/cmd/ringstream/output.go
@@ -15,22 +15,22 @@
 	outputJSON  = "json"
 )
 
-// printJSON writes a value, indented.
+// printJSON writes a value as indented JSON.
 func printJSON(output io.Writer, value any) error {
 	encoder := json.NewEncoder(output)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// grid is a table for people.
-type grid struct {
+// textTable is a table printed as text for people.
+type textTable struct {
 	header []string
 	rows   [][]any
 }
 
-func (g *grid) add(cells ...any) { g.rows = append(g.rows, cells) }
+func (t *textTable) add(cells ...any) { t.rows = append(t.rows, cells) }
 
-func (g *grid) print(output io.Writer) error {
+func (t *textTable) print(output io.Writer) error {
 	writer := table.NewWriter()
 	style := table.StyleLight
 	style.Options = table.Options{}
@@ -38,12 +38,12 @@
 	style.Box.PaddingRight = "  "
 	style.Format.Header = text.FormatUpper
 	writer.SetStyle(style)
-	header := make(table.Row, len(g.header))
-	for i, name := range g.header {
+	header := make(table.Row, len(t.header))
+	for i, name := range t.header {
 		header[i] = name
 	}
 	writer.AppendHeader(header)
-	for _, row := range g.rows {
+	for _, row := range t.rows {
 		writer.AppendRow(row)
 	}
 	_, err := io.WriteString(output, writer.Render()+"\n")
--- a/cmd/ringstream/passthrough.go
+++ b/cmd/ringstream/passthrough.go
@@ -25,7 +25,7 @@
 	node := edge.New(configured.PassThrough, edge.Identity{Name: configured.Node.ID, Zone: configured.Node.Zone}, edge.Platform{
 		Headers: platform.Headers{}, Format: platform.JobFormat{}, Documents: platform.Documents{}, Rows: store, Objects: store,
 	}, logger)
-	stop := rereadOnHangup(command, file, logger)
+	stop := recheckSettingsOnHangup(command, file, logger)
 	defer stop()
 	err = node.Run(command.Context())
 	if err != nil {
@@ -34,16 +34,16 @@
 	return err
 }
 
-// rereadOnHangup checks the settings again at each SIGHUP, and says in the log
-// what it found; it cuts nothing.
-func rereadOnHangup(command *cobra.Command, file string, logger *zap.Logger) (stop func()) {
+// recheckSettingsOnHangup checks the settings again at each SIGHUP and logs the
+// result. Running requests are not affected.
+func recheckSettingsOnHangup(command *cobra.Command, file string, logger *zap.Logger) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		for {
 			select {
-			case <-ended:
+			case <-done:
 				return
 			case <-hangups:
 				_, err := loadSettings(command, file)
@@ -53,6 +53,6 @@
 	}()
 	return func() {
 		signal.Stop(hangups)
-		close(ended)
+		close(done)
 	}
 }
--- a/cmd/ringstream/root.go
+++ b/cmd/ringstream/root.go
@@ -22,15 +22,16 @@
 5 the key is missing, unknown or not allowed; 6 the node or the store cannot
 be reached; 7 the request was refused as wrong.`
 
-// connection holds the flags of the commands that call a node.
-type connection struct {
+// adminFlags holds the flags that all commands share: the connection to a node's
+// admin API and the output format.
+type adminFlags struct {
 	server, key, caFile      string
 	certificateFile, keyFile string
 	output                   string
 }
 
 func newRoot() *cobra.Command {
-	options := &connection{}
+	options := &adminFlags{}
 	root := &cobra.Command{
 		Use:           "ringstream",
 		Short:         "Serve language-model inference, online and batch, from one fleet",
@@ -59,17 +60,17 @@
 	return root
 }
 
-// client makes the client that the flags and the environment ask for.
-func (c *connection) client() (*adminclient.Client, error) {
-	server := firstOf(c.server, os.Getenv(settings.EnvironmentServer), defaultServer)
+// client returns a client configured by the flags and the environment.
+func (f *adminFlags) client() (*adminclient.Client, error) {
+	server := firstNonEmpty(f.server, os.Getenv(settings.EnvironmentServer), defaultServer)
 	client, err := adminclient.New(adminclient.Options{
 		Server:  server,
-		Key:     firstOf(c.key, os.Getenv(settings.EnvironmentKey)),
-		CAFile:  c.caFile,
+		Key:     firstNonEmpty(f.key, os.Getenv(settings.EnvironmentKey)),
+		CAFile:  f.caFile,
 		Timeout: requestTimeout,
 
-		CertificateFile: c.certificateFile,
-		KeyFile:         c.keyFile,
+		CertificateFile: f.certificateFile,
+		KeyFile:         f.keyFile,
 	})
 	if err != nil {
 		return nil, &usageError{cause: err}
@@ -77,7 +78,7 @@
 	return client, nil
 }
 
-func firstOf(texts ...string) string {
+func firstNonEmpty(texts ...string) string {
 	for _, text := range texts {
 		if text != "" {
 			return text
@@ -86,27 +87,27 @@
 	return ""
 }
 
-// arguments checks a command's positional arguments by name.
-func arguments(names ...string) cobra.PositionalArgs {
-	return func(command *cobra.Command, given []string) error {
-		if len(given) == len(names) {
+// exactArguments requires one positional argument for each name.
+func exactArguments(names ...string) cobra.PositionalArgs {
+	return func(command *cobra.Command, args []string) error {
+		if len(args) == len(names) {
 			return nil
 		}
-		cause := fmt.Errorf("%d arguments given, wanted %d %v", len(given), len(names), names)
+		cause := fmt.Errorf("%d arguments given, wanted %d %v", len(args), len(names), names)
 		return &usageError{command: command.CommandPath(), cause: cause}
 	}
 }
 
-// subcommand accepts no arguments for a command that only groups others.
-func subcommand(command *cobra.Command, given []string) error {
-	if len(given) == 0 {
+// requireSubcommand accepts no arguments. It is for a command that only groups others.
+func requireSubcommand(command *cobra.Command, args []string) error {
+	if len(args) == 0 {
 		return nil
 	}
 	var names []string
 	for _, child := range command.Commands() {
 		names = append(names, child.Name())
 	}
-	cause := fmt.Errorf("unknown command %q; commands: %s", given[0], strings.Join(names, ", "))
+	cause := fmt.Errorf("unknown command %q; commands: %s", args[0], strings.Join(names, ", "))
 	return &usageError{command: command.CommandPath(), cause: cause}
 }
 
--- a/cmd/ringstream/row.go
+++ b/cmd/ringstream/row.go
@@ -15,12 +15,12 @@
 	"ringstream.example/ringstream/internal/rows"
 )
 
-func newRow(options *connection) *cobra.Command {
+func newRow(options *adminFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "row",
 		Short: "Read and change the rows of the class table",
 		Long:  "Each change is compared with the revision that it was made against: when someone\nelse changed the row first, nothing happens and the current row is shown.",
-		Args:  subcommand,
+		Args:  requireSubcommand,
 		RunE:  showHelp,
 	}
 	command.AddCommand(
@@ -30,20 +30,20 @@
 	return command
 }
 
-func newRowList(options *connection) *cobra.Command {
+func newRowList(options *adminFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List all rows",
-		Args:  arguments(),
+		Args:  exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			return showRows(command, options, func(list admin.RowList) error { return printRows(command.OutOrStdout(), list.Rows) })
 		},
 	}
 }
 
-// showRows asks for all rows and prints them as JSON where that is wanted, else
-// by show.
-func showRows(command *cobra.Command, options *connection, show func(admin.RowList) error) error {
+// showRows requests all rows and prints them as JSON if --output says so, and
+// otherwise with show.
+func showRows(command *cobra.Command, options *adminFlags, show func(admin.RowList) error) error {
 	client, err := options.client()
 	if err != nil {
 		return err
@@ -59,16 +59,16 @@
 }
 
 func printRows(output io.Writer, list []policy.Row) error {
-	shown := &grid{header: []string{"row", "tenant", "model", "kind", "weight", "requests/s", "tokens/s", "concurrency", "deadline class", "share here", "pool", "revision"}}
+	table := &textTable{header: []string{"row", "tenant", "model", "kind", "weight", "requests/s", "tokens/s", "concurrency", "deadline class", "share here", "pool", "revision"}}
 	for _, row := range list {
-		shown.add(row.ID, row.Match.Tenant, row.Match.Model, row.Match.Kind, row.Weight,
+		table.add(row.ID, row.Match.Tenant, row.Match.Model, row.Match.Kind, row.Weight,
 			limitText(row.Limits.RequestsPerSecond), limitText(row.Limits.TokensPerSecond), limitText(float64(row.Limits.Concurrency)),
 			row.DeadlineClass, row.NewSiteShare, row.Pool, row.Revision)
 	}
-	return shown.print(output)
+	return table.print(output)
 }
 
-// limitText shows a limit; zero is none.
+// limitText returns a limit as text. Zero means no limit.
 func limitText(limit float64) string {
 	if limit == 0 {
 		return "none"
@@ -76,18 +76,18 @@
 	return fmt.Sprint(limit)
 }
 
-func newRowGet(options *connection) *cobra.Command {
+func newRowGet(options *adminFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:               "get ROW",
 		Short:             "Show a row",
-		Args:              arguments("ROW"),
+		Args:              exactArguments("ROW"),
 		ValidArgsFunction: completeRows(options),
-		RunE: func(command *cobra.Command, given []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			client, err := options.client()
 			if err != nil {
 				return err
 			}
-			row, err := client.Row(command.Context(), identity.RowID(given[0]))
+			row, err := client.Row(command.Context(), identity.RowID(args[0]))
 			if err != nil {
 				return err
 			}
@@ -96,15 +96,15 @@
 	}
 }
 
-func (c *connection) printRow(command *cobra.Command, row policy.Row) error {
-	if c.output == outputJSON {
+func (f *adminFlags) printRow(command *cobra.Command, row policy.Row) error {
+	if f.output == outputJSON {
 		return printJSON(command.OutOrStdout(), row)
 	}
 	return printRows(command.OutOrStdout(), []policy.Row{row})
 }
 
-func (c *connection) printChange(command *cobra.Command, change admin.RowChange) error {
-	if c.output == outputJSON {
+func (f *adminFlags) printChange(command *cobra.Command, change admin.RowChange) error {
+	if f.output == outputJSON {
 		return printJSON(command.OutOrStdout(), change)
 	}
 	if err := printRows(command.OutOrStdout(), []policy.Row{change.Row}); err != nil {
@@ -114,11 +114,11 @@
 	return err
 }
 
-func newRowStatus(options *connection) *cobra.Command {
+func newRowStatus(options *adminFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
 		Short: "Show which node holds which revision of the table",
-		Args:  arguments(),
+		Args:  exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			client, err := options.client()
 			if err != nil {
@@ -131,15 +131,15 @@
 			if options.output == outputJSON {
 				return printJSON(command.OutOrStdout(), status)
 			}
-			shown := &grid{header: []string{"node", "zone", "revision", "behind", "ready"}}
+			table := &textTable{header: []string{"node", "zone", "revision", "behind", "ready"}}
 			for _, node := range status.Nodes {
 				if !node.Known {
-					shown.add(node.Node, node.Zone, "no answer", "", "")
+					table.add(node.Node, node.Zone, "no answer", "", "")
 					continue
 				}
-				shown.add(node.Node, node.Zone, node.Revision, status.Revision-node.Revision, node.Ready)
+				table.add(node.Node, node.Zone, node.Revision, status.Revision-node.Revision, node.Ready)
 			}
-			if err := shown.print(command.OutOrStdout()); err != nil {
+			if err := table.print(command.OutOrStdout()); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(command.OutOrStdout(), "latest revision %d; of %d nodes %d behind, %d without an answer\n", status.Revision, len(status.Nodes), status.Behind, status.Unknown)
@@ -148,13 +148,13 @@
 	}
 }
 
-func newRowAudit(options *connection) *cobra.Command {
+func newRowAudit(options *adminFlags) *cobra.Command {
 	var after uint64
 	var limit int
 	command := &cobra.Command{
 		Use:   "audit",
 		Short: "Show who changed which row, oldest first",
-		Args:  arguments(),
+		Args:  exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			client, err := options.client()
 			if err != nil {
@@ -171,12 +171,12 @@
 			if options.output == outputJSON {
 				return printJSON(command.OutOrStdout(), list)
 			}
-			shown := &grid{header: []string{"revision", "at", "by", "row", "change"}}
+			table := &textTable{header: []string{"revision", "at", "by", "row", "change"}}
 			for _, entry := range list.Entries {
 				id, change := describeEdit(entry)
-				shown.add(entry.Revision, entry.At.Format(time.DateTime), entry.By, id, change)
+				table.add(entry.Revision, entry.At.Format(time.DateTime), entry.By, id, change)
 			}
-			return shown.print(command.OutOrStdout())
+			return table.print(command.OutOrStdout())
 		},
 	}
 	command.Flags().Uint64Var(&after, "after", 0, "edits after this revision; without: the latest")
@@ -184,7 +184,7 @@
 	return command
 }
 
-// describeEdit tells which row an edit changed, and how.
+// describeEdit returns the row that an edit changed and a description of the change.
 func describeEdit(entry rows.AuditEntry) (id identity.RowID, change string) {
 	switch {
 	case entry.Before == nil && entry.After == nil:
@@ -198,7 +198,7 @@
 	}
 }
 
-func completeRows(options *connection) cobra.CompletionFunc {
+func completeRows(options *adminFlags) cobra.CompletionFunc {
 	return complete(options, func(command *cobra.Command, client *adminclient.Client) ([]string, error) {
 		list, err := client.Rows(command.Context())
 		var ids []string
--- a/cmd/ringstream/row_fields.go
+++ b/cmd/ringstream/row_fields.go
@@ -10,8 +10,8 @@
 	"ringstream.example/ringstream/internal/core/policy"
 )
 
-// withFields gives the row with fields changed, each FIELD=VALUE.
-func withFields(row policy.Row, sets []string) (policy.Row, error) {
+// withFields returns the row with fields changed by assignments of the form FIELD=VALUE.
+func withFields(row policy.Row, assignments []string) (policy.Row, error) {
 	text, err := json.Marshal(row)
 	if err != nil {
 		return row, err
@@ -20,8 +20,8 @@
 	if err := json.Unmarshal(text, &document); err != nil {
 		return row, err
 	}
-	for _, set := range sets {
-		if err := setField(document, set); err != nil {
+	for _, assignment := range assignments {
+		if err := setField(document, assignment); err != nil {
 			return row, err
 		}
 	}
@@ -36,11 +36,11 @@
 	return changed, nil
 }
 
-// setField writes one field; its present value tells the type.
-func setField(document map[string]any, set string) error {
-	path, value, ok := strings.Cut(set, "=")
+// setField sets one field of a JSON document. The type of the field is that of its current value.
+func setField(document map[string]any, assignment string) error {
+	path, value, ok := strings.Cut(assignment, "=")
 	if !ok {
-		return fmt.Errorf("--set %q: write FIELD=VALUE", set)
+		return fmt.Errorf("--set %q: write FIELD=VALUE", assignment)
 	}
 	names := strings.Split(path, ".")
 	section := document
@@ -52,28 +52,28 @@
 		section = inner
 	}
 	last := names[len(names)-1]
-	switch present := section[last].(type) {
+	switch current := section[last].(type) {
 	case string:
 		section[last] = value
 	case float64:
 		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return fmt.Errorf("--set %s: %q is not a number (it is %v now)", path, value, present)
+			return fmt.Errorf("--set %s: %q is not a number (it is %v now)", path, value, current)
 		}
 		section[last] = number
 	case bool:
-		truth, err := strconv.ParseBool(value)
+		boolean, err := strconv.ParseBool(value)
 		if err != nil {
 			return fmt.Errorf("--set %s: %q is not true or false", path, value)
 		}
-		section[last] = truth
+		section[last] = boolean
 	default:
 		return fmt.Errorf("--set %s: there is no such field; fields: %s", path, fieldNames(document))
 	}
 	return nil
 }
 
-// fieldNames lists the settable fields, with dots inside.
+// fieldNames returns the names of the settable fields, with dots between section and field.
 func fieldNames(document map[string]any) string {
 	var names []string
 	for name, value := range document {
@@ -90,9 +90,9 @@
 	return strings.Join(names, ", ")
 }
 
-// changedFields lists what differs between two rows, as FIELD: OLD -> NEW.
+// changedFields returns the differences between two rows as texts of the form FIELD: OLD -> NEW.
 func changedFields(before, after policy.Row) []string {
-	old, changed := flatRow(before), flatRow(after)
+	old, changed := flattenRow(before), flattenRow(after)
 	var list []string
 	for name, value := range changed {
 		if name != "revision" && old[name] != value {
@@ -103,11 +103,11 @@
 	return list
 }
 
-// flatRow gives a row's fields by their names with dots inside.
-func flatRow(row policy.Row) map[string]any {
+// flattenRow returns a row's fields by name, with dots between section and field.
+func flattenRow(row policy.Row) map[string]any {
 	text, err := json.Marshal(row)
 	if err != nil {
-		return nil // a row holds nothing that JSON cannot
+		return nil // unreachable: all fields of a row can be encoded as JSON
 	}
 	var document map[string]any
 	if err := json.Unmarshal(text, &document); err != nil {
--- a/cmd/ringstream/version.go
+++ b/cmd/ringstream/version.go
@@ -15,11 +15,11 @@
 	Platform string `json:"platform"`
 }
 
-func newVersion(options *connection) *cobra.Command {
+func newVersion(options *adminFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Show the version of this program",
-		Args:  arguments(),
+		Args:  exactArguments(),
 		RunE: func(command *cobra.Command, _ []string) error {
 			info := versionInfo{Version: version.Version, Go: runtime.Version(), Platform: runtime.GOOS + "/" + runtime.GOARCH}
 			if options.output == outputJSON {
