--- a/cmd/ringstream-bench/demo.go
+++ b/cmd/ringstream-bench/demo.go
@@ -14,7 +14,7 @@
 	"ringstream.example/ringstream/internal/bench/scenario"
 )
 
-// demoFlags are the flags of the demo.
+// demoFlags holds the flag values of the demo command.
 type demoFlags struct {
 	duration time.Duration
 	seed     uint64
@@ -53,12 +53,13 @@
 	return command
 }
 
-// errViolated ends a demo or a run that did not keep every promise.
-var errViolated = errors.New("not every promise was kept")
+// errChecksFailed is returned when a demo did not pass or a run violated an
+// invariant.
+var errChecksFailed = errors.New("not every promise was kept")
 
-// settling is the part of the demo's time that is left for accepted work to
-// complete after the last arrival.
-const settling = 4 * time.Second
+// settleTime is the part of the demo's duration that is reserved for accepted
+// work to complete after the last arrival.
+const settleTime = 4 * time.Second
 
 func runDemo(command *cobra.Command, flags demoFlags) error {
 	loaded, err := scenario.Load("demo")
@@ -69,12 +70,12 @@
 	if err != nil {
 		return err
 	}
-	arrivals := max(flags.duration-settling, flags.duration/2)
-	bar := newProgressLine(command.ErrOrStderr())
+	arrivalDuration := max(flags.duration-settleTime, flags.duration/2)
+	progress := newProgressLine(command.ErrOrStderr())
 	outcome, err := runner.Demo(command.Context(), runner.Settings{
-		Scenario: runner.ForDuration(loaded, arrivals), Seed: flags.seed, Logger: logger, Progress: bar.show,
+		Scenario: runner.ForDuration(loaded, arrivalDuration), Seed: flags.seed, Logger: logger, Progress: progress.show,
 	})
-	bar.end()
+	progress.end()
 	if err != nil {
 		return err
 	}
@@ -87,7 +88,7 @@
 	}
 	writeFindings(command.ErrOrStderr(), outcome.Violations, outcome.Failures)
 	if !outcome.Passed() {
-		return errViolated
+		return errChecksFailed
 	}
 	return nil
 }
@@ -111,12 +112,12 @@
 	}
 }
 
-// shownFindings bounds what is printed of a bad run.
-const shownFindings = 20
+// maxShownViolations limits how many violations of a run are printed.
+const maxShownViolations = 20
 
 func writeFindings(out io.Writer, violations []checker.Violation, failures []string) {
 	for i, violation := range violations {
-		if i == shownFindings {
+		if i == maxShownViolations {
 			_, _ = fmt.Fprintf(out, "... and %d more violations\n", len(violations)-i)
 			break
 		}
--- a/cmd/ringstream-bench/emulate.go
+++ b/cmd/ringstream-bench/emulate.go
@@ -14,7 +14,7 @@
 	"ringstream.example/ringstream/internal/emulator"
 )
 
-// emulateOptions are the flags of emulate.
+// emulateOptions holds the flag values of the emulate command.
 type emulateOptions struct {
 	pool, model, region string
 	zones               []string
--- a/cmd/ringstream-bench/faults.go
+++ b/cmd/ringstream-bench/faults.go
@@ -27,11 +27,11 @@
 			if options.Parallel < 1 {
 				return fmt.Errorf("--parallel: must be at least 1, is %d", options.Parallel)
 			}
-			options.Progress = showCells(command.ErrOrStderr())
+			options.Progress = cellProgress(command.ErrOrStderr())
 			if err := os.MkdirAll(directory, 0o755); err != nil {
 				return err
 			}
-			signal.Reset(os.Interrupt, syscall.SIGTERM) // a matrix that is stopped has no result
+			signal.Reset(os.Interrupt, syscall.SIGTERM) // a signal ends the process at once, since an interrupted matrix has no result
 			faults.Main(options, func(report faults.Report) error { return writeMatrix(directory, report) })
 			return nil // not reached: Main ends the process
 		},
@@ -46,21 +46,23 @@
 	return command
 }
 
-// showCells reports each cell that is not sound, and how far the matrix is.
-func showCells(out io.Writer) func(done, all int, last faults.Result) {
-	const every = 50
-	return func(done, all int, last faults.Result) {
-		if last.Bug == "" && len(last.Violations)+len(last.Failures) > 0 {
-			_, _ = fmt.Fprintf(out, "%v: %d violations, failures %q\n", last.Injections, len(last.Violations), last.Failures)
+// cellProgress returns a function that prints each cell with violations or
+// failures, and the number of finished cells at regular intervals. A cell with
+// a planted bug is not printed, since violations are expected there.
+func cellProgress(out io.Writer) func(done, total int, result faults.Result) {
+	const cellsPerLine = 50
+	return func(done, total int, result faults.Result) {
+		if result.Bug == "" && len(result.Violations)+len(result.Failures) > 0 {
+			_, _ = fmt.Fprintf(out, "%v: %d violations, failures %q\n", result.Injections, len(result.Violations), result.Failures)
 		}
-		if done%every == 0 || done == all {
-			_, _ = fmt.Fprintf(out, "%d of %d cells\n", done, all)
+		if done%cellsPerLine == 0 || done == total {
+			_, _ = fmt.Fprintf(out, "%d of %d cells\n", done, total)
 		}
 	}
 }
 
-// writeMatrix writes matrix.json, matrix.html and summary.md; an error also
-// when the matrix did not pass.
+// writeMatrix writes matrix.json, matrix.html and summary.md to the directory.
+// It also returns an error when the matrix did not pass.
 func writeMatrix(directory string, report faults.Report) error {
 	encoded, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
@@ -71,9 +73,9 @@
 		return err
 	}
 	files := map[string][]byte{"matrix.json": encoded, "matrix.html": page.Bytes(), "summary.md": summary.Bytes()}
-	const readable = 0o644
+	const fileMode = 0o644
 	for name, content := range files {
-		if err := os.WriteFile(filepath.Join(directory, name), content, readable); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, name), content, fileMode); err != nil {
 			return err
 		}
 	}
--- a/cmd/ringstream-bench/main.go
+++ b/cmd/ringstream-bench/main.go
@@ -1,6 +1,7 @@
-// Command ringstream-bench holds the stand-ins of the platform and the tools
-// that judge a change: a demo, scenarios, the fault matrix and the soak.
-// Each subcommand has its own file; no production code is linked to them.
+// Command ringstream-bench runs the platform's stand-ins and the tools that
+// evaluate a change: the demo, the scenarios, the fault matrix and the soak
+// test. Each subcommand has its own file. The ringstream binary links none of
+// this code.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"ringstream.example/ringstream/internal/version"
 )
 
-// subcommands lists every subcommand, one a line.
+// subcommands returns every subcommand.
 func subcommands() []*cobra.Command {
 	return []*cobra.Command{
 		versionCommand(),
--- a/cmd/ringstream-bench/progress.go
+++ b/cmd/ringstream-bench/progress.go
@@ -13,38 +13,38 @@
 	"ringstream.example/ringstream/internal/bench/runner"
 )
 
-// progressLine shows how far a run is: a bar on a terminal, else a plain line
-// now and then.
+// progressLine shows the progress of a run, as a bar on a terminal and as
+// occasional plain lines elsewhere.
 type progressLine struct {
-	out      io.Writer
-	terminal bool
-	phase    string
-	bar      *progressbar.ProgressBar
-	last     time.Time
+	out         io.Writer
+	isTerminal  bool
+	phase       string
+	bar         *progressbar.ProgressBar
+	lastPrinted time.Time
 }
 
-// plainEvery is the pause between plain progress lines.
-const plainEvery = 5 * time.Second
+// plainLineInterval is the shortest time between two plain progress lines.
+const plainLineInterval = 5 * time.Second
 
 func newProgressLine(out io.Writer) *progressLine {
 	line := &progressLine{out: out}
 	if file, ok := out.(*os.File); ok {
 		if info, err := file.Stat(); err == nil {
-			line.terminal = info.Mode()&os.ModeCharDevice != 0
+			line.isTerminal = info.Mode()&os.ModeCharDevice != 0
 		}
 	}
 	return line
 }
 
-// show is called from one goroutine at a time.
+// show updates the progress. It is not safe for concurrent use.
 func (p *progressLine) show(progress runner.Progress) {
 	text := fmt.Sprintf("%s: %d online requests and %d jobs ended", progress.Phase, progress.Counts.Requests, progress.Counts.Jobs)
 	if progress.Elapsed > progress.Duration {
 		text += ", waiting for accepted work"
 	}
-	if !p.terminal {
-		if time.Since(p.last) >= plainEvery {
-			p.last = time.Now()
+	if !p.isTerminal {
+		if time.Since(p.lastPrinted) >= plainLineInterval {
+			p.lastPrinted = time.Now()
 			_, _ = fmt.Fprintf(p.out, "%3.0f s %s\n", progress.Elapsed.Seconds(), text)
 		}
 		return
@@ -57,7 +57,7 @@
 			progressbar.OptionClearOnFinish(), progressbar.OptionSetPredictTime(false))
 	}
 	p.bar.Describe(text)
-	_ = p.bar.Set64(int64(min(progress.Elapsed, progress.Duration-1))) // a bar that cannot be drawn is not missed
+	_ = p.bar.Set64(int64(min(progress.Elapsed, progress.Duration-1))) // a failure to draw the bar does not affect the run
 }
 
 func (p *progressLine) end() {
@@ -67,12 +67,13 @@
 	}
 }
 
-// benchLogger writes the nodes' logs to standard error.
+// benchLogger returns a logger for the nodes that writes entries of the given
+// level and above to standard error.
 func benchLogger(level string) (*zap.Logger, error) {
-	lowest, err := zapcore.ParseLevel(level)
+	minimumLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("--log-level: %w", err)
 	}
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
-	return zap.New(zapcore.NewCore(encoder, zapcore.Lock(os.Stderr), lowest)), nil
+	return zap.New(zapcore.NewCore(encoder, zapcore.Lock(os.Stderr), minimumLevel)), nil
 }
--- a/cmd/ringstream-bench/run.go
+++ b/cmd/ringstream-bench/run.go
@@ -32,18 +32,18 @@
 			if err != nil {
 				return err
 			}
-			bar := newProgressLine(command.ErrOrStderr())
+			progress := newProgressLine(command.ErrOrStderr())
 			result, series, err := runner.Run(command.Context(), runner.Settings{
-				Scenario: loaded, Seed: seed, Logger: logger, Progress: bar.show, Settle: true,
+				Scenario: loaded, Seed: seed, Logger: logger, Progress: progress.show, Settle: true,
 			})
-			bar.end()
+			progress.end()
 			if err != nil {
 				return err
 			}
 			if err := report.Write(out, result, series); err != nil {
 				return err
 			}
-			return conclude(command, result, out)
+			return printResult(command, result, out)
 		},
 	}
 	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the load and of the stand-ins")
@@ -52,8 +52,9 @@
 	return command
 }
 
-// conclude prints what the report says, and fails on a violation.
-func conclude(command *cobra.Command, result report.Report, out string) error {
+// printResult prints a summary of the report. It returns errChecksFailed when
+// an invariant was violated.
+func printResult(command *cobra.Command, result report.Report, out string) error {
 	writeFindings(command.ErrOrStderr(), result.Violations, nil)
 	print := func(format string, arguments ...any) {
 		_, _ = fmt.Fprintf(command.OutOrStdout(), format+"\n", arguments...)
@@ -69,7 +70,7 @@
 	print("report in %s", out)
 	for _, count := range result.Invariants {
 		if count > 0 {
-			return errViolated
+			return errChecksFailed
 		}
 	}
 	return nil
--- a/cmd/ringstream-bench/serve.go
+++ b/cmd/ringstream-bench/serve.go
@@ -17,8 +17,8 @@
 	"ringstream.example/ringstream/internal/bench/scenario"
 )
 
-// hints are commands that work against the fleet of demo --serve.
-var hints = template.Must(template.New("hints").Parse(`The fleet is up. Node 0 is at {{.Gateway}} (callers) and {{.Admin}} (operators).
+// hintsTemplate lists commands that work against the fleet of demo --serve.
+var hintsTemplate = template.Must(template.New("hints").Parse(`The fleet is up. Node 0 is at {{.Gateway}} (callers) and {{.Admin}} (operators).
 
 A streamed answer:
   curl -N http://{{.Gateway}}/v1/completions -H 'Authorization: Bearer {{.Key}}' -H 'Content-Type: application/json' -d '{"model":"{{.Model}}","prompt":"engine warning 4711","max_tokens":20,"stream":true}'
@@ -42,7 +42,8 @@
 POST /stop/N stops a node as planned. Ctrl-C ends everything.
 `))
 
-// serveDemo keeps a fleet up until it is interrupted.
+// serveDemo starts a fleet, prints commands to try and serves the control port
+// until the command is interrupted.
 func serveDemo(command *cobra.Command, flags demoFlags) error {
 	loaded, err := scenario.Load("demo")
 	if err != nil {
@@ -64,41 +65,41 @@
 }
 
 func writeHints(out io.Writer, running *fleet.Fleet, loaded scenario.Scenario, control string) error {
-	return hints.Execute(out, map[string]string{
+	return hintsTemplate.Execute(out, map[string]string{
 		"Gateway": running.Gateway(0), "Admin": running.Admin(0), "Other": running.Gateway(1), "Control": control,
 		"Model": loaded.Model, "Key": running.Key(loaded.Tenants()[0]), "OperatorKey": fleet.OperatorKey,
 	})
 }
 
-// serveControl takes orders to kill, stop and start nodes until ctx is done.
+// serveControl serves requests to kill, stop and start nodes until ctx is done.
 func serveControl(ctx context.Context, address string, running *fleet.Fleet) error {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
-	order := func(act func(node int) error) echo.HandlerFunc {
+	nodeHandler := func(action func(node int) error) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			node, err := strconv.Atoi(c.Param("node"))
 			if err != nil || node < 0 || node >= running.Nodes() {
 				return c.String(http.StatusNotFound, fmt.Sprintf("nodes are 0 to %d\n", running.Nodes()-1))
 			}
-			if err := act(node); err != nil {
+			if err := action(node); err != nil {
 				return c.String(http.StatusConflict, err.Error()+"\n")
 			}
 			return c.String(http.StatusOK, "done\n")
 		}
 	}
-	router.POST("/kill/:node", order(func(node int) error {
+	router.POST("/kill/:node", nodeHandler(func(node int) error {
 		running.KillNode(node)
 		return nil
 	}))
-	router.POST("/stop/:node", order(running.StopNode))
-	router.POST("/start/:node", order(running.StartNode))
-	stopped := context.AfterFunc(ctx, func() {
-		const patience = 5 * time.Second
-		ending, cancel := context.WithTimeout(context.Background(), patience)
+	router.POST("/stop/:node", nodeHandler(running.StopNode))
+	router.POST("/start/:node", nodeHandler(running.StartNode))
+	cancelShutdown := context.AfterFunc(ctx, func() {
+		const shutdownTimeout = 5 * time.Second
+		shutdownContext, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		_ = router.Shutdown(ending) // the process ends next
+		_ = router.Shutdown(shutdownContext) // the process exits next, so an error has no consequence
 	})
-	defer stopped()
+	defer cancelShutdown()
 	if err := router.Start(address); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("control port: %w", err)
 	}
--- a/cmd/ringstream-bench/soak.go
+++ b/cmd/ringstream-bench/soak.go
@@ -34,7 +34,7 @@
 				seeds = []uint64{uint64(time.Now().UnixNano())} //nolint:gosec // any number
 			}
 			options.Said = func(line string) { _, _ = fmt.Fprintln(command.ErrOrStderr(), line) }
-			return soakAll(command, options, seeds)
+			return soakSeeds(command, options, seeds)
 		},
 	}
 	flags := command.Flags()
@@ -50,14 +50,16 @@
 	return command
 }
 
-func soakAll(command *cobra.Command, options soak.Options, seeds []uint64) error {
-	var problems []error
-	folder := options.Folder
+// soakSeeds runs a soak for each seed in turn, with its output in a subfolder
+// named after the seed.
+func soakSeeds(command *cobra.Command, options soak.Options, seeds []uint64) error {
+	var failures []error
+	baseFolder := options.Folder
 	for _, seed := range seeds {
 		options.Seed = seed
-		options.Folder = filepath.Join(folder, strconv.FormatUint(seed, 10))
-		const private = 0o700
-		if err := os.MkdirAll(options.Folder, private); err != nil {
+		options.Folder = filepath.Join(baseFolder, strconv.FormatUint(seed, 10))
+		const directoryMode = 0o700
+		if err := os.MkdirAll(options.Folder, directoryMode); err != nil {
 			return err
 		}
 		report, err := soak.Run(command.Context(), options)
@@ -68,20 +70,20 @@
 		if err != nil {
 			return err
 		}
-		const readable = 0o600
-		if err := os.WriteFile(filepath.Join(options.Folder, "report.json"), encoded, readable); err != nil {
+		const fileMode = 0o600
+		if err := os.WriteFile(filepath.Join(options.Folder, "report.json"), encoded, fileMode); err != nil {
 			return err
 		}
 		_, _ = fmt.Fprintln(command.OutOrStdout(), string(encoded))
 		if len(report.Violations) > 0 {
-			problems = append(problems, fmt.Errorf("seed %d: %d promises seen broken; logs in %s", seed, len(report.Violations), options.Folder))
+			failures = append(failures, fmt.Errorf("seed %d: %d promises seen broken; logs in %s", seed, len(report.Violations), options.Folder))
 		}
 	}
-	return errors.Join(problems...)
+	return errors.Join(failures...)
 }
 
-// readSeeds reads a file of seeds: the first word of each line, but of those
-// that are empty or begin with #.
+// readSeeds reads a file of seeds. The first word of each line is a seed; empty
+// lines and lines that begin with # are skipped.
 func readSeeds(path string) ([]uint64, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -89,17 +91,17 @@
 	}
 	defer file.Close() //nolint:errcheck // only read
 	var seeds []uint64
-	lines := bufio.NewScanner(file)
-	for number := 1; lines.Scan(); number++ {
-		fields := strings.Fields(lines.Text())
+	scanner := bufio.NewScanner(file)
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
+		fields := strings.Fields(scanner.Text())
 		if len(fields) == 0 || strings.HasPrefix(fields[0], "#") {
 			continue
 		}
 		seed, err := strconv.ParseUint(fields[0], 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: seed %q: a whole number is allowed", path, number, fields[0])
+			return nil, fmt.Errorf("%s:%d: seed %q: a whole number is allowed", path, lineNumber, fields[0])
 		}
 		seeds = append(seeds, seed)
 	}
-	return seeds, lines.Err()
+	return seeds, scanner.Err()
 }
