--- a/bench/scenarios/scenarios.go
+++ b/bench/scenarios/scenarios.go
@@ -11,7 +11,8 @@
 //go:embed *.yaml
 var Files embed.FS
 
-// Names lists the embedded scenarios.
+// Names returns the names of the embedded scenarios, which are their file names
+// without .yaml.
 func Names() []string {
 	entries, _ := Files.ReadDir(".") // an embedded directory can always be read
 	names := make([]string, len(entries))
