--- a/internal/admin/costly.go
+++ b/internal/admin/costly.go
@@ -16,7 +16,7 @@
 // expensiveData is the data of the page that needs calls to other nodes or the
 // store.
 type expensiveData struct {
-	revisions map[identity.NodeID]rows.NodeRevision
+	revisions map[identity.NodeID]rows.NodeTableStatus
 	jobs      []jobs.Job
 	jobsError error
 }
@@ -45,7 +45,7 @@
 	defer cancel()
 	var data expensiveData
 	if dependencies.Revisions != nil {
-		data.revisions = make(map[identity.NodeID]rows.NodeRevision)
+		data.revisions = make(map[identity.NodeID]rows.NodeTableStatus)
 		for _, held := range dependencies.Revisions.Revisions(limited) {
 			data.revisions[held.Node] = held
 		}
--- a/internal/admin/dependencies.go
+++ b/internal/admin/dependencies.go
@@ -42,7 +42,7 @@
 
 // Revisions reports the revision of the table that each node holds.
 type Revisions interface {
-	Revisions(ctx context.Context) []rows.NodeRevision
+	Revisions(ctx context.Context) []rows.NodeTableStatus
 }
 
 // Audit reads the audit log of accepted edits.
--- a/internal/admin/page_test.go
+++ b/internal/admin/page_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-func (f *faultyFleet) Revisions(context.Context) []rows.NodeRevision {
+func (f *faultyFleet) Revisions(context.Context) []rows.NodeTableStatus {
 	f.revisionCalls++
-	return []rows.NodeRevision{{Node: "n1", Known: true, Revision: maxPageRows + 5}, {Node: "n2", Known: true, Revision: maxPageRows + 3}, {Node: "n3"}}
+	return []rows.NodeTableStatus{{Node: "n1", Known: true, Revision: maxPageRows + 5}, {Node: "n2", Known: true, Revision: maxPageRows + 3}, {Node: "n3"}}
 }
 
 func (f *faultyFleet) List(context.Context, identity.TenantID, identity.JobID, int) ([]jobs.Job, error) {
--- a/internal/admin/rows.go
+++ b/internal/admin/rows.go
@@ -67,10 +67,10 @@
 
 // RowStatus reports which nodes hold the table's latest revision.
 type RowStatus struct {
-	Revision uint64              `json:"revision"` // the highest known revision
-	Nodes    []rows.NodeRevision `json:"nodes"`
-	Behind   int                 `json:"behind"`  // nodes that answered and are below Revision
-	Unknown  int                 `json:"unknown"` // nodes that did not answer in time
+	Revision uint64                 `json:"revision"` // the highest known revision
+	Nodes    []rows.NodeTableStatus `json:"nodes"`
+	Behind   int                    `json:"behind"`  // nodes that answered and are below Revision
+	Unknown  int                    `json:"unknown"` // nodes that did not answer in time
 }
 
 // AuditList is a page of accepted edits, oldest first.
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -44,9 +44,9 @@
 	return server
 }
 
-// ListenWith sets the function with which Run opens its listener, in place of TCP.
+// SetListenFunc sets the function with which Run opens its listener, in place of TCP.
 // It must be called before Run.
-func (s *Server) ListenWith(open httpserver.ListenFunc) { s.http.ListenWith(open) }
+func (s *Server) SetListenFunc(open httpserver.ListenFunc) { s.http.SetListenFunc(open) }
 
 // Run serves until ctx is done.
 func (s *Server) Run(ctx context.Context) error { return s.http.Run(ctx) }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -98,8 +98,8 @@
 	return f.audit[min(int(after), len(f.audit)):][:min(limit, len(f.audit)-int(after))], nil
 }
 
-func (f *fakeRows) Revisions(context.Context) []rows.NodeRevision {
-	return []rows.NodeRevision{{Node: "n1", Known: true, Revision: f.revision}, {Node: "n2", Known: true}, {Node: "n3"}}
+func (f *fakeRows) Revisions(context.Context) []rows.NodeTableStatus {
+	return []rows.NodeTableStatus{{Node: "n1", Known: true, Revision: f.revision}, {Node: "n2", Known: true}, {Node: "n3"}}
 }
 
 type fakeFleet struct{}
--- a/internal/backend/backendtest/storage.go
+++ b/internal/backend/backendtest/storage.go
@@ -15,13 +15,13 @@
 // Faults configures the failures of a store's calls.
 type Faults struct {
 	Down bool // calls fail without effect
-	// LoseAnswers is the number of further commits or puts that are executed but
+	// LoseResponses is the number of further commits or puts that are executed but
 	// whose responses are lost.
-	LoseAnswers int
-	// Spare is the number of commits that still get a response before the first
+	LoseResponses int
+	// ResponsesBeforeLoss is the number of commits that still get a response before the first
 	// response is lost.
-	Spare int
-	Hang  bool // calls block without effect until their context is done
+	ResponsesBeforeLoss int
+	Hang                bool // calls block without effect until their context is done
 }
 
 // Table is an in-memory backend.Table.
@@ -131,10 +131,10 @@
 		}
 	}
 	switch {
-	case t.faults.Spare > 0:
-		t.faults.Spare--
-	case t.faults.LoseAnswers > 0:
-		t.faults.LoseAnswers--
+	case t.faults.ResponsesBeforeLoss > 0:
+		t.faults.ResponsesBeforeLoss--
+	case t.faults.LoseResponses > 0:
+		t.faults.LoseResponses--
 		return backend.CommitResult{}, failure("table", "commit", backend.EffectUnknown)
 	}
 	return result, nil
@@ -175,8 +175,8 @@
 		return failure("objects", "put", backend.EffectNone)
 	}
 	o.bodies[name] = slices.Clone(body)
-	if o.faults.LoseAnswers > 0 {
-		o.faults.LoseAnswers--
+	if o.faults.LoseResponses > 0 {
+		o.faults.LoseResponses--
 		return failure("objects", "put", backend.EffectUnknown)
 	}
 	return nil
--- a/internal/backend/wire/stream.go
+++ b/internal/backend/wire/stream.go
@@ -18,8 +18,8 @@
 //
 // The reader parses the first form without a JSON decoder.
 
-// ErrCrossed is returned for a line that belongs to another attempt.
-var ErrCrossed = errors.New("the line answers another attempt")
+// ErrOtherAttempt is returned for a line that belongs to another attempt.
+var ErrOtherAttempt = errors.New("the line answers another attempt")
 
 // Line is one line of a token stream. Exactly one of Text, Preempted, Finish and Error
 // is set.
@@ -108,14 +108,14 @@
 
 var textFieldPrefix = []byte(`,"t":"`)
 
-// Parse decodes any line. It returns ErrCrossed for a line of another attempt.
+// Parse decodes any line. It returns ErrOtherAttempt for a line of another attempt.
 func (r *LineReader) Parse(raw []byte) (Line, error) {
 	var line Line
 	if err := json.Unmarshal(raw, &line); err != nil {
 		return Line{}, err
 	}
 	if line.Attempt != r.attempt {
-		return Line{}, ErrCrossed
+		return Line{}, ErrOtherAttempt
 	}
 	return line, nil
 }
--- a/internal/backend/wire/stream_test.go
+++ b/internal/backend/wire/stream_test.go
@@ -35,7 +35,7 @@
 	if _, _, ok := reader.Token(line); ok {
 		t.Fatal("the fast path accepted a line of another attempt")
 	}
-	if _, err := reader.Parse(line); !errors.Is(err, ErrCrossed) {
+	if _, err := reader.Parse(line); !errors.Is(err, ErrOtherAttempt) {
 		t.Fatalf("Parse returned %v, want ErrCrossed", err)
 	}
 }
--- a/internal/core/enginechoice/enginechoice.go
+++ b/internal/core/enginechoice/enginechoice.go
@@ -114,7 +114,7 @@
 
 // Upsert applies an engine's entry. An entry of a later incarnation than the known one ends
 // that one and starts without observations. An entry of an earlier incarnation is ignored.
-func (s *Set) Upsert(entry Entry, state State, now time.Time) News {
+func (s *Set) Upsert(entry Entry, state State, now time.Time) UpsertResult {
 	engine := entry.Incarnation()
 	news := s.recordIncarnation(engine, now)
 	if news == Outdated {
@@ -286,8 +286,8 @@
 	return count
 }
 
-// Doubtful returns the number of unlisted engines of a pool that are still in use.
-func (s *Set) Doubtful(pool string) int {
+// UnlistedCount returns the number of unlisted engines of a pool that are still in use.
+func (s *Set) UnlistedCount(pool string) int {
 	count := 0
 	for _, known := range s.pools[pool] {
 		if known.state == Unlisted {
@@ -299,8 +299,8 @@
 
 func (e *engine) usable() bool { return e.state.Usable() }
 
-// Own returns the work in flight that this Set has counted at each engine that has any.
-func (s *Set) Own() map[Incarnation]Counts {
+// InFlight returns the work in flight that this Set has counted at each engine that has any.
+func (s *Set) InFlight() map[Incarnation]Counts {
 	counts := make(map[Incarnation]Counts)
 	for id, known := range s.engines {
 		if known.own != (Counts{}) {
@@ -389,8 +389,8 @@
 	}
 }
 
-// Observe records an engine's own count of its requests, from the header of a response.
-func (s *Set) Observe(engine Incarnation, running, waiting int, now time.Time) {
+// RecordReport records an engine's own count of its requests, from the header of a response.
+func (s *Set) RecordReport(engine Incarnation, running, waiting int, now time.Time) {
 	if known := s.engines[engine]; known != nil {
 		known.writable().reportedInFlight = running + waiting
 		known.ownAtReport = known.own.Online + known.own.Batch
@@ -398,9 +398,9 @@
 	}
 }
 
-// Remember records that the engine has computed the parts of a prompt and may have them
+// RecordPrompt records that the engine has computed the parts of a prompt and may have them
 // cached.
-func (s *Set) Remember(engine Incarnation, parts []Part, now time.Time) {
+func (s *Set) RecordPrompt(engine Incarnation, parts []Part, now time.Time) {
 	known := s.engines[engine]
 	if known == nil {
 		return
--- a/internal/core/enginechoice/enginechoice_test.go
+++ b/internal/core/enginechoice/enginechoice_test.go
@@ -66,7 +66,7 @@
 				}
 				want[next.engine] = counts
 			}
-			got := set.Own()
+			got := set.InFlight()
 			if len(got) != len(want) {
 				t.Fatalf("got %v, want %v", got, want)
 			}
@@ -108,7 +108,7 @@
 	set := newSet(3)
 	shared := []Part{{ID: "a", Tokens: 2000}, {ID: "b", Tokens: 3000}}
 	first, _ := set.Pick(Query{Pool: "p", Shared: shared}, start)
-	set.Remember(first.Entry.Incarnation(), shared, start)
+	set.RecordPrompt(first.Entry.Incarnation(), shared, start)
 	second, _ := set.Pick(Query{Pool: "p", Shared: shared, OwnTokens: 7}, start)
 	if second.Entry.ID != first.Entry.ID || second.PrefillTokens != 7 {
 		t.Errorf("picked %s with %d tokens to compute, want %s with 7", second.Entry.ID, second.PrefillTokens, first.Entry.ID)
@@ -172,7 +172,7 @@
 func TestWithheldEngineTakesNoWorkAndKeepsWhatWasLearned(t *testing.T) {
 	set := newSet(2)
 	work := startAll(set, named("e0"), 2, 0)
-	set.Remember(named("e0"), []Part{{ID: "a", Tokens: 50}}, start)
+	set.RecordPrompt(named("e0"), []Part{{ID: "a", Tokens: 50}}, start)
 	if !set.Withhold(named("e0"), start) || set.Withhold(named("e0"), start) || set.Withhold(named("unknown"), start) {
 		t.Error("Withhold does not report the change of the state correctly")
 	}
@@ -184,7 +184,7 @@
 	if listed, _ := set.Find(named("e0")); listed.State != Withheld || set.Serving("p") != 1 {
 		t.Errorf("e0 is %s and %d engines accept new work, want withheld and 1", listed.State, set.Serving("p"))
 	}
-	if counts := set.Own()[named("e0")]; counts.Online != len(work) {
+	if counts := set.InFlight()[named("e0")]; counts.Online != len(work) {
 		t.Errorf("%+v in flight at the withheld engine, want %d", counts, len(work))
 	}
 	set.Upsert(Entry{ID: "e0", Pool: "p", Zone: "z1", Slots: 4}, Ready, start)
@@ -225,7 +225,7 @@
 }
 
 func TestEngineAcceptsBatch(t *testing.T) {
-	query := Query{Pool: "p", Batch: true, BatchPercent: 50} // 2 of 4 slots
+	query := Query{Pool: "p", Batch: true, MaxBatchPercent: 50} // 2 of 4 slots
 	for _, c := range []struct {
 		name          string
 		online, batch int
@@ -319,7 +319,7 @@
 
 func TestEngineReportExpires(t *testing.T) {
 	set := newSet(1)
-	set.Observe(named("e0"), 4, 2, start)
+	set.RecordReport(named("e0"), 4, 2, start)
 	if !set.IsFull(named("e0"), start.Add(maxReportAge)) {
 		t.Error("the engine's own count was not used")
 	}
@@ -363,20 +363,20 @@
 	startAll(set, named("e0"), 4, 0)
 	work := startAll(set, named("e1"), 3, 1)
 	choice, _ := set.Pick(Query{Pool: "p"}, start)
-	if choice.Entry.ID != "e1" || !choice.MakeRoom || !choice.HasSlot() {
-		t.Errorf("picked %s with preemption %t, want e1 with preemption", choice.Entry.ID, choice.MakeRoom)
+	if choice.Entry.ID != "e1" || !choice.Preempts || !choice.HasSlot() {
+		t.Errorf("picked %s with preemption %t, want e1 with preemption", choice.Entry.ID, choice.Preempts)
 	}
-	if choice, _ := set.Pick(Query{Pool: "p", Batch: true, BatchPercent: 200}, start); choice.MakeRoom {
+	if choice, _ := set.Pick(Query{Pool: "p", Batch: true, MaxBatchPercent: 200}, start); choice.Preempts {
 		t.Error("a batch request preempts a batch request")
 	}
 	set.Finish(named("e1"), work[0], Succeeded, start)
-	if choice, _ := set.Pick(Query{Pool: "p"}, start); choice.MakeRoom {
+	if choice, _ := set.Pick(Query{Pool: "p"}, start); choice.Preempts {
 		t.Error("a batch request is preempted although a slot is free")
 	}
 	startAll(set, named("e1"), 1, 0)
 	set.Finish(named("e1"), work[3], Abandoned, start)
 	startAll(set, named("e1"), 1, 0)
-	if choice, _ := set.Pick(Query{Pool: "p"}, start); choice.MakeRoom || choice.HasSlot() || choice.InFlight != 4 {
+	if choice, _ := set.Pick(Query{Pool: "p"}, start); choice.Preempts || choice.HasSlot() || choice.InFlight != 4 {
 		t.Errorf("got %+v, want no preemption and no slot, since no batch request is left", choice)
 	}
 }
@@ -390,7 +390,7 @@
 	set.Finish(named("e0"), work, Abandoned, start)
 	set.FirstToken(named("e0"), work)
 	set.Finish(named("e0"), work, Failed, start)
-	if own := set.Own(); len(own) != 0 {
+	if own := set.InFlight(); len(own) != 0 {
 		t.Errorf("in flight are %v, want none", own)
 	}
 }
@@ -399,7 +399,7 @@
 // the prompt need not be computed there again.
 func TestFormerEngineIsPreferred(t *testing.T) {
 	set := newSet(3)
-	query := Query{Pool: "p", OwnTokens: 1200, Batch: true, BatchPercent: 100, Former: named("e2")}
+	query := Query{Pool: "p", OwnTokens: 1200, Batch: true, MaxBatchPercent: 100, PreviousEngine: named("e2")}
 	if choice, _ := set.Pick(query, start); choice.Entry.ID != "e2" || choice.PrefillTokens != 0 {
 		t.Errorf("picked %s with %d tokens to compute, want e2 with none", choice.Entry.ID, choice.PrefillTokens)
 	}
--- a/internal/core/enginechoice/incarnation.go
+++ b/internal/core/enginechoice/incarnation.go
@@ -39,21 +39,21 @@
 // Incarnation returns the incarnation of the engine that the entry describes.
 func (e Entry) Incarnation() Incarnation { return Incarnation{ID: e.ID, Born: e.Born} }
 
-// News is the effect of an entry on a Set.
-type News uint8
+// UpsertResult is the effect of an entry on a Set.
+type UpsertResult uint8
 
 // The effects of an entry.
 const (
-	Unchanged News = iota // the engine's state is unchanged; its entry may differ
-	Changed               // the engine is new or its state has changed
-	Restarted             // the engine has restarted under its ID
-	Outdated              // the entry is of an earlier incarnation and was ignored
+	Unchanged UpsertResult = iota // the engine's state is unchanged; its entry may differ
+	Changed                       // the engine is new or its state has changed
+	Restarted                     // the engine has restarted under its ID
+	Outdated                      // the entry is of an earlier incarnation and was ignored
 )
 
 var newsNames = [...]string{"unchanged", "changed", "restarted", "outdated"}
 
 // String returns the name for logs.
-func (n News) String() string { return newsNames[n] }
+func (n UpsertResult) String() string { return newsNames[n] }
 
 // incarnationHistory is what is known about the incarnations of an engine ID.
 type incarnationHistory struct {
@@ -69,7 +69,7 @@
 
 // recordIncarnation compares an incarnation with the newest one known of its ID. If it is
 // newer, it becomes the newest, and the former one ends.
-func (s *Set) recordIncarnation(engine Incarnation, now time.Time) News {
+func (s *Set) recordIncarnation(engine Incarnation, now time.Time) UpsertResult {
 	known, found := s.incarnations[engine.ID]
 	former := known.newest
 	switch {
--- a/internal/core/enginechoice/incarnation_test.go
+++ b/internal/core/enginechoice/incarnation_test.go
@@ -47,22 +47,22 @@
 	set := newSetOf(first)
 	set.Upsert(Entry{ID: "e1", Pool: "p", Address: "b", Slots: 4, MemoryTokens: 10000}, Ready, start)
 	for _, engine := range []Incarnation{first, named("e1")} {
-		set.Remember(engine, shared, start)
+		set.RecordPrompt(engine, shared, start)
 	}
 	restart(t, set)
 	query := Query{Pool: "p", Shared: shared, OwnTokens: 50, Exclude: map[Incarnation]bool{named("e1"): true}}
 	if held := len(set.engines[second].resident); held != 0 {
 		t.Errorf("new incarnation has %d cached parts, want none", held)
 	}
-	query.Former = first
+	query.PreviousEngine = first
 	if choice, found := set.Pick(query, start); !found || choice.Entry.Incarnation() != second || choice.PrefillTokens < 50 {
 		t.Errorf("picked %+v, want the new incarnation with the whole prompt to compute", choice)
 	}
-	query.Former = second
+	query.PreviousEngine = second
 	if choice, _ := set.Pick(query, start); choice.PrefillTokens != 0 {
 		t.Errorf("%d tokens to compute at the engine that ran the request, want none", choice.PrefillTokens)
 	}
-	set.Remember(first, shared, start) // a late report of its last request
+	set.RecordPrompt(first, shared, start) // a late report of its last request
 	if held := len(set.engines[second].resident); held != 0 {
 		t.Errorf("new incarnation has %d cached parts by a report of the former, want none", held)
 	}
@@ -74,20 +74,20 @@
 	for _, next := range work {
 		set.Start(first, next)
 	}
-	set.Observe(first, 9, 9, start)
+	set.RecordReport(first, 9, 9, start)
 	restart(t, set)
-	set.Observe(first, 9, 9, start) // a late response
-	if choice, found := set.Pick(Query{Pool: "p"}, start); !found || choice.Entry.Incarnation() != second || choice.InFlight != 0 || choice.MakeRoom {
+	set.RecordReport(first, 9, 9, start) // a late response
+	if choice, found := set.Pick(Query{Pool: "p"}, start); !found || choice.Entry.Incarnation() != second || choice.InFlight != 0 || choice.Preempts {
 		t.Errorf("picked %+v, want the new incarnation with nothing in flight", choice)
 	}
-	if own := set.Own(); own[second] != (Counts{}) || own[first].Online != 1 || own[first].Batch != 1 {
+	if own := set.InFlight(); own[second] != (Counts{}) || own[first].Online != 1 || own[first].Batch != 1 {
 		t.Errorf("in flight are %v, want one online and one batch request at the former", own)
 	}
 	for _, next := range work {
 		set.FirstToken(first, next)
 		set.Finish(first, next, Failed, start)
 	}
-	if own := set.Own(); len(own) != 0 {
+	if own := set.InFlight(); len(own) != 0 {
 		t.Errorf("in flight are %v after all requests have ended, want none", own)
 	}
 }
@@ -139,7 +139,7 @@
 			if listed, _ := set.Find(second); listed.Entry != next || listed.State != Ready {
 				t.Errorf("got %+v, want the new entry and ready", listed)
 			}
-			if set.Serving("p") != 0 || set.Serving("q") != 1 || set.Doubtful("p") != 0 {
+			if set.Serving("p") != 0 || set.Serving("q") != 1 || set.UnlistedCount("p") != 0 {
 				t.Errorf("%d engines serve in the former's pool and %d in the new one, want 0 and 1", set.Serving("p"), set.Serving("q"))
 			}
 		})
@@ -164,12 +164,12 @@
 	set := newSetOf(first)
 	work := &Work{MemoryTokens: 20}
 	set.Start(first, work)
-	set.Remember(first, []Part{{ID: "a", Tokens: 700}}, start)
+	set.RecordPrompt(first, []Part{{ID: "a", Tokens: 700}}, start)
 	set.Remove(first, false, start)
 	if news := set.Upsert(entryOf(first), Ready, start); news != Changed {
 		t.Errorf("Upsert returned %v, want changed", news)
 	}
-	if own := set.Own()[first]; own.Online != 1 || set.engines[first].residentTokens != 700 {
+	if own := set.InFlight()[first]; own.Online != 1 || set.engines[first].residentTokens != 700 {
 		t.Errorf("requests or cached parts were lost: %+v", own)
 	}
 }
@@ -210,11 +210,11 @@
 	set := newSetOf(first)
 	startAll(set, first, 5, 0)
 	choice, _ := set.Pick(Query{Pool: "p"}, start)
-	if choice.HasSlot() || !set.Queues(choice, start) {
+	if choice.HasSlot() || !set.MayBeQueued(choice, start) {
 		t.Fatalf("a request at a full engine does not wait: %+v", choice)
 	}
 	restart(t, set)
-	if set.Queues(choice, start) {
+	if set.MayBeQueued(choice, start) {
 		t.Error("a request still counts as waiting at the former incarnation")
 	}
 }
--- a/internal/core/enginechoice/model_test.go
+++ b/internal/core/enginechoice/model_test.go
@@ -142,7 +142,7 @@
 		}
 	default:
 		if part := rapid.StringMatching("[ab]").Draw(r.t, "part"); known {
-			r.set.Remember(engine, []Part{{ID: part, Tokens: 10}}, r.now)
+			r.set.RecordPrompt(engine, []Part{{ID: part, Tokens: 10}}, r.now)
 			if r.reference.cached[engine] == nil {
 				r.reference.cached[engine] = make(map[string]bool)
 			}
@@ -183,7 +183,7 @@
 		if newest, _ := r.reference.newest(engine.ID); newest != engine && state.Usable() {
 			r.t.Fatalf("%v accepts new work although %v is newer", engine, newest)
 		}
-		if counts := r.set.Own()[engine]; counts.Online != r.reference.work[engine] {
+		if counts := r.set.InFlight()[engine]; counts.Online != r.reference.work[engine] {
 			r.t.Fatalf("%v has %d requests in flight, want %d", engine, counts.Online, r.reference.work[engine])
 		}
 		if cached := len(r.set.engines[engine].resident); cached != len(r.reference.cached[engine]) {
--- a/internal/core/enginechoice/pick.go
+++ b/internal/core/enginechoice/pick.go
@@ -20,13 +20,13 @@
 	OwnTokens    int    // tokens of the prompt that no other request shares
 	MemoryTokens int    // tokens of the prompt and of the expected output
 	Batch        bool
-	// BatchPercent bounds the batch requests at an engine, as a percentage of its slots.
-	BatchPercent int
-	Exclude      map[Incarnation]bool
+	// MaxBatchPercent bounds the batch requests at an engine, as a percentage of its slots.
+	MaxBatchPercent int
+	Exclude         map[Incarnation]bool
 	// Zone is the zone of the node that sends the request; empty if any will do.
 	Zone string
-	// Former is an engine that may have the whole prompt cached; the zero value if none.
-	Former Incarnation
+	// PreviousEngine is an engine that may have the whole prompt cached; the zero value if none.
+	PreviousEngine Incarnation
 	// Connected holds the engines to which the node keeps an idle connection.
 	Connected map[Incarnation]bool
 }
@@ -47,14 +47,14 @@
 	PrefillTokens int     // prompt tokens that the engine has to compute
 	InFlight      int     // estimated requests at the engine before this one
 	State         State
-	// MakeRoom reports that the engine is full and that a batch request there must be
+	// Preempts reports that the engine is full and that a batch request there must be
 	// preempted before this request is sent.
-	MakeRoom bool
+	Preempts bool
 }
 
 // HasSlot reports whether the engine is expected to start the request at once.
 func (c Choice) HasSlot() bool {
-	return c.MakeRoom || c.Entry.Slots <= 0 || c.InFlight < c.Entry.Slots
+	return c.Preempts || c.Entry.Slots <= 0 || c.InFlight < c.Entry.Slots
 }
 
 // Terms of the score, in milliseconds. The engines differ little in speed, and only the
@@ -112,16 +112,16 @@
 		rank := affinity(s.node, known.hash)
 		if !found || score < best.Score || (score == best.Score && rank > bestRank) {
 			bestRank = rank
-			best = Choice{Entry: known.entry, Score: score, PrefillTokens: prefill, InFlight: inFlight, State: known.state, MakeRoom: preempts}
+			best = Choice{Entry: known.entry, Score: score, PrefillTokens: prefill, InFlight: inFlight, State: known.state, Preempts: preempts}
 			found = true
 		}
 	}
 	return best, found
 }
 
-// Any reports whether Pick would find an engine for the request. It stops at the first
+// CanPick reports whether Pick would find an engine for the request. It stops at the first
 // engine that qualifies.
-func (s *Set) Any(query Query, now time.Time) bool {
+func (s *Set) CanPick(query Query, now time.Time) bool {
 	for id, known := range s.pools[query.Pool] {
 		if query.Exclude[id] || !known.usable() {
 			continue
@@ -139,7 +139,7 @@
 		return false
 	}
 	slots := max(e.entry.Slots, 1)
-	if e.own.Batch >= max(slots*query.BatchPercent/100, 1) || inFlight >= slots {
+	if e.own.Batch >= max(slots*query.MaxBatchPercent/100, 1) || inFlight >= slots {
 		return false
 	}
 	memory := e.entry.MemoryTokens
@@ -211,7 +211,7 @@
 // uncachedTokens estimates the prompt tokens that the engine has to compute. A cached part
 // is of use only if all parts before it are cached as well.
 func (e *engine) uncachedTokens(query Query, preferred [affinityEngines]Incarnation) int {
-	if query.Former == e.entry.Incarnation() {
+	if query.PreviousEngine == e.entry.Incarnation() {
 		return 0
 	}
 	tokens := query.OwnTokens
@@ -296,9 +296,9 @@
 	return list
 }
 
-// Queues reports whether a request that was sent by a choice may still wait for a slot, so
+// MayBeQueued reports whether a request that was sent by a choice may still wait for a slot, so
 // that a missing response is no failure. No request waits at an incarnation that has ended.
-func (s *Set) Queues(choice Choice, now time.Time) bool {
+func (s *Set) MayBeQueued(choice Choice, now time.Time) bool {
 	engine := choice.Entry.Incarnation()
 	if known := s.engines[engine]; known != nil && known.state == Ended {
 		return false
--- a/internal/core/grant/dispatcher.go
+++ b/internal/core/grant/dispatcher.go
@@ -91,8 +91,8 @@
 	retryBatch   bool         // queued batch requests may have become grantable
 	replies      map[string]*Reply
 	firstTokens  firstTokenEstimator
-	limits       *quota.Place // nil if no tenant has a limit that is counted here
-	liveNodes    int          // number of live nodes of the fleet; 0 if unknown
+	limits       *quota.RateCounter // nil if no tenant has a limit that is counted here
+	liveNodes    int                // number of live nodes of the fleet; 0 if unknown
 	// suspects holds the in-flight requests whose content is suspected of crashing
 	// engines.
 	suspects map[*inFlightRequest]bool
@@ -176,7 +176,7 @@
 		return
 	}
 	if d.limits == nil {
-		d.limits = quota.NewPlace(margin, now)
+		d.limits = quota.NewRateCounter(margin, now)
 	}
 	d.limits.SetLimits(limits)
 }
@@ -221,9 +221,9 @@
 	return inFlight, queued
 }
 
-// Hear applies a node's State. A State that is not newer than the last one of the same run
+// ApplyState applies a node's State. A State that is not newer than the last one of the same run
 // of the node is ignored. The resulting messages are returned by Replies.
-func (d *Dispatcher) Hear(from string, state State, now time.Time) {
+func (d *Dispatcher) ApplyState(from string, state State, now time.Time) {
 	known := d.nodes[from]
 	if known != nil && known.life == state.Life && state.Sequence <= known.sequence {
 		return // a newer State arrived first
@@ -244,7 +244,7 @@
 	}
 	d.updateInFlight(from, known, state, now)
 	for _, load := range state.Loads {
-		d.engines.Observe(d.engineByHash[load.Engine], load.Running, load.Waiting, now)
+		d.engines.RecordReport(d.engineByHash[load.Engine], load.Running, load.Waiting, now)
 	}
 	for _, first := range state.Firsts {
 		d.firstTokens.observe(first)
--- a/internal/core/grant/dispatcher_test.go
+++ b/internal/core/grant/dispatcher_test.go
@@ -154,14 +154,14 @@
 		{ID: 4, DueIn: -time.Millisecond},
 		{ID: 5, Batch: true, BatchPercent: 100, RoomPercent: 100},
 	}}
-	d.Hear("n1", state, start)
+	d.ApplyState("n1", state, start)
 	var order []uint64
 	for len(state.Waiting) > 0 && len(state.Held) > 0 {
 		state.Sequence++
 		state.Ended = []Ended{{ID: state.Held[0].ID, Engine: EngineHash(enginechoice.Incarnation{ID: "e0"})}}
 		state.Held = state.Held[1:]
 		now := start.Add(time.Duration(state.Sequence) * 400 * time.Millisecond) // the online peaks have decayed
-		d.Hear("n1", state, now)
+		d.ApplyState("n1", state, now)
 		d.startedAt = start.Add(-time.Hour)
 		d.Tick(now)
 		for _, granted := range d.Replies()["n1"].Grants {
@@ -189,11 +189,11 @@
 	for id := range uint64(slots) {
 		held = append(held, Held{ID: 100 + id, Engine: EngineHash(enginechoice.Incarnation{ID: "e0"})})
 	}
-	d.Hear("n1", State{Life: 1, Sequence: 1, Held: held, Waiting: []Ask{{ID: 1}}}, start)
+	d.ApplyState("n1", State{Life: 1, Sequence: 1, Held: held, Waiting: []Ask{{ID: 1}}}, start)
 	if reply := d.Replies()["n1"]; len(reply.Grants) != 0 || reply.Queued != 1 {
 		t.Fatalf("got %+v, want no grant and 1 queued request", reply)
 	}
-	d.Hear("n1", State{Life: 1, Sequence: 2, Held: held, Waiting: []Ask{{ID: 1, Place: true}}}, start)
+	d.ApplyState("n1", State{Life: 1, Sequence: 2, Held: held, Waiting: []Ask{{ID: 1, Place: true}}}, start)
 	if reply := d.Replies()["n1"]; len(reply.Grants) != 1 || reply.Grants[0].InFlight != slots {
 		t.Errorf("got %+v, want a grant although no slot is free", reply)
 	}
@@ -202,7 +202,7 @@
 // TestPreemptedRunCausesNoSecondPreemption has an online request preempt a batch run. The
 // engine's own count in the response still includes the preempted run, which must not
 // cause the preemption of another run. This most likely explains a failure of
-// TestOnlineRequestMakesRoomAtOnce in package platform, in which one batch run too many
+// TestOnlineRequestPreemptsBatchRun in package platform, in which one batch run too many
 // was preempted.
 func TestPreemptedRunCausesNoSecondPreemption(t *testing.T) {
 	d := NewDispatcher(DefaultDispatcherConfig(), lane, "n0", start)
@@ -211,7 +211,7 @@
 	for id := range uint64(slots) {
 		state.Held = append(state.Held, Held{ID: 100 + id, Engine: EngineHash(enginechoice.Incarnation{ID: "e0"}), Batch: true})
 	}
-	d.Hear("n1", state, start)
+	d.ApplyState("n1", state, start)
 	reply := d.Replies()["n1"]
 	if len(reply.Grants) != 1 || !reply.Grants[0].Preempts || len(reply.Stops) != 1 {
 		t.Fatalf("got %+v, want one grant that preempts and one stop", reply)
@@ -223,7 +223,7 @@
 		}
 	}
 	state.Loads = []Load{{Engine: EngineHash(enginechoice.Incarnation{ID: "e0"}), Running: slots + 1}}
-	d.Hear("n1", state, start.Add(5*time.Millisecond))
+	d.ApplyState("n1", state, start.Add(5*time.Millisecond))
 	d.Tick(start.Add(10 * time.Millisecond))
 	if stops := d.Replies()["n1"].Stops; len(stops) != 0 {
 		t.Errorf("runs %v were stopped as well", stops)
@@ -237,14 +237,14 @@
 	list := entries(2)
 	list[0].State = enginechoice.Leaving
 	d.SetEngines(list, start)
-	d.Hear("n1", State{Life: 1, Sequence: 1, Waiting: []Ask{{ID: 1}, {ID: 2}}}, start)
+	d.ApplyState("n1", State{Life: 1, Sequence: 1, Waiting: []Ask{{ID: 1}, {ID: 2}}}, start)
 	for _, granted := range d.Replies()["n1"].Grants {
 		if granted.Engine != EngineHash(enginechoice.Incarnation{ID: "e1"}) {
 			t.Errorf("granted %+v at an engine that is leaving", granted)
 		}
 	}
 	d.SetEngines(list[:1], start)
-	d.Hear("n1", State{Life: 1, Sequence: 2, Waiting: []Ask{{ID: 3}}}, start)
+	d.ApplyState("n1", State{Life: 1, Sequence: 2, Waiting: []Ask{{ID: 3}}}, start)
 	if reply := d.Replies()["n1"]; len(reply.Grants) != 0 {
 		t.Errorf("granted %+v with no usable engine", reply.Grants)
 	}
@@ -282,7 +282,7 @@
 
 func TestLanesDivideTheEngines(t *testing.T) {
 	for slotsAll, want := range map[int]uint32{0: 1, maxSlotsPerLane: 1, maxSlotsPerLane + 1: 2, 3 * maxSlotsPerLane: 4} {
-		if got := Parts(slotsAll); got != want {
+		if got := LaneCount(slotsAll); got != want {
 			t.Errorf("%d slots: %d lanes, want %d", slotsAll, got, want)
 		}
 	}
@@ -311,10 +311,10 @@
 			for b.Loop() {
 				sequence++
 				from := fmt.Sprint("n", sequence%300)
-				d.Hear(from, State{Life: 1, Sequence: sequence, Waiting: []Ask{{ID: sequence}}}, start)
+				d.ApplyState(from, State{Life: 1, Sequence: sequence, Waiting: []Ask{{ID: sequence}}}, start)
 				reply := d.Replies()[from]
 				sequence++
-				d.Hear(from, State{Life: 1, Sequence: sequence, Ended: []Ended{{ID: reply.Grants[0].ID}}}, start)
+				d.ApplyState(from, State{Life: 1, Sequence: sequence, Ended: []Ended{{ID: reply.Grants[0].ID}}}, start)
 				d.Replies()
 			}
 		})
@@ -342,7 +342,7 @@
 				DueIn: time.Duration(rapid.IntRange(-50, 150).Draw(t, "due ms")) * time.Millisecond,
 			})
 		}
-		d.Hear("n1", state, start)
+		d.ApplyState("n1", state, start)
 		for len(state.Waiting) > 0 {
 			best := 0
 			for i, ask := range state.Waiting {
@@ -353,7 +353,7 @@
 			state.Sequence++
 			state.Ended = []Ended{{ID: state.Held[0].ID, Engine: EngineHash(enginechoice.Incarnation{ID: "e0"})}}
 			state.Held = state.Held[1:]
-			d.Hear("n1", state, start.Add(time.Duration(state.Sequence)*time.Minute))
+			d.ApplyState("n1", state, start.Add(time.Duration(state.Sequence)*time.Minute))
 			grants := d.Replies()["n1"].Grants
 			if len(grants) != 1 || grants[0].ID != state.Waiting[best].ID {
 				t.Fatalf("granted %+v, want %+v of %+v", grants, state.Waiting[best], state.Waiting)
--- a/internal/core/grant/grant.go
+++ b/internal/core/grant/grant.go
@@ -53,8 +53,8 @@
 // requests per second (docs/CAPACITY.md).
 const maxSlotsPerLane = 2048
 
-// Parts returns the number of lanes for a pool with the given number of slots.
-func Parts(slots int) uint32 {
+// LaneCount returns the number of lanes for a pool with the given number of slots.
+func LaneCount(slots int) uint32 {
 	parts := uint32(1)
 	for int(parts)*maxSlotsPerLane < slots {
 		parts *= 2
@@ -154,7 +154,7 @@
 	Connected []uint64
 	// Attached reports that the node uses this dispatcher, even while it has no requests
 	// in the lane. The dispatcher's part of each tenant limit is the fraction of nodes
-	// that are attached to it (quota.Place).
+	// that are attached to it (quota.RateCounter).
 	Attached bool
 }
 
--- a/internal/core/grant/limits_test.go
+++ b/internal/core/grant/limits_test.go
@@ -19,7 +19,7 @@
 type limitedNetwork struct {
 	*network
 	limit          quota.RateLimit
-	fallbackLimits map[*simNode]*quota.Place
+	fallbackLimits map[*simNode]*quota.RateCounter
 	startTimes     []time.Time // starts of the tenant's requests, at all nodes
 	refused        int
 	asked          int
@@ -28,7 +28,7 @@
 }
 
 func newLimitedNetwork(nodes, engines int, limit quota.RateLimit, seed uint64) *limitedNetwork {
-	n := &limitedNetwork{network: newNetwork(nodes, engines, 0, seed), limit: limit, blocked: make(map[string]bool), pausedNodes: make(map[*simNode]bool), fallbackLimits: make(map[*simNode]*quota.Place)}
+	n := &limitedNetwork{network: newNetwork(nodes, engines, 0, seed), limit: limit, blocked: make(map[string]bool), pausedNodes: make(map[*simNode]bool), fallbackLimits: make(map[*simNode]*quota.RateCounter)}
 	for _, node := range n.nodes {
 		n.setUp(node)
 	}
@@ -43,7 +43,7 @@
 			return true
 		}
 		n.fallbackLimits[node].Advance(n.now, 1/float64(len(n.nodes)))
-		admitted := n.fallbackLimits[node].DrawAlone(tenantA, n.random.Float64())
+		admitted := n.fallbackLimits[node].AdmitRandomly(tenantA, n.random.Float64())
 		if !admitted {
 			n.refused++
 		}
@@ -60,7 +60,7 @@
 	node.dispatcher.SetLimits(testMargin, limits, n.now)
 	node.dispatcher.SetLive(len(n.nodes))
 	node.requester.SetAttached(true, n.now)
-	n.fallbackLimits[node] = quota.NewLonePlace(testMargin, n.now)
+	n.fallbackLimits[node] = quota.NewIsolatedRateCounter(testMargin, n.now)
 	n.fallbackLimits[node].SetLimits(limits)
 }
 
@@ -125,8 +125,8 @@
 const faultsAllowed = 3
 
 // extraFor returns the number of requests by which further faults in a window may exceed
-// the bound. Each fault may start a new quota.Place with a quarter of the margin, and may
-// have all nodes count at two places until AttachmentTimeout.
+// the bound. Each fault may start a new quota.RateCounter with a quarter of the margin, and may
+// have all nodes count at two counters until AttachmentTimeout.
 func (n *limitedNetwork) extraFor(faults int) float64 {
 	allowed := testMargin.Window.Seconds()*n.limit.PerSecond + n.limit.Burst
 	margin := allowed*testMargin.Part + testMargin.Requests
@@ -143,7 +143,7 @@
 // TestLimitHoldsOverAllNodesUnderFaults kills, restarts, pauses and disconnects nodes, in
 // one direction or both, while the tenant demands up to four times its limit. With two
 // seconds and more between faults all nodes together must keep to the operator's bound;
-// with less, to the bound that is documented at quota.Place.
+// with less, to the bound that is documented at quota.RateCounter.
 func TestLimitHoldsOverAllNodesUnderFaults(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -281,7 +281,7 @@
 		now = now.Add(50 * time.Millisecond)
 		state.Sequence++
 		state.Waiting = asks
-		d.Hear("n1", state, now)
+		d.ApplyState("n1", state, now)
 		return d.Replies()["n1"]
 	}
 	for range 10 {
@@ -296,7 +296,7 @@
 	if len(second.Grants) > 0 || len(second.Refused) != 1 || second.Refused[0].Verdict.RetryAfter <= 0 {
 		t.Errorf("got %+v for a request over the limit, want a refusal", second)
 	}
-	if own := d.engines.Own(); len(own) > 0 {
+	if own := d.engines.InFlight(); len(own) > 0 {
 		t.Errorf("requests that need only admission hold slots: %v", own)
 	}
 }
--- a/internal/core/grant/network_test.go
+++ b/internal/core/grant/network_test.go
@@ -131,7 +131,7 @@
 	for _, send := range actions.Sends {
 		n.send(node.address, send.To, &send.State, nil)
 	}
-	for _, id := range actions.Alone {
+	for _, id := range actions.Fallbacks {
 		node.fallbacks++
 		if n.onFallback != nil && !n.onFallback(node, id) {
 			continue
@@ -173,11 +173,11 @@
 			continue
 		}
 		if message.state != nil {
-			node.dispatcher.Hear(message.from, *message.state, n.now)
+			node.dispatcher.ApplyState(message.from, *message.state, n.now)
 			n.replies(node)
 			continue
 		}
-		outcome := node.requester.HearReply(message.from, *message.reply, n.now)
+		outcome := node.requester.ApplyReply(message.from, *message.reply, n.now)
 		for _, granted := range outcome.Grants {
 			n.begin(node, granted.ID, granted.Engine)
 		}
--- a/internal/core/grant/poll.go
+++ b/internal/core/grant/poll.go
@@ -18,9 +18,9 @@
 // Actions is what a node has to do after a Poll.
 type Actions struct {
 	Sends []OutgoingState
-	// Alone holds the IDs of online requests to which no dispatcher has replied in time.
+	// Fallbacks holds the IDs of online requests to which no dispatcher has replied in time.
 	// They no longer wait; the node chooses an engine by itself.
-	Alone []uint64
+	Fallbacks []uint64
 }
 
 // Poll returns what to do now, and the latest time for the next Poll. Connected holds the
@@ -29,7 +29,7 @@
 	r.discountOwnPause(now)
 	r.leaveUnresponsive(now)
 	probes := r.probes(now)
-	actions.Alone = r.takeFallbacks(now)
+	actions.Fallbacks = r.takeFallbacks(now)
 	r.ended = slices.DeleteFunc(r.ended, func(known endedReport) bool { return known.sent && now.Sub(known.at) > r.config.EndedRetention })
 	refresh := (!r.Idle() || r.attached) && now.Sub(r.lastSentAt) >= r.refreshInterval()
 	resend := len(r.unanswered) > 0 && !r.resent && now.Sub(r.unanswered[0].at) >= r.replyTimeout()
--- a/internal/core/grant/queue.go
+++ b/internal/core/grant/queue.go
@@ -112,10 +112,10 @@
 	if !found || (!entry.ask.Batch && !entry.ask.Place && !choice.HasSlot()) {
 		return false
 	}
-	if choice.MakeRoom {
+	if choice.Preempts {
 		d.preemptNewestBatch(choice.Entry.Incarnation(), now)
 	}
-	d.engines.Remember(choice.Entry.Incarnation(), entry.ask.Shared, now)
+	d.engines.RecordPrompt(choice.Entry.Incarnation(), entry.ask.Shared, now)
 	d.commitGrant(known, entry, choice, now)
 	return true
 }
@@ -129,7 +129,7 @@
 		node: entry.node, id: entry.ask.ID, engine: choice.Entry.Incarnation(), work: work, since: now,
 		grant: Grant{
 			ID: entry.ask.ID, Engine: EngineHash(choice.Entry.Incarnation()), PrefillTokens: choice.PrefillTokens,
-			InFlight: choice.InFlight, Score: choice.Score, Preempts: choice.MakeRoom, Waited: now.Sub(entry.since),
+			InFlight: choice.InFlight, Score: choice.Score, Preempts: choice.Preempts, Waited: now.Sub(entry.since),
 		},
 		suspect: entry.ask.Suspect,
 	}
@@ -149,8 +149,8 @@
 	ask := entry.ask
 	query := enginechoice.Query{
 		Pool: d.lane.Pool, Zone: known.zone, Shared: ask.Shared, OwnTokens: ask.OwnTokens, MemoryTokens: ask.MemoryTokens,
-		Batch: ask.Batch, BatchPercent: ask.BatchPercent,
-		Former: d.engineByHash[ask.Former], Connected: known.connected,
+		Batch: ask.Batch, MaxBatchPercent: ask.BatchPercent,
+		PreviousEngine: d.engineByHash[ask.Former], Connected: known.connected,
 	}
 	if len(ask.Exclude) > 0 {
 		query.Exclude = make(map[enginechoice.Incarnation]bool, len(ask.Exclude))
--- a/internal/core/grant/requester.go
+++ b/internal/core/grant/requester.go
@@ -280,9 +280,9 @@
 	Refused []Refusal
 }
 
-// HearReply applies a dispatcher's reply. Grants for requests that no longer wait are
+// ApplyReply applies a dispatcher's reply. Grants for requests that no longer wait are
 // returned to the dispatcher.
-func (r *Requester) HearReply(from string, reply Reply, now time.Time) ReplyOutcome {
+func (r *Requester) ApplyReply(from string, reply Reply, now time.Time) ReplyOutcome {
 	var outcome ReplyOutcome
 	if reply.Life != r.life {
 		return outcome
--- a/internal/core/grant/restart_test.go
+++ b/internal/core/grant/restart_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("granted slots of the former incarnation: %v", granted)
 	}
 	d.now = d.now.Add(time.Second)
-	if own := d.engines.Own(); own[former] != (enginechoice.Counts{}) || own[next].Online != 4 {
+	if own := d.engines.InFlight(); own[former] != (enginechoice.Counts{}) || own[next].Online != 4 {
 		t.Errorf("in flight are %v, want 4 online requests at the new incarnation only", own)
 	}
 }
--- a/internal/core/grant/suspect_test.go
+++ b/internal/core/grant/suspect_test.go
@@ -31,7 +31,7 @@
 func (d *suspectDispatcher) exchange() map[uint64]uint64 {
 	d.state.Sequence++
 	d.now = d.now.Add(10 * time.Millisecond)
-	d.Hear("n", d.state, d.now)
+	d.ApplyState("n", d.state, d.now)
 	granted := make(map[uint64]uint64)
 	for _, given := range d.Replies()["n"].Grants {
 		granted[given.ID] = given.Engine
--- a/internal/core/grant/suspension_test.go
+++ b/internal/core/grant/suspension_test.go
@@ -46,7 +46,7 @@
 	}
 	r.Suspended()
 	old := Reply{Life: 1, Sequence: actions.Sends[0].State.Sequence, Grants: []Grant{{ID: 5, Engine: 9}}}
-	if outcome := r.HearReply("d", old, now); len(outcome.Grants) > 0 || !r.IsWaiting(5) {
+	if outcome := r.ApplyReply("d", old, now); len(outcome.Grants) > 0 || !r.IsWaiting(5) {
 		t.Errorf("got %+v for a reply from before the suspension, want no grant and the request still waiting", outcome)
 	}
 	actions, _ = r.Poll(now.Add(DefaultRequesterConfig().SendDelay), nil)
@@ -54,7 +54,7 @@
 		t.Fatalf("got messages %+v, want one that returns the grant and asks again", actions.Sends)
 	}
 	fresh := Reply{Life: 1, Sequence: actions.Sends[0].State.Sequence, Grants: []Grant{{ID: 5, Engine: 9}}}
-	if outcome := r.HearReply("d", fresh, now); len(outcome.Grants) != 1 {
+	if outcome := r.ApplyReply("d", fresh, now); len(outcome.Grants) != 1 {
 		t.Errorf("got %+v for a reply from after the suspension, want one grant", outcome)
 	}
 }
--- a/internal/core/health/health.go
+++ b/internal/core/health/health.go
@@ -32,9 +32,9 @@
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Answered records a load report, which shows that the engine answers but not that it
+// RecordAnswer records a load report, which shows that the engine answers but not that it
 // does its work.
-func (m *Machine) Answered(now time.Time) State {
+func (m *Machine) RecordAnswer(now time.Time) State {
 	m.failures = 0
 	if m.state == Ejected && !now.Before(m.heldUntil) {
 		m.state = Probing
@@ -42,8 +42,8 @@
 	return m.state
 }
 
-// Worked records a token of a stream, which shows that the engine does its work.
-func (m *Machine) Worked() State {
+// RecordToken records a token of a stream, which shows that the engine does its work.
+func (m *Machine) RecordToken() State {
 	m.failures = 0
 	if m.state != Ejected {
 		m.state = Healthy
@@ -61,8 +61,8 @@
 	return m.state
 }
 
-// Hung records a stream that produced no token within its timeout.
-func (m *Machine) Hung(now time.Time) State {
+// RecordTimeout records a stream that produced no token within its timeout.
+func (m *Machine) RecordTimeout(now time.Time) State {
 	m.eject(now)
 	return m.state
 }
--- a/internal/core/idempotency/ask.go
+++ b/internal/core/idempotency/ask.go
@@ -27,32 +27,32 @@
 	Wait
 	// Read: return the stored result.
 	Read
-	// Reuse: reject the request, because the key belongs to another request.
-	Reuse
-	// Elsewhere: reject the request, because the other site is responsible for the
+	// RejectReused: reject the request, because the key belongs to another request.
+	RejectReused
+	// RejectOtherSite: reject the request, because the other site is responsible for the
 	// key and the request came from there.
-	Elsewhere
+	RejectOtherSite
 )
 
 // String returns the label of the action in metrics and logs.
 func (a Action) String() string {
-	names := [...]string{Run: "run", Resume: "resume", Forward: "forward", Pass: "pass", Wait: "wait", Read: "read", Reuse: "reuse", Elsewhere: "elsewhere"}
+	names := [...]string{Run: "run", Resume: "resume", Forward: "forward", Pass: "pass", Wait: "wait", Read: "read", RejectReused: "reuse", RejectOtherSite: "elsewhere"}
 	if int(a) < len(names) && names[a] != "" {
 		return names[a]
 	}
 	return "none"
 }
 
-// Ask describes a request with a key, the node that processes it, and the time.
-type Ask struct {
+// Request describes a request with a key, the node that processes it, and the time.
+type Request struct {
 	Node   identity.NodeID
 	Digest string
 	// Site is the site that the traffic share selects for the key. It is used only
 	// for a new record.
 	Site site.Site
-	// Hopped is true if the request came from the other site. Such a request is
+	// FromOtherSite is true if the request came from the other site. Such a request is
 	// never sent back there.
-	Hopped bool
+	FromOtherSite bool
 	// OwnerDead is true if membership lists the record's owner as dead. If that is
 	// wrong, a run may be wasted, but there is never a second result or a second send.
 	OwnerDead bool
@@ -75,19 +75,19 @@
 
 // Decide returns the next step of a request, given the stored record of its key.
 // The zero Record means that there is none.
-func Decide(stored Record, ask Ask) Decision {
+func Decide(stored Record, ask Request) Decision {
 	if !stored.Kept(ask.Now) {
 		return claim(newRecord(stored.Epoch, ask), ask, true)
 	}
 	if stored.Digest != ask.Digest {
-		return Decision{Action: Reuse, Record: stored}
+		return Decision{Action: RejectReused, Record: stored}
 	}
 	switch stored.Phase {
 	case Done:
 		return Decision{Action: Read, Record: stored}
 	case Forwarded:
-		if ask.Hopped {
-			return Decision{Action: Elsewhere, Record: stored}
+		if ask.FromOtherSite {
+			return Decision{Action: RejectOtherSite, Record: stored}
 		}
 		return Decision{Action: Pass, Record: stored}
 	case Claimed:
@@ -102,9 +102,9 @@
 
 // newRecord returns the record of a new key or of a key whose retention has ended.
 // In the latter case epochs continue from the former record's.
-func newRecord(epoch uint64, ask Ask) Record {
+func newRecord(epoch uint64, ask Request) Record {
 	at := ask.Site
-	if ask.Hopped {
+	if ask.FromOtherSite {
 		at = site.Here
 	}
 	return Record{Digest: ask.Digest, Epoch: epoch, Site: at}
@@ -114,7 +114,7 @@
 // is the requesting node, or its owner is listed as dead and the claim is old
 // enough. A node asks only while it does not run the key itself, so a claim of its
 // own is one whose commit it abandoned.
-func mayTakeOver(stored Record, ask Ask) bool {
+func mayTakeOver(stored Record, ask Request) bool {
 	if !ask.Now.Before(stored.Expiry) || stored.Owner == ask.Node {
 		return true
 	}
@@ -135,9 +135,9 @@
 
 // claim returns the decision to claim the key. fresh is true if record is a new
 // record and false if it is an earlier claim's.
-func claim(record Record, ask Ask, fresh bool) Decision {
-	if ask.Hopped && record.Site == site.Other {
-		return Decision{Action: Elsewhere, Record: record}
+func claim(record Record, ask Request, fresh bool) Decision {
+	if ask.FromOtherSite && record.Site == site.Other {
+		return Decision{Action: RejectOtherSite, Record: record}
 	}
 	record.Phase, record.Owner, record.Epoch = Claimed, ask.Node, record.Epoch+1
 	record.ClaimedAt, record.ConsecutiveClaims = ask.Now, record.ConsecutiveClaims+1
--- a/internal/core/idempotency/idempotency_test.go
+++ b/internal/core/idempotency/idempotency_test.go
@@ -15,22 +15,22 @@
 // event is one committed change of a key. The reference model decides from the
 // whole history of events.
 type event struct {
-	what   string // claim, intent, complete, release, settle, redirect
-	ask    Ask    // of a claim
+	what   string  // claim, intent, complete, release, settle, redirect
+	ask    Request // of a claim
 	intent Intent
 }
 
 // referenceDecide decides by the history alone.
-func referenceDecide(history []event, ask Ask) (action Action, first bool) {
+func referenceDecide(history []event, ask Request) (action Action, first bool) {
 	kept := keptPart(history, ask.Now)
 	if len(kept) == 0 {
-		if ask.Site == site.Other && !ask.Hopped {
+		if ask.Site == site.Other && !ask.FromOtherSite {
 			return Forward, true
 		}
 		return Run, false
 	}
 	if kept[0].ask.Digest != ask.Digest {
-		return Reuse, false
+		return RejectReused, false
 	}
 	at, intent, lastClaim, open := referenceState(kept)
 	age := 2 * time.Second
@@ -42,8 +42,8 @@
 		switch {
 		case step.what == "complete":
 			return Read, false
-		case step.what == "settle" && ask.Hopped:
-			return Elsewhere, false
+		case step.what == "settle" && ask.FromOtherSite:
+			return RejectOtherSite, false
 		case step.what == "settle":
 			return Pass, false
 		}
@@ -52,8 +52,8 @@
 		return Wait, false
 	}
 	switch {
-	case at == site.Other && ask.Hopped:
-		return Elsewhere, false
+	case at == site.Other && ask.FromOtherSite:
+		return RejectOtherSite, false
 	case at == site.Other:
 		return Forward, false
 	case intent != Intent{}:
@@ -81,9 +81,9 @@
 	return kept
 }
 
-func referenceState(kept []event) (at site.Site, intent Intent, lastClaim Ask, open bool) {
+func referenceState(kept []event) (at site.Site, intent Intent, lastClaim Request, open bool) {
 	at = kept[0].ask.Site
-	if kept[0].ask.Hopped {
+	if kept[0].ask.FromOtherSite {
 		at = site.Here
 	}
 	for _, step := range kept {
@@ -147,9 +147,9 @@
 
 func (s *simulation) ask(t *rapid.T) {
 	node := identity.NodeID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node"))
-	ask := Ask{
+	ask := Request{
 		Node: node, Digest: rapid.SampledFrom([]string{"d", "d", "d", "other"}).Draw(t, "digest"),
-		Site: site.Site(rapid.IntRange(0, 1).Draw(t, "site")), Hopped: rapid.IntRange(0, 4).Draw(t, "hopped") == 0,
+		Site: site.Site(rapid.IntRange(0, 1).Draw(t, "site")), FromOtherSite: rapid.IntRange(0, 4).Draw(t, "hopped") == 0,
 		OwnerDead: rapid.IntRange(0, 5).Draw(t, "dead") == 0, Now: s.now,
 		Expiry: s.now.Add(10 * time.Second), KeepUntil: s.now.Add(100 * time.Second),
 	}
--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -19,10 +19,10 @@
 type Config struct {
 	// HeartbeatEvery is the interval between two heartbeats to each watcher.
 	HeartbeatEvery time.Duration
-	// SilentAfter is the time without a heartbeat after which a node is suspected.
-	SilentAfter time.Duration
-	// ConfirmFor is how long the other watchers have to vouch for a suspected node.
-	ConfirmFor time.Duration
+	// NodeTimeout is the time without a heartbeat after which a node is suspected.
+	NodeTimeout time.Duration
+	// ConfirmTimeout is how long the other watchers have to vouch for a suspected node.
+	ConfirmTimeout time.Duration
 }
 
 // WatchersPerNode is the number of nodes that watch each node. With three, the loss of half of a
@@ -31,7 +31,7 @@
 // 2,500.
 const WatchersPerNode = 3
 
-// isolationDivisor sets the time, SilentAfter/isolationDivisor, after which a node that
+// isolationDivisor sets the time, NodeTimeout/isolationDivisor, after which a node that
 // receives nothing at all, or that was paused, assumes that the fault is its own. It then does
 // not count that time as the silence of other nodes.
 const isolationDivisor = 2
@@ -44,7 +44,7 @@
 
 // watchedNode is the state of a node that this one watches.
 type watchedNode struct {
-	silentSince   time.Time // start of the time without a sign of life
+	silentSince   time.Time // start of the time without a heartbeat, here or at another watcher
 	lastHeartbeat time.Time // when the last heartbeat arrived; zero if none has
 	otherWatchers []string
 	suspectedAt   time.Time // zero if the node is not suspected
@@ -163,28 +163,28 @@
 // Watchers returns the nodes that this one sends its heartbeats to.
 func (w *Watch) Watchers() []string { return w.watchers }
 
-// Hear records a heartbeat of a node.
-func (w *Watch) Hear(id string, now time.Time) {
-	w.HearAnything(now)
+// RecordHeartbeat records a heartbeat of a node.
+func (w *Watch) RecordHeartbeat(id string, now time.Time) {
+	w.RecordContact(now)
 	if known := w.watched[id]; known != nil {
 		known.lastHeartbeat, known.silentSince, known.suspectedAt = now, now, time.Time{}
 	}
 }
 
-// HearAnything records that this node's network works, because a message of another node or an
+// RecordContact records that this node's network works, because a message of another node or an
 // answer of the store arrived.
-func (w *Watch) HearAnything(at time.Time) {
+func (w *Watch) RecordContact(at time.Time) {
 	if at.After(w.lastContact) {
-		if at.Sub(w.lastContact) > w.config.SilentAfter/isolationDivisor {
+		if at.Sub(w.lastContact) > w.config.NodeTimeout/isolationDivisor {
 			w.resetSilence(at) // heartbeats missed in the meantime count against no node
 		}
 		w.lastContact = at
 	}
 }
 
-// Heard returns how long ago the last heartbeat of a node arrived, to answer another watcher's
+// HeartbeatAge returns how long ago the last heartbeat of a node arrived, to answer another watcher's
 // question; heard is false if none has arrived.
-func (w *Watch) Heard(id string, now time.Time) (ago time.Duration, heard bool) {
+func (w *Watch) HeartbeatAge(id string, now time.Time) (ago time.Duration, heard bool) {
 	known := w.watched[id]
 	if known == nil || known.lastHeartbeat.IsZero() {
 		return 0, false
@@ -194,9 +194,9 @@
 
 // Vouch applies another watcher's report that it received a heartbeat of a node some time ago.
 func (w *Watch) Vouch(id string, ago time.Duration, now time.Time) {
-	w.HearAnything(now)
+	w.RecordContact(now)
 	known := w.watched[id]
-	if known == nil || ago >= w.config.SilentAfter {
+	if known == nil || ago >= w.config.NodeTimeout {
 		return
 	}
 	if heard := now.Add(-ago); heard.After(known.silentSince) {
@@ -207,22 +207,22 @@
 
 // Tick returns the nodes that are newly suspected, about which their other watchers are to be
 // asked, and the nodes that no watcher vouched for in time, which are presumed dead. A dead
-// node is returned again after each ConfirmFor until SetMembers removes it.
+// node is returned again after each ConfirmTimeout until SetMembers removes it.
 func (w *Watch) Tick(now time.Time) (suspicions []Suspicion, dead []string) {
-	if now.Sub(w.tickedAt) > w.config.SilentAfter/isolationDivisor {
+	if now.Sub(w.tickedAt) > w.config.NodeTimeout/isolationDivisor {
 		w.resetSilence(now) // this node itself was paused
 	}
 	w.tickedAt = now
-	if now.Sub(w.lastContact) > w.config.SilentAfter/isolationDivisor {
+	if now.Sub(w.lastContact) > w.config.NodeTimeout/isolationDivisor {
 		return nil, nil
 	}
 	for id, known := range w.watched {
 		switch {
-		case now.Sub(known.silentSince) < w.config.SilentAfter:
+		case now.Sub(known.silentSince) < w.config.NodeTimeout:
 		case known.suspectedAt.IsZero():
 			known.suspectedAt = now
 			suspicions = append(suspicions, Suspicion{ID: id, Others: known.otherWatchers})
-		case now.Sub(known.suspectedAt) >= w.config.ConfirmFor:
+		case now.Sub(known.suspectedAt) >= w.config.ConfirmTimeout:
 			known.suspectedAt = now // reported again until its removal is known
 			dead = append(dead, id)
 		}
--- a/internal/core/liveness/liveness_test.go
+++ b/internal/core/liveness/liveness_test.go
@@ -68,7 +68,7 @@
 	var dead []string
 	for range 200 {
 		now = now.Add(step)
-		watch.Hear("c", now)
+		watch.RecordHeartbeat("c", now)
 		suspicions, found := watch.Tick(now)
 		for _, suspicion := range suspicions {
 			if !slices.Equal(suspicion.Others, []string{"c"}) {
--- a/internal/core/liveness/simulation_test.go
+++ b/internal/core/liveness/simulation_test.go
@@ -13,7 +13,7 @@
 // lose some nodes at one moment. Each loss must be detected within 4 s when one node in twenty
 // dies, no live node may be removed, and the message rate of a node must not grow with the fleet.
 
-var testConfig = Config{HeartbeatEvery: 500 * time.Millisecond, SilentAfter: 2500 * time.Millisecond, ConfirmFor: 400 * time.Millisecond}
+var testConfig = Config{HeartbeatEvery: 500 * time.Millisecond, NodeTimeout: 2500 * time.Millisecond, ConfirmTimeout: 400 * time.Millisecond}
 
 const (
 	step             = 50 * time.Millisecond
@@ -91,7 +91,7 @@
 			s.deliver(id, watch, message)
 		}
 		if s.now.UnixMilli()%1000 == 0 {
-			watch.HearAnything(s.now) // the store answers nodes that receive no messages, too
+			watch.RecordContact(s.now) // the store answers nodes that receive no messages, too
 		}
 		if heartbeatDue {
 			for _, watcher := range watch.Watchers() {
@@ -115,10 +115,10 @@
 func (s *simulation) deliver(id string, watch *Watch, message Message) {
 	switch message.Kind {
 	case Heartbeat:
-		watch.Hear(message.From, s.now)
+		watch.RecordHeartbeat(message.From, s.now)
 	case Question:
-		watch.HearAnything(s.now)
-		if ago, heard := watch.Heard(message.Node, s.now); heard {
+		watch.RecordContact(s.now)
+		if ago, heard := watch.HeartbeatAge(message.Node, s.now); heard {
 			s.send(message.From, Message{Kind: Voucher, From: id, Node: message.Node, Ago: ago})
 		}
 	case Voucher:
@@ -193,7 +193,7 @@
 	for _, id := range s.members[:10] {
 		s.frozen[id] = true
 	}
-	s.run(2 * time.Second) // shorter than SilentAfter
+	s.run(2 * time.Second) // shorter than NodeTimeout
 	clear(s.frozen)
 	s.run(5 * time.Second)
 	if len(s.removed) > 0 {
--- a/internal/core/membership/detector.go
+++ b/internal/core/membership/detector.go
@@ -137,7 +137,7 @@
 	if known == nil || known.member.State == Dead || !known.suspicionDeadline.IsZero() {
 		return
 	}
-	m.emit(Accused{ID: id, Reason: reason})
+	m.emit(SuspicionRaised{ID: id, Reason: reason})
 	m.startSuspicion(known)
 }
 
--- a/internal/core/membership/events.go
+++ b/internal/core/membership/events.go
@@ -38,9 +38,9 @@
 	Answered bool
 }
 
-// Hinted carries peer addresses from the platform's machine list. They are only
+// AddressesDiscovered carries peer addresses from the platform's machine list. They are only
 // addresses to dial. The list does not change the state of any member.
-type Hinted struct{ Addresses []string }
+type AddressesDiscovered struct{ Addresses []string }
 
 // LeaveAnnounced starts this node's planned stop. The node gets no new work.
 type LeaveAnnounced struct{}
@@ -49,15 +49,15 @@
 // machine ignores all later events.
 type Stopped struct{}
 
-func (Tick) event()           {}
-func (Received) event()       {}
-func (LinkUp) event()         {}
-func (LinkDown) event()       {}
-func (DialFailed) event()     {}
-func (ProbeDone) event()      {}
-func (Hinted) event()         {}
-func (LeaveAnnounced) event() {}
-func (Stopped) event()        {}
+func (Tick) event()                {}
+func (Received) event()            {}
+func (LinkUp) event()              {}
+func (LinkDown) event()            {}
+func (DialFailed) event()          {}
+func (ProbeDone) event()           {}
+func (AddressesDiscovered) event() {}
+func (LeaveAnnounced) event()      {}
+func (Stopped) event()             {}
 
 // Message is a message between the machines of two nodes on a link.
 type Message interface{ message() }
@@ -124,8 +124,8 @@
 // and that it refuted this with a higher incarnation.
 type Refuted struct{ Incarnation uint64 }
 
-// Accused reports that this node suspects a member on its own evidence.
-type Accused struct {
+// SuspicionRaised reports that this node suspects a member on its own evidence.
+type SuspicionRaised struct {
 	ID     identity.NodeID
 	Reason string // "silence" or "probe"
 }
@@ -134,12 +134,12 @@
 // the timeouts of its links.
 type Paused struct{ Seconds float64 }
 
-func (Send) effect()          {}
-func (Connect) effect()       {}
-func (Disconnect) effect()    {}
-func (Probe) effect()         {}
-func (ViewChanged) effect()   {}
-func (MemberChanged) effect() {}
-func (Refuted) effect()       {}
-func (Accused) effect()       {}
-func (Paused) effect()        {}
+func (Send) effect()            {}
+func (Connect) effect()         {}
+func (Disconnect) effect()      {}
+func (Probe) effect()           {}
+func (ViewChanged) effect()     {}
+func (MemberChanged) effect()   {}
+func (Refuted) effect()         {}
+func (SuspicionRaised) effect() {}
+func (Paused) effect()          {}
--- a/internal/core/membership/machine.go
+++ b/internal/core/membership/machine.go
@@ -204,7 +204,7 @@
 		if !event.Answered {
 			m.accuse(event.ID, "probe")
 		}
-	case Hinted:
+	case AddressesDiscovered:
 		m.hints = event.Addresses
 	case LeaveAnnounced:
 		m.announce(Leaving)
@@ -249,9 +249,9 @@
 	m.ordered = slices.Insert(m.ordered, at, added)
 }
 
-// Spare reports whether there is a link to the node that neither end's overlay
+// OutsideOverlay reports whether there is a link to the node that neither end's overlay
 // includes. Nothing is flooded on such a link.
-func (m *Machine) Spare(id identity.NodeID) bool {
+func (m *Machine) OutsideOverlay(id identity.NodeID) bool {
 	link := m.links[id]
 	return link != nil && link.unwanted && m.neighbours[id] == nil
 }
@@ -281,7 +281,7 @@
 	}
 	slices.SortFunc(deltas, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	for _, id := range m.linkIDs() {
-		if id != source && !m.Spare(id) {
+		if id != source && !m.OutsideOverlay(id) {
 			m.send(id, Deltas{Members: deltas})
 		}
 	}
--- a/internal/core/membership/simulation_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -26,7 +26,7 @@
 	// drops reports whether messages from one node to another are lost.
 	drops   func(from, to *simulatedNode) bool
 	delay   func(from, to *simulatedNode) time.Duration
-	accused []Accused
+	accused []SuspicionRaised
 	killed  map[identity.NodeID]bool
 }
 
@@ -151,7 +151,7 @@
 		} else {
 			delete(node.deadSince, effect.Member.ID)
 		}
-	case Accused:
+	case SuspicionRaised:
 		s.accused = append(s.accused, effect)
 	}
 }
--- a/internal/core/passjob/decode_test.go
+++ b/internal/core/passjob/decode_test.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return
 		}
-		if record.ID == "" || len(record.ItemAt()) != record.Listed {
+		if record.ID == "" || len(record.ItemsByPosition()) != record.Listed {
 			t.Errorf("%q was decoded as %+v", value, record)
 		}
 		if again, err := Decode(record.Encode()); err != nil || again.ID != record.ID {
--- a/internal/core/passjob/passjob.go
+++ b/internal/core/passjob/passjob.go
@@ -133,8 +133,8 @@
 	return tokens
 }
 
-// ItemAt returns the index of the item listed at each position.
-func (r Record) ItemAt() []int {
+// ItemsByPosition returns the index of the item listed at each position.
+func (r Record) ItemsByPosition() []int {
 	order := make([]int, r.Listed)
 	for i, item := range r.Items {
 		if item.State != Open {
--- a/internal/core/passjob/passjob_test.go
+++ b/internal/core/passjob/passjob_test.go
@@ -73,7 +73,7 @@
 	if diff := cmp.Diff(record, read); diff != "" {
 		t.Fatal(diff)
 	}
-	if diff := cmp.Diff(append([]int{}, reference.listed...), record.ItemAt()); diff != "" {
+	if diff := cmp.Diff(append([]int{}, reference.listed...), record.ItemsByPosition()); diff != "" {
 		t.Fatal(diff)
 	}
 	var waiting int64
--- a/internal/core/quarantine/judge_test.go
+++ b/internal/core/quarantine/judge_test.go
@@ -13,7 +13,7 @@
 // ledgerDetector is the detector under test: a Ledger.
 type ledgerDetector struct{ *Ledger }
 
-func (j ledgerDetector) recordCrash(crash Crash, _ bool, now time.Time) { j.Note(crash, now) }
+func (j ledgerDetector) recordCrash(crash Crash, _ bool, now time.Time) { j.RecordCrash(crash, now) }
 
 func (j ledgerDetector) recordSuccess(content Digest, now time.Time) []Crash {
 	return j.Excuse(content, now)
--- a/internal/core/quarantine/order_test.go
+++ b/internal/core/quarantine/order_test.go
@@ -15,7 +15,7 @@
 		t.Fatal("a new ledger is not empty")
 	}
 	for engine := range uint64(5) {
-		ledger.Note(Crash{Content: guilty, Engine: engine, Age: time.Duration(engine) * time.Second}, now)
+		ledger.RecordCrash(Crash{Content: guilty, Engine: engine, Age: time.Duration(engine) * time.Second}, now)
 	}
 	if !ledger.Order(Order{Content: innocent, Version: 5, Left: time.Minute}, now) || !ledger.Order(Order{Content: guilty, Version: 6, Left: time.Hour}, now) {
 		t.Error("a first order was not reported as new")
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -104,9 +104,9 @@
 	return &Ledger{config: config, contents: make(map[Digest]*contentRecord), engines: make(map[uint64]*engineRecord), orders: make(map[Digest]orderRecord)}
 }
 
-// Note records a crash that this node observed or another node reported. It returns whether
+// RecordCrash records a crash that this node observed or another node reported. It returns whether
 // the crash, or its excuse, was new. A crash older than Retention is ignored.
-func (l *Ledger) Note(crash Crash, now time.Time) bool {
+func (l *Ledger) RecordCrash(crash Crash, now time.Time) bool {
 	at := now.Add(-crash.Age)
 	if crash.Age > l.config.Retention {
 		return false
@@ -171,10 +171,10 @@
 	return crashes
 }
 
-// Gravest returns the crashes of contents that have two or more crashes which are not
+// MostFrequentCrashes returns the crashes of contents that have two or more crashes which are not
 // excused, contents with the most crashes first. It returns at most `most` crashes and leaves
 // out contents whose newest crash is older than `oldest`.
-func (l *Ledger) Gravest(most int, oldest time.Duration, now time.Time) []Crash {
+func (l *Ledger) MostFrequentCrashes(most int, oldest time.Duration, now time.Time) []Crash {
 	var repeated []Digest
 	for content, record := range l.contents {
 		if record.unexcusedCrashes() >= 2 && now.Sub(record.newest) <= oldest {
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -19,7 +19,7 @@
 // seconds after start.
 func noteCrashes(ledger *Ledger, from uint64, contents ...string) {
 	for _, name := range contents {
-		ledger.Note(Crash{Content: contentNamed(name), Engine: from}, start.Add(time.Duration(from)*time.Second))
+		ledger.RecordCrash(Crash{Content: contentNamed(name), Engine: from}, start.Add(time.Duration(from)*time.Second))
 	}
 }
 
@@ -89,9 +89,9 @@
 	for wave := range uint64(6) {
 		at := start.Add(time.Duration(wave) * time.Second)
 		for engine := range uint64(6) {
-			ledger.Note(Crash{Content: contentNamed(fmt.Sprint("other", wave, engine)), Engine: wave*6 + engine}, at)
+			ledger.RecordCrash(Crash{Content: contentNamed(fmt.Sprint("other", wave, engine)), Engine: wave*6 + engine}, at)
 		}
-		ledger.Note(Crash{Content: contentNamed("unlucky"), Engine: wave * 6}, at)
+		ledger.RecordCrash(Crash{Content: contentNamed("unlucky"), Engine: wave * 6}, at)
 	}
 	if got := ledger.Verdict(contentNamed("unlucky"), later); got.Blocked || got.Crashes != 6 {
 		t.Errorf("got %+v", got)
@@ -110,14 +110,14 @@
 		at := start.Add(time.Duration(wave) * 4 * time.Second)
 		for engine := range uint64(6) {
 			for i := range 12 {
-				ledger.Note(Crash{Content: contentNamed(fmt.Sprint("short", wave, engine, i)), Engine: wave*6 + engine}, at)
+				ledger.RecordCrash(Crash{Content: contentNamed(fmt.Sprint("short", wave, engine, i)), Engine: wave*6 + engine}, at)
 			}
 			if wave < 3 {
-				ledger.Note(Crash{Content: contentNamed(fmt.Sprint("long", engine)), Engine: wave*6 + engine}, at)
+				ledger.RecordCrash(Crash{Content: contentNamed(fmt.Sprint("long", engine)), Engine: wave*6 + engine}, at)
 			}
 		}
 		if wave < 4 {
-			ledger.Note(Crash{Content: contentNamed("longest"), Engine: wave * 6}, at)
+			ledger.RecordCrash(Crash{Content: contentNamed("longest"), Engine: wave * 6}, at)
 		}
 	}
 	if got := ledger.Verdict(contentNamed("longest"), later); got.Blocked || got.Crashes != 4 || got.Evidence > 1 {
@@ -179,7 +179,7 @@
 	if !ledger.Verdict(contentNamed("guilty"), later).Blocked {
 		t.Error("the blocked content was evicted")
 	}
-	crashes := ledger.Gravest(3, time.Hour, later)
+	crashes := ledger.MostFrequentCrashes(3, time.Hour, later)
 	if len(crashes) != 3 || slices.ContainsFunc(crashes, func(crash Crash) bool { return crash.Content != contentNamed("guilty") }) {
 		t.Errorf("the gravest are %+v", crashes)
 	}
@@ -199,10 +199,10 @@
 		}
 		one, other := NewLedger(DefaultConfig()), NewLedger(DefaultConfig())
 		for _, crash := range crashes {
-			one.Note(crash, now)
+			one.RecordCrash(crash, now)
 		}
 		for _, crash := range rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "order") {
-			other.Note(crash, now)
+			other.RecordCrash(crash, now)
 		}
 		for i := range 5 {
 			content := contentNamed(fmt.Sprint(i))
@@ -210,7 +210,7 @@
 				t.Fatal(difference)
 			}
 			for _, crash := range one.Crashes(content, now) {
-				if other.Note(crash, now) {
+				if other.RecordCrash(crash, now) {
 					t.Fatalf("%+v was reported as new to a ledger that knows it", crash)
 				}
 			}
@@ -222,7 +222,7 @@
 // never be removed.
 func TestStaleCrashIsNotTaken(t *testing.T) {
 	ledger := NewLedger(DefaultConfig())
-	if ledger.Note(Crash{Content: contentNamed("old"), Engine: 1, Age: DefaultConfig().Retention + time.Second}, later) || !ledger.Empty() {
+	if ledger.RecordCrash(Crash{Content: contentNamed("old"), Engine: 1, Age: DefaultConfig().Retention + time.Second}, later) || !ledger.Empty() {
 		t.Error("a crash older than Retention was recorded")
 	}
 }
@@ -260,10 +260,10 @@
 	for engine := range uint64(200) {
 		at := start.Add(time.Duration(engine/30) * time.Second)
 		for i := range uint64(17) {
-			ledger.Note(Crash{Content: contentNamed(fmt.Sprint((engine*17 + i) % 2300)), Engine: engine}, at)
+			ledger.RecordCrash(Crash{Content: contentNamed(fmt.Sprint((engine*17 + i) % 2300)), Engine: engine}, at)
 		}
 		if engine%50 == 0 {
-			ledger.Note(Crash{Content: contentNamed("guilty"), Engine: engine}, at)
+			ledger.RecordCrash(Crash{Content: contentNamed("guilty"), Engine: engine}, at)
 		}
 	}
 	for b.Loop() {
--- a/internal/core/quota/permit.go
+++ b/internal/core/quota/permit.go
@@ -8,8 +8,8 @@
 	"ringstream.example/ringstream/internal/core/identity"
 )
 
-// PermitAsk is a borrower's request to the owner of a concurrency limit.
-type PermitAsk struct {
+// PermitRequest is a borrower's request to the owner of a concurrency limit.
+type PermitRequest struct {
 	// Sequence increases with each request of a borrower for this limit. An
 	// owner ignores a request that is not newer than the last one it has seen.
 	Sequence uint64
@@ -49,7 +49,7 @@
 // holds; ok is false when the request is not newer than one already answered.
 // The total may be less than Hold; the borrower then gives permits up with its
 // next request.
-func (l *PermitLender) Lend(now time.Time, from identity.NodeID, limit int, ask PermitAsk, parameters Parameters) (total int, ok bool) {
+func (l *PermitLender) Lend(now time.Time, from identity.NodeID, limit int, ask PermitRequest, parameters Parameters) (total int, ok bool) {
 	if ask.Sequence <= l.ledger[from].sequence {
 		return 0, false
 	}
@@ -113,9 +113,9 @@
 	return limit
 }
 
-// Short reports whether a borrower got fewer permits than it wanted in the last
+// RecentlyShort reports whether a borrower got fewer permits than it wanted in the last
 // two seconds.
-func (l *PermitLender) Short(now time.Time) bool {
+func (l *PermitLender) RecentlyShort(now time.Time) bool {
 	const shortWindow = 2 * time.Second
 	return now.Sub(l.lastShortAt) < shortWindow
 }
@@ -123,7 +123,7 @@
 // Abundant reports whether borrowers may keep idle permits until they renew them.
 func (l *PermitLender) Abundant(now time.Time) bool {
 	const minFree = 2
-	return !l.Short(now) && l.free >= max(l.limit/2, minFree)
+	return !l.RecentlyShort(now) && l.free >= max(l.limit/2, minFree)
 }
 
 // Holders returns the nodes that hold permits, without the given one.
@@ -138,8 +138,8 @@
 	return holders
 }
 
-// ForgetUnless removes the borrowers for which live returns false.
-func (l *PermitLender) ForgetUnless(live func(identity.NodeID) bool) {
+// RetainNodes removes the borrowers for which live returns false.
+func (l *PermitLender) RetainNodes(live func(identity.NodeID) bool) {
 	for node := range l.ledger {
 		if !live(node) {
 			delete(l.ledger, node)
@@ -173,12 +173,12 @@
 	return parameters.decayed(m.held, now.Sub(m.leaseStart))
 }
 
-// Has reports whether one more request may run.
-func (m *PermitMeter) Has(now time.Time, parameters Parameters) bool {
+// CanAdmit reports whether one more request may run.
+func (m *PermitMeter) CanAdmit(now time.Time, parameters Parameters) bool {
 	return m.running < m.Usable(now, parameters)
 }
 
-// Spend counts the start of a request for which Has was true.
+// Spend counts the start of a request for which CanAdmit was true.
 func (m *PermitMeter) Spend() {
 	m.running++
 	m.peak = max(m.peak, m.running)
@@ -205,14 +205,14 @@
 // Ask returns the next request to the owner. It wants permits for the peak
 // number of running requests since the last one and for `more` waiting requests,
 // and gives up permits beyond that.
-func (m *PermitMeter) Ask(now time.Time, more int) PermitAsk {
+func (m *PermitMeter) Ask(now time.Time, more int) PermitRequest {
 	want := max(m.running, m.peak) + more
 	m.peak = m.running
 	m.held = min(m.held, want)
 	m.sequence++
 	m.sentAt = now
 	m.unanswered = true
-	return PermitAsk{Sequence: m.sequence, Hold: max(m.held, m.running), Want: want}
+	return PermitRequest{Sequence: m.sequence, Hold: max(m.held, m.running), Want: want}
 }
 
 // Receive applies the answer to a request. An answer to any but the last request
@@ -230,5 +230,5 @@
 	}
 }
 
-// Denied returns how long the meter is to wait before it asks again, or zero.
-func (m *PermitMeter) Denied(now time.Time) time.Duration { return max(0, m.deniedUntil.Sub(now)) }
+// RetryAfter returns how long the meter is to wait before it asks again, or zero.
+func (m *PermitMeter) RetryAfter(now time.Time) time.Duration { return max(0, m.deniedUntil.Sub(now)) }
--- a/internal/core/quota/place.go
+++ b/internal/core/quota/place.go
@@ -29,76 +29,76 @@
 	return m.Part*m.allowed(limit) + m.Requests
 }
 
-// The parts into which the margin is divided. They cover three places that begin in
-// one window. The remainder covers nodes that move from one place to another and
+// The parts into which the margin is divided. They cover three counters that begin in
+// one window. The remainder covers nodes that move from one counter to another and
 // count at both for a moment.
 const (
 	// toleranceMargin covers requests that arrived within the limit and were counted
 	// some milliseconds later. Without it a tenant at its limit loses some of them.
 	toleranceMargin = 0.125
-	// startMargin is what a new place admits at once after all nodes have joined it.
-	// A new place does not know what its predecessor admitted last.
+	// startMargin is what a new counter admits at once after all nodes have joined it.
+	// A new counter does not know what its predecessor admitted last.
 	startMargin = 0.25
-	// shareMargin covers places to which only a part of the nodes belongs.
+	// shareMargin covers counters to which only a part of the nodes belongs.
 	shareMargin = 0.125
 )
 
-// maxRefillInterval bounds the elapsed time by which a place refills its buckets at once.
-// A place that was paused must not admit what another place may have admitted in the
-// meantime. The owner of a place advances it every 10 ms.
+// maxRefillInterval bounds the elapsed time by which a counter refills its buckets at once.
+// A counter that was paused must not admit what another counter may have admitted in the
+// meantime. The owner of a counter advances it every 10 ms.
 const maxRefillInterval = 100 * time.Millisecond
 
-// Place enforces tenants' rate limits for a group of nodes that send all their
+// RateCounter enforces tenants' rate limits for a group of nodes that send all their
 // requests through it. It admits the part of a limit that equals its part of all
-// nodes. A node belongs to one place at a time, so the places on the sides of a
+// nodes. A node belongs to one counter at a time, so the counters on the sides of a
 // partition keep the limit together without communication.
 //
 // # Worst overshoot
 //
 // With R and B the limit's rate and burst, a the margin of a window of w seconds
 // (Margin.requests), and M the sum, over the moves of nodes in the window, of the part
-// of the nodes that counts at two places times the seconds for which it does, all
-// places together admit at most
+// of the nodes that counts at two counters times the seconds for which it does, all
+// counters together admit at most
 //
 //	R*w + B + a*(toleranceMargin + startMargin*p + shareMargin) + R*M
 //
-// where p is the sum, over the places that began in the window, of the largest part of
-// the nodes that each had. The term with shareMargin is zero while one place has all
+// where p is the sum, over the counters that began in the window, of the largest part of
+// the nodes that each had. The term with shareMargin is zero while one counter has all
 // nodes.
-type Place struct {
+type RateCounter struct {
 	margin        Margin
 	tenants       map[uint64]*placeBucket
 	startPart     float64 // part of the margin that is granted as nodes first join
-	share         float64 // part of all nodes that belongs to this place
+	share         float64 // part of all nodes that belongs to this counter
 	maxShare      float64 // largest share so far
-	activeSeconds float64 // time for which the place has refilled, without pauses
+	activeSeconds float64 // time for which the counter has refilled, without pauses
 	advancedAt    time.Time
 }
 
-// placeBucket is the token bucket of one tenant in a Place.
+// placeBucket is the token bucket of one tenant in a RateCounter.
 type placeBucket struct {
 	bucket
 	limit    RateLimit
-	filledAt float64 // Place.seconds when it was last filled
+	filledAt float64 // RateCounter.activeSeconds when it was last filled
 	reserved int     // requests that are admitted and not yet started
 }
 
-// NewPlace returns a place that does not know what was admitted before.
-func NewPlace(margin Margin, now time.Time) *Place {
-	return &Place{margin: margin, tenants: make(map[uint64]*placeBucket), startPart: startMargin, advancedAt: now}
+// NewRateCounter returns a counter that does not know what was admitted before.
+func NewRateCounter(margin Margin, now time.Time) *RateCounter {
+	return &RateCounter{margin: margin, tenants: make(map[uint64]*placeBucket), startPart: startMargin, advancedAt: now}
 }
 
-// NewLonePlace returns the place of a single node for the time in which it reaches
+// NewIsolatedRateCounter returns the counter of a single node for the time in which it reaches
 // no other node. Its buckets start empty.
-func NewLonePlace(margin Margin, now time.Time) *Place {
-	place := NewPlace(margin, now)
+func NewIsolatedRateCounter(margin Margin, now time.Time) *RateCounter {
+	place := NewRateCounter(margin, now)
 	place.startPart = 0
 	return place
 }
 
 // SetLimits replaces the limits of all tenants. A tenant that is not in the map has
 // no limit.
-func (p *Place) SetLimits(limits map[uint64]RateLimit) {
+func (p *RateCounter) SetLimits(limits map[uint64]RateLimit) {
 	for tenant := range p.tenants {
 		if _, limited := limits[tenant]; !limited {
 			delete(p.tenants, tenant)
@@ -116,9 +116,9 @@
 	}
 }
 
-// Advance moves the place to a time at which a part of the nodes, from 0 to 1,
+// Advance moves the counter to a time at which a part of the nodes, from 0 to 1,
 // belongs to it.
-func (p *Place) Advance(now time.Time, share float64) {
+func (p *RateCounter) Advance(now time.Time, share float64) {
 	elapsed := min(max(now.Sub(p.advancedAt), 0), maxRefillInterval)
 	p.advancedAt = now
 	p.activeSeconds += elapsed.Seconds()
@@ -137,13 +137,13 @@
 }
 
 // refill adds the refill of the time since a bucket was last filled.
-func (p *Place) refill(known *placeBucket) {
+func (p *RateCounter) refill(known *placeBucket) {
 	known.fill((p.activeSeconds-known.filledAt)*p.rate(known.limit), p.capacity(known.limit))
 	known.filledAt = p.activeSeconds
 }
 
-// limitPart returns the part of a limit that this place may admit, from 0 to 1.
-func (p *Place) limitPart(limit RateLimit) float64 {
+// limitPart returns the part of a limit that this counter may admit, from 0 to 1.
+func (p *RateCounter) limitPart(limit RateLimit) float64 {
 	if allowed := p.margin.allowed(limit); allowed > 0 {
 		return min(1, p.share*(1+shareMargin*p.margin.requests(limit)/allowed))
 	}
@@ -151,7 +151,7 @@
 }
 
 // rate returns the refill rate of a bucket, in requests per second.
-func (p *Place) rate(limit RateLimit) float64 {
+func (p *RateCounter) rate(limit RateLimit) float64 {
 	tolerance := 0.0
 	if window := p.margin.Window.Seconds(); window > 0 {
 		tolerance = toleranceMargin / 2 * p.margin.requests(limit) / window
@@ -160,19 +160,19 @@
 }
 
 // capacity returns the capacity of a bucket in requests. It is at least 1 where the
-// place has all nodes, because a limit without a burst would otherwise admit nothing.
-func (p *Place) capacity(limit RateLimit) float64 {
+// counter has all nodes, because a limit without a burst would otherwise admit nothing.
+func (p *RateCounter) capacity(limit RateLimit) float64 {
 	return max(limit.Burst+toleranceMargin/2*p.margin.requests(limit), 1) * p.limitPart(limit)
 }
 
-// Verdict is a place's decision on a request.
+// Verdict is a counter's decision on a request.
 type Verdict struct {
 	Admitted bool
 	// RetryAfter is the time until a request can be admitted; zero when Admitted.
 	RetryAfter time.Duration
 	Limit      RateLimit
 	Left       float64 // requests that the tenant could start, this one included
-	Share      float64 // part of all nodes that belongs to the place
+	Share      float64 // part of all nodes that belongs to the counter
 }
 
 // Bounds of Verdict.RetryAfter: the interval between two calls of Advance, and the
@@ -188,7 +188,7 @@
 
 // Reserve admits a request before it is queued, or refuses it. A request of a tenant
 // without a limit is admitted. Call Advance first.
-func (p *Place) Reserve(tenant uint64) Verdict {
+func (p *RateCounter) Reserve(tenant uint64) Verdict {
 	known := p.tenants[tenant]
 	if known == nil {
 		return Verdict{Admitted: true, Share: p.share}
@@ -209,7 +209,7 @@
 }
 
 // Begin counts the start of a request that Reserve has admitted.
-func (p *Place) Begin(tenant uint64) {
+func (p *RateCounter) Begin(tenant uint64) {
 	if known := p.tenants[tenant]; known != nil {
 		known.reserved = max(known.reserved-1, 0)
 		known.level--
@@ -218,23 +218,23 @@
 
 // Drop cancels the reservation of a request that Reserve has admitted and that was
 // not started.
-func (p *Place) Drop(tenant uint64) {
+func (p *RateCounter) Drop(tenant uint64) {
 	if known := p.tenants[tenant]; known != nil {
 		known.reserved = max(known.reserved-1, 0)
 	}
 }
 
 // Undo returns the credit of a request that Begin counted and that never ran.
-func (p *Place) Undo(tenant uint64) {
+func (p *RateCounter) Undo(tenant uint64) {
 	if known := p.tenants[tenant]; known != nil {
 		known.fill(1, p.capacity(known.limit))
 	}
 }
 
-// DrawAlone decides on a request at a node that reaches no shared place. On average
+// AdmitRandomly decides on a request at a node that reaches no shared counter. On average
 // it admits the node's own part of the limit, which is less than one request for most
 // tenants. The draw is a random number in [0, 1).
-func (p *Place) DrawAlone(tenant uint64, draw float64) bool {
+func (p *RateCounter) AdmitRandomly(tenant uint64, draw float64) bool {
 	known := p.tenants[tenant]
 	if known == nil {
 		return true
--- a/internal/core/quota/place_test.go
+++ b/internal/core/quota/place_test.go
@@ -41,14 +41,14 @@
 	return most
 }
 
-// TestPlaceAgainstAnExactBucket sends all requests through one place. The place must admit
+// TestPlaceAgainstAnExactBucket sends all requests through one counter. The counter must admit
 // as many as a token bucket with the same initial level, and in any window no more than the
 // limit and the margin allow.
 func TestPlaceAgainstAnExactBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RateLimit{PerSecond: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(1, 200).Draw(t, "burst"))}
 		margin := Margin{Window: 5 * time.Second, Part: rapid.Float64Range(0, 0.2).Draw(t, "part"), Requests: float64(rapid.IntRange(0, 20).Draw(t, "slack"))}
-		place := NewPlace(margin, epoch)
+		place := NewRateCounter(margin, epoch)
 		place.Advance(epoch, 1)
 		place.SetLimits(map[uint64]RateLimit{tenantA: limit})
 		reference := &exactLimiter{limit: limit, level: place.tenants[tenantA].level, at: epoch}
@@ -86,7 +86,7 @@
 	})
 }
 
-// TestPlacesKeepTheLimitTogether divides the nodes among several places, each with far
+// TestPlacesKeepTheLimitTogether divides the nodes among several counters, each with far
 // more demand than the limit.
 func TestPlacesKeepTheLimitTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -98,9 +98,9 @@
 		for _, share := range shares {
 			total += share
 		}
-		var places []*Place
+		var places []*RateCounter
 		for range shares {
-			place := NewLonePlace(margin, epoch)
+			place := NewIsolatedRateCounter(margin, epoch)
 			place.SetLimits(map[uint64]RateLimit{tenantA: limit})
 			places = append(places, place)
 		}
@@ -123,7 +123,7 @@
 }
 
 func TestPlaceThatStoodStillLendsNothingForThatTime(t *testing.T) {
-	place := NewPlace(Margin{}, epoch)
+	place := NewRateCounter(Margin{}, epoch)
 	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 10, Burst: 10}})
 	place.Advance(epoch, 1)
 	place.Advance(epoch.Add(time.Hour), 1)
@@ -133,7 +133,7 @@
 }
 
 func TestPlaceCountsOnceAndTakesBack(t *testing.T) {
-	place := NewPlace(Margin{}, epoch)
+	place := NewRateCounter(Margin{}, epoch)
 	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 1, Burst: 2}})
 	for i := range 40 {
 		place.Advance(epoch.Add(time.Duration(i)*maxRefillInterval), 1)
@@ -171,7 +171,7 @@
 
 // TestLimitWithoutBurstLetsOneThroughAtATime checks a limit with a rate and no burst.
 func TestLimitWithoutBurstLetsOneThroughAtATime(t *testing.T) {
-	place := NewPlace(Margin{}, epoch)
+	place := NewRateCounter(Margin{}, epoch)
 	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 5}})
 	admitted := 0
 	for step, now := 0, epoch; step < 1000; step++ {
@@ -195,11 +195,11 @@
 	random := rand.New(rand.NewPCG(1, 7))
 	admitted := 0
 	for range nodes {
-		place := NewLonePlace(Margin{}, epoch)
+		place := NewIsolatedRateCounter(Margin{}, epoch)
 		place.SetLimits(map[uint64]RateLimit{tenantA: limit})
 		for step := range seconds * 100 {
 			place.Advance(epoch.Add(time.Duration(step)*10*time.Millisecond), 1.0/nodes)
-			if step%50 == 0 && place.DrawAlone(tenantA, random.Float64()) {
+			if step%50 == 0 && place.AdmitRandomly(tenantA, random.Float64()) {
 				admitted++
 			}
 		}
@@ -207,7 +207,7 @@
 	if want := limit.PerSecond * seconds; math.Abs(float64(admitted)-want) > want/3 {
 		t.Errorf("%d requests admitted, want about %v", admitted, want)
 	}
-	if place := NewLonePlace(Margin{}, epoch); !place.DrawAlone(tenantA, 0.9) {
+	if place := NewIsolatedRateCounter(Margin{}, epoch); !place.AdmitRandomly(tenantA, 0.9) {
 		t.Error("a tenant without a limit is refused")
 	}
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -53,7 +53,7 @@
 type rateMessage struct {
 	arrivesAt time.Time
 	from, to  int
-	ask       *RateAsk
+	ask       *CreditRequest
 	loan      *Loan
 }
 
@@ -90,17 +90,17 @@
 		m.Advance(now, f.share(), f.p)
 		if !f.pending[node].IsZero() && now.Sub(f.pending[node]) > 500*time.Millisecond {
 			f.pending[node] = time.Time{}
-			m.Silence()
+			m.OwnerUnanswered()
 			f.silent = true
 		}
 		for _, cost := range requests[node] {
-			m.Wanted(cost)
-			if m.Has(cost) {
+			m.RecordDemand(cost)
+			if m.CanAdmit(cost) {
 				m.Spend(cost)
 				admitted += cost
 				continue
 			}
-			if f.pending[node].IsZero() && m.Denied(now) == 0 {
+			if f.pending[node].IsZero() && m.RetryAfter(now) == 0 {
 				ask := m.Ask(cost)
 				f.pending[node] = now
 				f.send(now, rateMessage{from: node, to: f.owners[node], ask: &ask})
@@ -254,7 +254,7 @@
 
 type permitMessage struct {
 	node, total int
-	ask         PermitAsk
+	ask         PermitRequest
 }
 
 // pick returns one of the last three messages, or with a probability of 1/5 any of them.
@@ -281,7 +281,7 @@
 	case event < 14 && len(f.replies) > 0:
 		mail := f.pick(f.replies)
 		f.meters[mail.node].Receive(f.now, mail.ask.Sequence, mail.total, time.Second)
-	case event < 16 && m.Has(f.now, f.p):
+	case event < 16 && m.CanAdmit(f.now, f.p):
 		m.Spend()
 	case event < 18 && m.Running() > 0:
 		m.Release()
@@ -365,7 +365,7 @@
 		t.Errorf("asks for %v credits, want 60: the debt of 50 and the cost of 10", ask.Need)
 	}
 	m.Receive(epoch, Loan{Credits: 60}, p)
-	if !m.Has(10) || m.Has(11) {
+	if !m.CanAdmit(10) || m.CanAdmit(11) {
 		t.Error("the debt was not paid first")
 	}
 }
@@ -380,7 +380,7 @@
 			m.Advance(now, share, p)
 		}
 		m.Advance(epoch.Add(p.Expiry), share, p)
-		if m.Has(1) {
+		if m.CanAdmit(1) {
 			t.Errorf("advanced every %s: credits are usable after their expiry", turn)
 		}
 	}
--- a/internal/core/quota/rate.go
+++ b/internal/core/quota/rate.go
@@ -21,7 +21,7 @@
 	return RateLender{updated: ownedSince}
 }
 
-// Loan is an owner's answer to a RateAsk.
+// Loan is an owner's answer to a CreditRequest.
 type Loan struct {
 	Credits float64
 	// RetryAfter is the time until the borrower should ask again; it is set when
@@ -187,15 +187,15 @@
 	m.rotatedAt = now
 }
 
-// Has reports whether a request of this cost may be admitted now. Call Advance first.
-func (m *RateMeter) Has(cost float64) bool {
+// CanAdmit reports whether a request of this cost may be admitted now. Call Advance first.
+func (m *RateMeter) CanAdmit(cost float64) bool {
 	if m.credits() >= cost {
 		return true
 	}
 	return m.debt == 0 && m.standing >= cost && !m.updated.Before(m.standingFrom)
 }
 
-// Spend deducts a cost for which Has was true.
+// Spend deducts a cost for which CanAdmit was true.
 func (m *RateMeter) Spend(cost float64) {
 	if m.credits() >= cost {
 		m.pay(cost)
@@ -238,32 +238,32 @@
 	m.debt -= paid
 }
 
-// Wanted adds a request's cost to the demand, whether the request is admitted or not.
-func (m *RateMeter) Wanted(cost float64) {
+// RecordDemand adds a request's cost to the demand, whether the request is admitted or not.
+func (m *RateMeter) RecordDemand(cost float64) {
 	m.demand += cost / demandMemory.Seconds()
 	m.arrivals += 1 / demandMemory.Seconds()
 }
 
-// RateAsk is a borrower's request to the owner of a rate limit, in credits.
-type RateAsk struct {
+// CreditRequest is a borrower's request to the owner of a rate limit, in credits.
+type CreditRequest struct {
 	Need, Want float64
 }
 
 // Ask returns a request for the credits that a cost needs now and for those that
 // the demand predicts for askHorizon.
-func (m *RateMeter) Ask(cost float64) RateAsk {
+func (m *RateMeter) Ask(cost float64) CreditRequest {
 	need := max(0, cost-m.credits())
 	want := need + m.demandAhead()
-	return RateAsk{Need: math.Ceil(need), Want: math.Ceil(want)}
+	return CreditRequest{Need: math.Ceil(need), Want: math.Ceil(want)}
 }
 
 // Prefetch returns a request for credits before they are needed. Its Want is zero
 // while the credits last for the given time or the owner has put the meter off.
-func (m *RateMeter) Prefetch(now time.Time, within time.Duration) RateAsk {
+func (m *RateMeter) Prefetch(now time.Time, within time.Duration) CreditRequest {
 	if now.Before(m.deniedUntil) || m.credits() >= m.demand*within.Seconds() {
-		return RateAsk{}
+		return CreditRequest{}
 	}
-	return RateAsk{Want: math.Ceil(max(0, m.demandAhead()-m.credits()))}
+	return CreditRequest{Want: math.Ceil(max(0, m.demandAhead()-m.credits()))}
 }
 
 // demandAhead returns the predicted demand in askHorizon, or 0 when fewer than
@@ -292,14 +292,14 @@
 	}
 }
 
-// Silence records that a request to the owner went unanswered.
-func (m *RateMeter) Silence() {
+// OwnerUnanswered records that a request to the owner went unanswered.
+func (m *RateMeter) OwnerUnanswered() {
 	m.ownerSilent = true
 	m.standingFrom = time.Time{}
 }
 
-// Heard records that the owner has answered this or another request.
-func (m *RateMeter) Heard() { m.ownerSilent = false }
+// OwnerAnswered records that the owner has answered this or another request.
+func (m *RateMeter) OwnerAnswered() { m.ownerSilent = false }
 
 // Scale keeps a part of what the meter holds, after its limit was lowered.
 func (m *RateMeter) Scale(part float64) {
@@ -310,8 +310,8 @@
 	m.income *= part
 }
 
-// Denied returns how long the meter is to wait before it asks again, or zero.
-func (m *RateMeter) Denied(now time.Time) time.Duration { return max(0, m.deniedUntil.Sub(now)) }
+// RetryAfter returns how long the meter is to wait before it asks again, or zero.
+func (m *RateMeter) RetryAfter(now time.Time) time.Duration { return max(0, m.deniedUntil.Sub(now)) }
 
 // Idle removes and returns the whole credits that the demand no longer needs.
 // Call Advance first.
--- a/internal/core/routing/filter.go
+++ b/internal/core/routing/filter.go
@@ -42,7 +42,7 @@
 	if candidate.Leaving || candidate.Ejected || slices.Contains(request.Tried, candidate.Engine) {
 		return NotUsable
 	}
-	if candidate.Probing && candidate.Own > 0 {
+	if candidate.Probing && candidate.OwnInFlight > 0 {
 		return Saturated
 	}
 	return Chosen
--- a/internal/core/routing/prefix.go
+++ b/internal/core/routing/prefix.go
@@ -81,8 +81,8 @@
 	p.evict(slot, hash)
 }
 
-// Seen returns the highest event sequence number applied for the slot.
-func (p *PrefixIndex) Seen(slot int) uint64 { return p.lastSequence[slot] }
+// LastSequence returns the highest event sequence number applied for the slot.
+func (p *PrefixIndex) LastSequence(slot int) uint64 { return p.lastSequence[slot] }
 
 // Expect records that a prompt was sent to an engine. The engine's cache will have
 // the prompt's blocks before the cache events arrive.
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -40,10 +40,10 @@
 	Engine   identity.EngineID
 	Slot     int // the engine's slot in the prefix index; negative: none
 	Distance Distance
-	// Order is the engine's position in an order that is the same on all nodes.
+	// PackOrder is the engine's position in an order that is the same on all nodes.
 	// Packing fills engines in ascending order.
-	Order    int
-	Variants []Variant
+	PackOrder int
+	Variants  []Variant
 	// MaxRunning is the number of sequences that the engine runs concurrently;
 	// zero: not yet known.
 	MaxRunning int
@@ -51,9 +51,9 @@
 	// ones: the reported values corrected by the requests that this node has sent
 	// or seen end since the report.
 	Online, Batch int
-	// Expected estimates Online under the assumption that every dispatcher of the
+	// ExpectedOnline estimates Online under the assumption that every dispatcher of the
 	// engine has sent as many requests as this node since the report.
-	Expected int
+	ExpectedOnline int
 	// Prefill is the number of prompt tokens of online work that the engine is
 	// expected to compute before the first token of a new request.
 	Prefill int
@@ -70,8 +70,8 @@
 	// Probing is true if the engine is back after an ejection and gets one request
 	// at a time.
 	Probing bool
-	// Own is the number of this node's requests in flight on the engine.
-	Own int
+	// OwnInFlight is the number of this node's requests in flight on the engine.
+	OwnInFlight int
 }
 
 // Request holds the properties of a request that a decision depends on.
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -140,16 +140,16 @@
 		Distance:   routing.Distance(rapid.IntRange(0, 2).Draw(t, "distance")), //nolint:gosec // 0 to 2
 		MaxRunning: rapid.IntRange(0, 8).Draw(t, "max"),
 		Online:     rapid.IntRange(0, 8).Draw(t, "online"), Batch: rapid.IntRange(0, 8).Draw(t, "batch"),
-		Expected: rapid.IntRange(0, 8).Draw(t, "expected"), BatchAllowed: rapid.IntRange(0, 8).Draw(t, "allowed"), Order: number,
+		ExpectedOnline: rapid.IntRange(0, 8).Draw(t, "expected"), BatchAllowed: rapid.IntRange(0, 8).Draw(t, "allowed"), PackOrder: number,
 		Leaving: rapid.IntRange(0, 4).Draw(t, "leaving") == 0, Ejected: rapid.IntRange(0, 4).Draw(t, "ejected") == 0,
-		Probing: rapid.IntRange(0, 4).Draw(t, "probing") == 0, Own: rapid.IntRange(0, 1).Draw(t, "own"),
+		Probing: rapid.IntRange(0, 4).Draw(t, "probing") == 0, OwnInFlight: rapid.IntRange(0, 1).Draw(t, "own"),
 		Variants: []routing.Variant{{Model: rapid.SampledFrom(models).Draw(t, "model"), Version: "1", Adapters: []string{"a"}}},
 	}
 }
 
 // eligible is the reference model of the filters.
 func eligible(request *routing.Request, c *routing.Candidate) bool {
-	if c.Leaving || c.Ejected || (c.Probing && c.Own > 0) || c.MaxRunning == 0 {
+	if c.Leaving || c.Ejected || (c.Probing && c.OwnInFlight > 0) || c.MaxRunning == 0 {
 		return false
 	}
 	for _, tried := range request.Tried {
--- a/internal/core/routing/score.go
+++ b/internal/core/routing/score.go
@@ -64,7 +64,7 @@
 
 // Cost implements Scorer.
 func (s OrderScorer) Cost(_ *Request, candidate *Candidate, _ int) float64 {
-	return -s.Weight * float64(candidate.Order)
+	return -s.Weight * float64(candidate.PackOrder)
 }
 
 // PackScorer packs online work on few engines, in an order that is the same on all
@@ -86,7 +86,7 @@
 
 // Cost implements Scorer.
 func (s PackScorer) Cost(_ *Request, candidate *Candidate, _ int) float64 {
-	used := float64(candidate.Expected+1) / float64(max(candidate.MaxRunning, 1))
+	used := float64(candidate.ExpectedOnline+1) / float64(max(candidate.MaxRunning, 1))
 	ahead := 0.0
 	if s.MaxPrefillTokens > 0 {
 		ahead = float64(candidate.Prefill) / float64(s.MaxPrefillTokens) / speed(candidate)
@@ -94,5 +94,5 @@
 	if used > s.TargetUtilization || ahead >= 1 {
 		return overTargetCost * (1 + used + ahead)
 	}
-	return s.Weight * float64(candidate.Order)
+	return s.Weight * float64(candidate.PackOrder)
 }
--- a/internal/core/storeclock/storeclock.go
+++ b/internal/core/storeclock/storeclock.go
@@ -39,10 +39,10 @@
 	}
 }
 
-// MadeAt returns the earliest moment at which an answer that names a time of the store can have
+// EarliestAnswerTime returns the earliest moment at which an answer that names a time of the store can have
 // been made; sent and answered are when its call was sent and answered. Without a usable bound
 // it returns sent.
-func (c *Clock) MadeAt(sent, answered time.Time, storeAt time.Duration) time.Time {
+func (c *Clock) EarliestAnswerTime(sent, answered time.Time, storeAt time.Duration) time.Time {
 	origin := c.origin
 	if c.previousOrigin.After(origin) {
 		origin = c.previousOrigin
@@ -58,8 +58,8 @@
 	return made
 }
 
-// Suspended corrects the bound after this node's clock was stopped for the time of gap.
-func (c *Clock) Suspended(gap time.Duration) {
+// AdjustForSuspension corrects the bound after this node's clock was stopped for the time of gap.
+func (c *Clock) AdjustForSuspension(gap time.Duration) {
 	for _, moment := range []*time.Time{&c.origin, &c.previousOrigin} {
 		if !moment.IsZero() {
 			*moment = moment.Add(-gap)
--- a/internal/core/storeclock/storeclock_test.go
+++ b/internal/core/storeclock/storeclock_test.go
@@ -24,7 +24,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "suspended") == 0 {
 				gap := time.Duration(rapid.Int64Range(0, int64(30*time.Second)).Draw(t, "gap"))
 				store += gap
-				clock.Suspended(gap)
+				clock.AdjustForSuspension(gap)
 			}
 			storeNow := now.Sub(start) + store
 			before := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "until made"))
@@ -32,7 +32,7 @@
 			sent, made, answered := now, now.Add(before), now.Add(before+after)
 			storeAt := (storeNow + before).Truncate(time.Millisecond)
 			clock.Observe(sent, storeAt)
-			got := clock.MadeAt(sent, answered, storeAt)
+			got := clock.EarliestAnswerTime(sent, answered, storeAt)
 			if got.After(made) || got.Before(sent) {
 				t.Fatalf("sent %v, made %v, got %v", sent, made, got)
 			}
@@ -62,7 +62,7 @@
 		{"a clock behind", 0, start.Add(time.Minute)},
 	} {
 		sent := start.Add(time.Minute)
-		if got := clock.MadeAt(sent, sent.Add(time.Second), test.storeAt); !got.Equal(test.want) {
+		if got := clock.EarliestAnswerTime(sent, sent.Add(time.Second), test.storeAt); !got.Equal(test.want) {
 			t.Errorf("%s: got %v, want the call's start %v", test.name, got, test.want)
 		}
 	}
@@ -75,6 +75,6 @@
 	for i := range b.N {
 		storeAt := time.Duration(i) * time.Millisecond
 		clock.Observe(now, storeAt)
-		_ = clock.MadeAt(now, now, storeAt)
+		_ = clock.EarliestAnswerTime(now, now, storeAt)
 	}
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -104,7 +104,7 @@
 		return a.handleBrokenStream(ctx, withContextCause(streamCtx, err))
 	}
 	a.run.mayHaveRun = true
-	a.service.fleet.Sent(a.engine, a.run.prefix)
+	a.service.fleet.RecordPrompt(a.engine, a.run.prefix)
 	return a.readStream(ctx, streamCtx, stream)
 }
 
@@ -144,7 +144,7 @@
 		a.watchdog.Reset(a.service.config.NextTokenTimeout)
 		a.run.releasePrefill()
 		if a.engine != nil {
-			a.service.fleet.Worked(a.engine)
+			a.service.fleet.RecordToken(a.engine)
 		}
 		a.run.tokens = append(a.run.tokens, token.Text)
 		if err := a.run.sink(token); err != nil {
@@ -198,7 +198,7 @@
 // request is left running on the engine, where its only attempt can still be
 // resumed by its id.
 func (a *attempt) resume(ctx context.Context, cause error) attemptResult {
-	backoff := a.service.config.ResumePause
+	backoff := a.service.config.ResumeBackoff
 	offset := len(a.run.tokens)
 	for tries := 0; tries < a.service.config.ResumeAttempts; tries++ {
 		if !wait.For(ctx, backoff) {
@@ -207,7 +207,7 @@
 		backoff *= 2
 		result, err := a.rejoin(ctx)
 		if received := len(a.run.tokens); received > offset {
-			offset, tries, backoff = received, -1, a.service.config.ResumePause
+			offset, tries, backoff = received, -1, a.service.config.ResumeBackoff
 		}
 		if err == nil {
 			return result
@@ -270,7 +270,7 @@
 	case backend.CodeInvalid:
 		return finalResult(a.run.refuse(codeInvalid, err.Error(), 0))
 	case backend.CodeLeaving:
-		a.service.fleet.Left(a.engine)
+		a.service.fleet.RecordLeaving(a.engine)
 	case backend.CodeUnavailable:
 		a.service.fleet.Unreachable(a.engine, err.Error())
 	}
@@ -321,9 +321,9 @@
 
 // cancelUntilConfirmed retries a cancel while the engine does not answer, since an
 // engine that hung or was unreachable keeps working on the attempt. It gives up
-// after CancelPatience or when the service stops.
+// after CancelRetryTimeout or when the service stops.
 func (s *Service) cancelUntilConfirmed(ctx context.Context, client backend.Engine, intent Intent) {
-	deadline := time.Now().Add(s.config.CancelPatience)
+	deadline := time.Now().Add(s.config.CancelRetryTimeout)
 	for backoff := minCancelBackoff; ; backoff = min(2*backoff, maxCancelBackoff) {
 		if _, confirmed := s.cancelOnce(ctx, client, intent); confirmed {
 			return
@@ -351,7 +351,7 @@
 
 func (a *attempt) reportHung() {
 	if a.engine != nil {
-		a.service.fleet.Hung(a.engine, "streams stand still")
+		a.service.fleet.RecordHang(a.engine, "streams stand still")
 	}
 }
 
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -89,7 +89,7 @@
 func (s *Service) nextNode(run *run) (identity.NodeID, bool) {
 	view := s.bus.View()
 	for range maxNodeDraws {
-		node, ok := s.fleet.Elsewhere(run.request.Row.Pool, globalRandom{})
+		node, ok := s.fleet.RandomOtherDispatcher(run.request.Row.Pool, globalRandom{})
 		if !ok {
 			return "", false
 		}
@@ -107,7 +107,7 @@
 func (s *Service) forwardTo(ctx context.Context, run *run, node identity.NodeID) attemptResult {
 	stream, err := s.bus.Open(ctx, node, run.newForwardRequest())
 	if err != nil {
-		if errors.Is(err, peer.ErrLost) {
+		if errors.Is(err, peer.ErrConnectionLost) {
 			return run.forwardNodeLost(ctx)
 		}
 		return attemptResult{}
--- a/internal/dispatch/forward_test.go
+++ b/internal/dispatch/forward_test.go
@@ -163,7 +163,7 @@
 
 func onlineOn(watch *fleet.Service) (online, batch int) {
 	for _, engine := range watch.Snapshot().Pool(rarePool) {
-		return engine.Own()
+		return engine.OwnSequences()
 	}
 	return 0, 0
 }
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -27,15 +27,15 @@
 	Changed() <-chan struct{}
 	Notify()
 	Client(id identity.EngineID) (backend.Engine, bool)
-	// Elsewhere returns a node that dispatches to other engines of the pool.
-	Elsewhere(pool string, random routing.Random) (identity.NodeID, bool)
+	// RandomOtherDispatcher returns a node that dispatches to other engines of the pool.
+	RandomOtherDispatcher(pool string, random routing.Random) (identity.NodeID, bool)
 	WithPrefixes(decide func(*routing.PrefixIndex))
 	// The following methods record what streams reveal about an engine's health.
-	Sent(engine *fleet.Engine, prefix []uint64)
-	Worked(engine *fleet.Engine)
-	Hung(engine *fleet.Engine, cause string)
+	RecordPrompt(engine *fleet.Engine, prefix []uint64)
+	RecordToken(engine *fleet.Engine)
+	RecordHang(engine *fleet.Engine, cause string)
 	Unreachable(engine *fleet.Engine, cause string)
-	Left(engine *fleet.Engine)
+	RecordLeaving(engine *fleet.Engine)
 	// OnlineArrived records that another node has sent online work to the engine.
 	OnlineArrived(engine *fleet.Engine)
 }
--- a/internal/events/bounded.go
+++ b/internal/events/bounded.go
@@ -14,9 +14,9 @@
 	samplingInterval    = 10 * time.Second
 )
 
-// Bounded returns a logger for events whose number depends on input from other programs.
+// RateLimited returns a logger for events whose number depends on input from other programs.
 // Lines over the bound are dropped, so events that matter must also be counted elsewhere.
-func Bounded(logger *zap.Logger) *zap.Logger {
+func RateLimited(logger *zap.Logger) *zap.Logger {
 	return logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, samplingInterval, maxLinesPerInterval, 0)
 	}))
--- a/internal/fleet/engine.go
+++ b/internal/fleet/engine.go
@@ -92,19 +92,19 @@
 // token. A negative count subtracts them.
 func (e *Engine) AddPrefill(tokens int) { e.prefill.Add(int64(tokens)) }
 
-// Own returns the number of this node's sequences on the engine.
-func (e *Engine) Own() (online, batch int) { return int(e.online.Load()), int(e.batch.Load()) }
+// OwnSequences returns the number of this node's sequences on the engine.
+func (e *Engine) OwnSequences() (online, batch int) { return int(e.online.Load()), int(e.batch.Load()) }
 
 // Candidate returns the engine's present state as input for a routing decision.
 func (e *Engine) Candidate() routing.Candidate {
 	machine := e.machine.Load()
 	state := health.State(e.state.Load())
-	online, batch := e.Own()
+	online, batch := e.OwnSequences()
 	candidate := routing.Candidate{
-		Engine: e.ID, Slot: e.slot, Distance: e.distance, Order: int(e.order.Load()), Speed: machine.Capacity,
+		Engine: e.ID, Slot: e.slot, Distance: e.distance, PackOrder: int(e.order.Load()), Speed: machine.Capacity,
 		Leaving: machine.Leaving || e.leaving.Load(),
 		Ejected: state == health.Ejected, Probing: state == health.Probing,
-		Online: online, Batch: batch, Own: online + batch,
+		Online: online, Batch: batch, OwnInFlight: online + batch,
 	}
 	last := e.report.Load()
 	if last == nil {
@@ -123,7 +123,7 @@
 	dispatchers := max(len(e.Dispatchers()), 1)
 	onlineGrowth := (online - last.ownOnline) * dispatchers
 	candidate.Prefill = int(e.prefill.Load()) * dispatchers
-	candidate.Expected = max(reportedOnline+onlineGrowth, online)
+	candidate.ExpectedOnline = max(reportedOnline+onlineGrowth, online)
 	candidate.Batch = max(reportedBatch+batch-last.ownBatch, batch)
 	if load.KVCapacity > 0 {
 		candidate.KVUsed = float64(load.KVUsed) / float64(load.KVCapacity)
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -82,7 +82,7 @@
 	}
 	engine.applyReport(now, load)
 	before := health.State(engine.state.Load())
-	s.transition(engine, "", func(m *health.Machine) health.State { return m.Answered(now) })
+	s.transition(engine, "", func(m *health.Machine) health.State { return m.RecordAnswer(now) })
 	if before == health.Ejected {
 		s.resetPrefixes(engine) // a restarted engine has an empty cache and new event numbers
 	}
@@ -104,7 +104,7 @@
 func (s *Service) pollInterval(engine *Engine) time.Duration {
 	wanted := s.config.IdleLoadInterval
 	seen := time.Unix(0, engine.lastOnline.Load())
-	if online, batch := engine.Own(); online+batch > 0 || time.Since(seen) < s.config.IdleLoadInterval {
+	if online, batch := engine.OwnSequences(); online+batch > 0 || time.Since(seen) < s.config.IdleLoadInterval {
 		wanted = s.config.LoadInterval
 	}
 	count := len(s.Snapshot().byID)
@@ -118,7 +118,7 @@
 	}
 	engine.nextEvents = now.Add(s.config.CacheEventInterval)
 	s.prefixMutex.RLock()
-	since := s.prefixes.Seen(engine.slot)
+	since := s.prefixes.LastSequence(engine.slot)
 	s.prefixMutex.RUnlock()
 	published, err := engine.Client.CacheEvents(ctx, since)
 	if err != nil {
@@ -147,24 +147,24 @@
 	decide(s.prefixes)
 }
 
-// Sent records that a prompt was sent to an engine, whose cache will hold it.
-func (s *Service) Sent(engine *Engine, prefix []uint64) {
+// RecordPrompt records that a prompt was sent to an engine, whose cache will hold it.
+func (s *Service) RecordPrompt(engine *Engine, prefix []uint64) {
 	s.prefixMutex.Lock()
 	s.prefixes.Expect(engine.slot, prefix)
 	s.prefixMutex.Unlock()
 }
 
-// Worked records a first token, which shows that the engine makes progress.
-func (s *Service) Worked(engine *Engine) {
+// RecordToken records a first token, which shows that the engine makes progress.
+func (s *Service) RecordToken(engine *Engine) {
 	if health.State(engine.state.Load()) == health.Healthy {
 		return
 	}
-	s.transition(engine, "", func(m *health.Machine) health.State { return m.Worked() })
+	s.transition(engine, "", func(m *health.Machine) health.State { return m.RecordToken() })
 }
 
-// Hung records that a stream stalled for longer than its limit.
-func (s *Service) Hung(engine *Engine, cause string) {
-	s.transition(engine, cause, func(m *health.Machine) health.State { return m.Hung(time.Now()) })
+// RecordHang records that a stream stalled for longer than its limit.
+func (s *Service) RecordHang(engine *Engine, cause string) {
+	s.transition(engine, cause, func(m *health.Machine) health.State { return m.RecordTimeout(time.Now()) })
 }
 
 // Unreachable records a call without a response.
@@ -178,8 +178,8 @@
 	s.Notify()
 }
 
-// Left records that an engine refused work because it is leaving.
-func (s *Service) Left(engine *Engine) {
+// RecordLeaving records that an engine refused work because it is leaving.
+func (s *Service) RecordLeaving(engine *Engine) {
 	if !engine.leaving.Swap(true) {
 		events.EngineLeaving.Log(s.logger, zap.String("engine", string(engine.ID)), zap.String("source", "refusal"))
 	}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -121,10 +121,10 @@
 	return s.clients.Engine(machine), true
 }
 
-// Elsewhere returns a random node that dispatches to an engine of the pool
+// RandomOtherDispatcher returns a random node that dispatches to an engine of the pool
 // outside this node's subset, or false if there is none. Every node computes the
 // dispatchers from the machine list and the member list, so no message is needed.
-func (s *Service) Elsewhere(pool string, random routing.Random) (identity.NodeID, bool) {
+func (s *Service) RandomOtherDispatcher(pool string, random routing.Random) (identity.NodeID, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	others := s.remoteEngines[pool]
--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -77,13 +77,13 @@
 // of a run that may run again is reported at once, and the key is released after.
 // The failure of a run that may not run again is reported at once and then recorded.
 func (s *Server) conclude(run *keyedRun, claim *idempotency.Claim, result answerResult) {
-	ctx, cancel := context.WithTimeout(s.keyed.context, s.config.RecordTime)
+	ctx, cancel := context.WithTimeout(s.keyed.context, s.config.RecordRetention)
 	defer cancel()
 	switch {
 	case claim.Superseded():
 		s.endAfterRecording(run, result, idempotency.ErrSuperseded)
 	case result.failure == nil:
-		timer := time.AfterFunc(s.config.RecordWait, func() { run.fail(errNotRecorded) })
+		timer := time.AfterFunc(s.config.RecordWaitTimeout, func() { run.fail(errNotRecorded) })
 		defer timer.Stop()
 		err := s.persist(ctx, func() error { return claim.Complete(ctx, encodeResult(run.snapshot(), result)) })
 		s.endAfterRecording(run, result, err)
--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -127,7 +127,7 @@
 	if first {
 		go s.drive(run)
 	}
-	err := writeAnswer(c, run.answer, formOf(request, request.deadline.Add(endGrace+s.config.RecordWait)))
+	err := writeAnswer(c, run.answer, formOf(request, request.deadline.Add(endGrace+s.config.RecordWaitTimeout)))
 	if errors.Is(err, errAnsweredByOtherSite) {
 		return s.passThroughKeyed(c, request, run)
 	}
@@ -188,9 +188,9 @@
 }
 
 func (s *Server) queryKey(ctx context.Context, run *keyedRun) (idempotency.Decision, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.RecordWait)
+	ctx, cancel := context.WithTimeout(ctx, s.config.RecordWaitTimeout)
 	defer cancel()
-	decision, err := s.deps.Keys.Ask(ctx, idempotency.Ask{
+	decision, err := s.deps.Keys.Claim(ctx, idempotency.Request{
 		Key: run.request.key, Digest: run.digest, Site: s.chooseSite(run.request), Hopped: run.request.fromOtherSite,
 		Expiry: run.request.deadline.Add(claimGrace),
 	})
@@ -229,7 +229,7 @@
 		return
 	}
 	defer func() { <-s.keyed.withdrawals }()
-	ctx, cancel := context.WithTimeout(s.keyed.context, s.config.RecordTime)
+	ctx, cancel := context.WithTimeout(s.keyed.context, s.config.RecordRetention)
 	defer cancel()
 	s.logRecordingError(run, s.persist(ctx, func() error { return s.deps.Keys.Withdraw(ctx, claim) }))
 }
@@ -248,9 +248,9 @@
 		run.end(answerResult{answeredByOtherSite: true})
 	case core.Read:
 		s.readResult(run, decision.Result)
-	case core.Reuse:
+	case core.RejectReused:
 		run.fail(errKeyReuse)
-	default: // core.Elsewhere
+	default: // core.RejectOtherSite
 		run.fail(&apierror.Error{
 			Status: http.StatusConflict, Code: apierror.CodeConflict, Run: outcome.Unknown,
 			Message: "the other site answers for this Idempotency-Key, and the request came from there",
--- a/internal/gateway/keyed_test.go
+++ b/internal/gateway/keyed_test.go
@@ -211,7 +211,7 @@
 func TestALostClaimDoesNotHoldItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newGateways(t)
-		n.table.SetFaults(backendtest.Faults{LoseAnswers: store.DefaultRetry.Attempts})
+		n.table.SetFaults(backendtest.Faults{LoseResponses: store.DefaultRetry.Attempts})
 		wantResponse(t, sendKeyed(t, n.gateway("a"), plainBody), http.StatusServiceUnavailable, `"run":"not_run"`)
 		begun := time.Now()
 		wantResponse(t, sendKeyed(t, n.gateway("b"), plainBody), http.StatusOK, "run1-19")
@@ -227,7 +227,7 @@
 		n.table.SetFaults(backendtest.Faults{Hang: true})
 		begun := time.Now()
 		wantResponse(t, sendKeyed(t, n.gateway("a"), plainBody), http.StatusServiceUnavailable, "store_unavailable", `"run":"not_run"`)
-		if waited := time.Since(begun); waited > DefaultConfig().RecordWait {
+		if waited := time.Since(begun); waited > DefaultConfig().RecordWaitTimeout {
 			t.Errorf("refused after %v", waited)
 		}
 	})
@@ -245,7 +245,7 @@
 		if reply := <-first; strings.Contains(reply.Body.String(), "[DONE]") || !strings.Contains(reply.Body.String(), `"run":"unknown"`) {
 			t.Errorf("the unrecorded answer was reported as %s", reply.Body)
 		}
-		if waited := time.Since(begun); waited > DefaultConfig().RecordWait+time.Second {
+		if waited := time.Since(begun); waited > DefaultConfig().RecordWaitTimeout+time.Second {
 			t.Errorf("reported after %v", waited)
 		}
 		n.table.SetFaults(backendtest.Faults{})
@@ -260,9 +260,9 @@
 func TestLostAnswersOfTheStoreCostNoSecondRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newGateways(t)
-		n.table.SetFaults(backendtest.Faults{LoseAnswers: 2})
+		n.table.SetFaults(backendtest.Faults{LoseResponses: 2})
 		wantResponse(t, sendKeyed(t, n.gateway("a"), nonRepeatableBody), http.StatusOK, "run1-19")
-		n.table.SetFaults(backendtest.Faults{LoseAnswers: 1})
+		n.table.SetFaults(backendtest.Faults{LoseResponses: 1})
 		wantResponse(t, sendKeyed(t, n.gateway("b"), nonRepeatableBody), http.StatusOK, "run1-19")
 	})
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -29,13 +29,13 @@
 
 // Config configures the callers' listener and the limits of their requests.
 type Config struct {
-	HTTP             httpserver.Config `koanf:"http"`
-	RequestTimeout   time.Duration     `koanf:"request_timeout" usage:"longest run of one online request"`
-	DefaultMaxTokens int               `koanf:"default_max_tokens" usage:"output tokens of a request that names no limit"`
-	RecordWait       time.Duration     `koanf:"record_wait" usage:"how long a keyed request waits for the store: for its key at the start, and for its finished answer to be recorded"`
-	RecordTime       time.Duration     `koanf:"record_time" usage:"how long a finished keyed answer is kept to be recorded once the store answers again"`
-	MaxTokens        int               `koanf:"max_tokens" usage:"largest output token limit that a request may name"`
-	BatchBodyLimit   int64             `koanf:"batch_body_limit" unit:"bytes" usage:"largest body of a batch job"`
+	HTTP              httpserver.Config `koanf:"http"`
+	RequestTimeout    time.Duration     `koanf:"request_timeout" usage:"longest run of one online request"`
+	DefaultMaxTokens  int               `koanf:"default_max_tokens" usage:"output tokens of a request that names no limit"`
+	RecordWaitTimeout time.Duration     `koanf:"record_wait" usage:"how long a keyed request waits for the store: for its key at the start, and for its finished answer to be recorded"`
+	RecordRetention   time.Duration     `koanf:"record_time" usage:"how long a finished keyed answer is kept to be recorded once the store answers again"`
+	MaxTokens         int               `koanf:"max_tokens" usage:"largest output token limit that a request may name"`
+	BatchBodyLimit    int64             `koanf:"batch_body_limit" unit:"bytes" usage:"largest body of a batch job"`
 }
 
 // DefaultConfig returns settings for the target load, in which a job of 72,000 items
@@ -43,7 +43,7 @@
 func DefaultConfig() Config {
 	return Config{
 		HTTP: httpserver.DefaultConfig(), RequestTimeout: 2 * time.Minute,
-		RecordWait: 5 * time.Second, RecordTime: 10 * time.Minute, DefaultMaxTokens: 256, MaxTokens: 16384, BatchBodyLimit: 1 << 30,
+		RecordWaitTimeout: 5 * time.Second, RecordRetention: 10 * time.Minute, DefaultMaxTokens: 256, MaxTokens: 16384, BatchBodyLimit: 1 << 30,
 	}
 }
 
@@ -52,8 +52,8 @@
 	return errors.Join(
 		configcheck.Under("http", c.HTTP.Validate()),
 		configcheck.Positive("request_timeout", c.RequestTimeout),
-		configcheck.Positive("record_wait", c.RecordWait),
-		configcheck.AtLeast("record_time", c.RecordTime, c.RecordWait),
+		configcheck.Positive("record_wait", c.RecordWaitTimeout),
+		configcheck.AtLeast("record_time", c.RecordRetention, c.RecordWaitTimeout),
 		configcheck.AtLeast("default_max_tokens", c.DefaultMaxTokens, 1),
 		configcheck.AtLeast("max_tokens", c.MaxTokens, c.DefaultMaxTokens),
 		configcheck.AtLeast("batch_body_limit", c.BatchBodyLimit, 1),
@@ -158,9 +158,9 @@
 	}
 }
 
-// ListenWith sets the function with which Run opens its listener in place of TCP's.
+// SetListenFunc sets the function with which Run opens its listener in place of TCP's.
 // It must be called before Run.
-func (s *Server) ListenWith(open httpserver.ListenFunc) { s.http.ListenWith(open) }
+func (s *Server) SetListenFunc(open httpserver.ListenFunc) { s.http.SetListenFunc(open) }
 
 // Listening returns a channel that is closed once callers can connect.
 func (s *Server) Listening() <-chan struct{} { return s.http.Listening() }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -36,9 +36,9 @@
 // ListenFunc opens a listener at an address.
 type ListenFunc func(address string) (net.Listener, error)
 
-// ListenWith sets the function with which Run opens its listener, in place of a
+// SetListenFunc sets the function with which Run opens its listener, in place of a
 // TCP listener. It is called before Run.
-func (s *Server) ListenWith(open ListenFunc) { s.listenFunc = open }
+func (s *Server) SetListenFunc(open ListenFunc) { s.listenFunc = open }
 
 // New creates a server. Its log lines carry the name ("gateway", "admin").
 func New(name string, config Config, logger *zap.Logger) *Server {
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -87,8 +87,8 @@
 	return recordPrefix + hex.EncodeToString(digest[:])
 }
 
-// Ask is one request with a key.
-type Ask struct {
+// Request is one request with a key.
+type Request struct {
 	Key    Key
 	Digest string
 	// Site is the site that the row's share selects for a new key.
@@ -110,13 +110,13 @@
 // ErrUnreadable is returned for a stored record that this version cannot decode.
 var ErrUnreadable = errors.New("unreadable idempotency record")
 
-// maxClaimConflicts bounds the claim attempts of one Ask. After that many
-// conflicts, Ask returns the Wait action.
+// maxClaimConflicts bounds the claim attempts of one call of Claim. After that many
+// conflicts, Claim returns the Wait action.
 const maxClaimConflicts = 8
 
-// Ask decides the next action for a request and commits the claim that the
+// Claim decides the next action for a request and commits the claim that the
 // decision needs. After an error, nothing may run on behalf of the request.
-func (s *Store) Ask(ctx context.Context, ask Ask) (Decision, error) {
+func (s *Store) Claim(ctx context.Context, ask Request) (Decision, error) {
 	name := ask.Key.recordName()
 	stored := storedRecord{} // most keys are new, so the first claim is attempted without a read
 	for range maxClaimConflicts {
@@ -148,10 +148,10 @@
 	return Decision{Action: core.Wait}, nil
 }
 
-func (s *Store) coreRequest(ask Ask, owner identity.NodeID) core.Ask {
+func (s *Store) coreRequest(ask Request, owner identity.NodeID) core.Request {
 	now := time.Now()
-	return core.Ask{
-		Node: s.members.Self(), Digest: ask.Digest, Site: ask.Site, Hopped: ask.Hopped, OwnerDead: s.ownerDead(owner),
+	return core.Request{
+		Node: s.members.Self(), Digest: ask.Digest, Site: ask.Site, FromOtherSite: ask.Hopped, OwnerDead: s.ownerDead(owner),
 		Now: now, Expiry: ask.Expiry, KeepUntil: now.Add(s.config.Retention),
 	}
 }
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -49,13 +49,13 @@
 	return New(DefaultConfig(), store.New(f.table), f.objects, staticMembers{id, list}, zap.NewNop())
 }
 
-func newRequest(digest string) Ask {
-	return Ask{Key: Key{"corrib", "k"}, Digest: digest, Expiry: time.Now().Add(time.Minute)}
+func newRequest(digest string) Request {
+	return Request{Key: Key{"corrib", "k"}, Digest: digest, Expiry: time.Now().Add(time.Minute)}
 }
 
-func decide(t *testing.T, s *Store, request Ask, want core.Action) Decision {
+func decide(t *testing.T, s *Store, request Request, want core.Action) Decision {
 	t.Helper()
-	decision, err := s.Ask(t.Context(), request)
+	decision, err := s.Claim(t.Context(), request)
 	if err != nil || decision.Action != want {
 		t.Fatalf("action %d, error %v; want action %d", decision.Action, err, want)
 	}
@@ -70,7 +70,7 @@
 		actions := map[core.Action]int{}
 		for i := range 50 {
 			group.Go(func() {
-				decision, err := f.node(identity.NodeID(fmt.Sprint("n", i))).Ask(t.Context(), newRequest("d"))
+				decision, err := f.node(identity.NodeID(fmt.Sprint("n", i))).Claim(t.Context(), newRequest("d"))
 				mutex.Lock()
 				defer mutex.Unlock()
 				if actions[decision.Action]++; err != nil {
@@ -98,7 +98,7 @@
 			if read := decide(t, f.node("b"), newRequest("d"), core.Read); string(read.Result) != result {
 				t.Errorf("read %d bytes, want %d", len(read.Result), size)
 			}
-			decide(t, f.node("c"), newRequest("other"), core.Reuse)
+			decide(t, f.node("c"), newRequest("other"), core.RejectReused)
 		}
 	})
 }
@@ -146,14 +146,14 @@
 func TestLostAnswersAreSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestCluster()
-		f.table.SetFaults(backendtest.Faults{LoseAnswers: 1})
+		f.table.SetFaults(backendtest.Faults{LoseResponses: 1})
 		claim := decide(t, f.node("a"), newRequest("d"), core.Run).Claim
 		// All responses of one call are lost; the claim finds the write later.
-		f.table.SetFaults(backendtest.Faults{LoseAnswers: store.DefaultRetry.Attempts})
+		f.table.SetFaults(backendtest.Faults{LoseResponses: store.DefaultRetry.Attempts})
 		if err := claim.RecordIntent(t.Context(), core.Intent{Attempt: "a1"}); err == nil {
 			t.Fatal("RecordIntent succeeded although all responses were lost")
 		}
-		f.objects.SetFaults(backendtest.Faults{LoseAnswers: 1})
+		f.objects.SetFaults(backendtest.Faults{LoseResponses: 1})
 		result := []byte(strings.Repeat("y", 10<<10))
 		if err := claim.Complete(t.Context(), result); err == nil {
 			t.Fatal("Complete succeeded although the response of the put was lost")
@@ -171,16 +171,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, released := range []bool{false, true} { // without and with an earlier record
 			f := newTestCluster()
-			faults := backendtest.Faults{LoseAnswers: store.DefaultRetry.Attempts}
+			faults := backendtest.Faults{LoseResponses: store.DefaultRetry.Attempts}
 			if released {
-				faults.Spare = 1 // the conflict that returns the earlier record
+				faults.ResponsesBeforeLoss = 1 // the conflict that returns the earlier record
 				if err := decide(t, f.node("a"), newRequest("d"), core.Run).Claim.Release(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 			}
 			f.table.SetFaults(faults)
 			a := f.node("a")
-			_, err := a.Ask(t.Context(), newRequest("d"))
+			_, err := a.Claim(t.Context(), newRequest("d"))
 			var uncertain *UncertainError
 			if !errors.As(err, &uncertain) {
 				t.Fatalf("Ask returned %v, want an UncertainError", err)
@@ -204,7 +204,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestCluster()
 		f.table.SetFaults(backendtest.Faults{Down: true})
-		if _, err := f.node("a").Ask(t.Context(), newRequest("d")); err == nil {
+		if _, err := f.node("a").Claim(t.Context(), newRequest("d")); err == nil {
 			t.Error("Ask returned a decision while the store was down")
 		}
 	})
@@ -222,7 +222,7 @@
 		decide(t, f.node("b"), newRequest("d"), core.Pass)
 		back := newRequest("d")
 		back.Hopped = true
-		decide(t, f.node("b"), back, core.Elsewhere)
+		decide(t, f.node("b"), back, core.RejectOtherSite)
 	})
 }
 
--- a/internal/idempotency/sweep.go
+++ b/internal/idempotency/sweep.go
@@ -115,7 +115,7 @@
 		transaction.Writes = append(transaction.Writes, backend.Write{Key: each.stored.Key, Delete: true})
 	}
 	if s.client.Commit(ctx, transaction).Status == store.Applied {
-		events.KeysCollected.Log(s.logger, zap.Int("keys", len(old)))
+		events.ExpiredKeysDeleted.Log(s.logger, zap.Int("keys", len(old)))
 	}
 }
 
--- a/internal/idempotency/withdraw.go
+++ b/internal/idempotency/withdraw.go
@@ -31,7 +31,7 @@
 // Unwrap returns the last error of the store.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// Withdraw undoes the claim of an Ask that failed with an UncertainError, if the
+// Withdraw undoes the claim of a call of Claim that failed with an UncertainError, if the
 // claim took effect. Nothing ran under it, and others would wait until it expires.
 // A claim that takes effect after Withdraw has read the record stays until then.
 func (s *Store) Withdraw(ctx context.Context, claim *UncertainError) error {
--- a/internal/limits/admission.go
+++ b/internal/limits/admission.go
@@ -13,7 +13,7 @@
 		return noopRelease, Decision{Allowed: true}
 	}
 	estimatedTokens := float64(max(0, tokens))
-	s.suspensions.Look()
+	s.suspensions.Check()
 	now := time.Now()
 	s.mu.Lock()
 	a := admission{service: s, estimatedTokens: estimatedTokens}
--- a/internal/limits/messages.go
+++ b/internal/limits/messages.go
@@ -34,10 +34,10 @@
 	Permits  permitAsk
 }
 
-// rateAsk is quota.RateAsk in whole credits. Back is the number of credits returned.
+// rateAsk is quota.CreditRequest in whole credits. Back is the number of credits returned.
 type rateAsk struct{ Need, Want, Back uint32 }
 
-// permitAsk is quota.PermitAsk. With Sequence 0 the ask is not about permits.
+// permitAsk is quota.PermitRequest. With Sequence 0 the ask is not about permits.
 type permitAsk struct {
 	Sequence   uint64
 	Hold, Want uint32
@@ -69,7 +69,7 @@
 	return a.Requests.Want == 0 && a.Tokens.Want == 0 && (a.Permits.Sequence == 0 || a.Permits.Want == 0)
 }
 
-func toRateAsk(quotaAsk quota.RateAsk) rateAsk {
+func toRateAsk(quotaAsk quota.CreditRequest) rateAsk {
 	return rateAsk{Need: roundUp(quotaAsk.Need), Want: roundUp(quotaAsk.Want)}
 }
 
--- a/internal/limits/meter.go
+++ b/internal/limits/meter.go
@@ -68,14 +68,14 @@
 // check reports whether all limits admit a request, and otherwise which one does not.
 func (m *meter) check(now time.Time, tokens float64, parameters quota.Parameters) verdict {
 	result := verdict{}
-	if m.limits.RequestsPerSecond > 0 && !m.requests.Has(1) {
-		result.addExhausted("requests_per_second", m.requests.Denied(now))
+	if m.limits.RequestsPerSecond > 0 && !m.requests.CanAdmit(1) {
+		result.addExhausted("requests_per_second", m.requests.RetryAfter(now))
 	}
-	if m.limits.TokensPerSecond > 0 && !m.tokens.Has(tokens) {
-		result.addExhausted("tokens_per_second", m.tokens.Denied(now))
+	if m.limits.TokensPerSecond > 0 && !m.tokens.CanAdmit(tokens) {
+		result.addExhausted("tokens_per_second", m.tokens.RetryAfter(now))
 	}
-	if m.limits.Concurrency > 0 && !m.permits.Has(now, parameters) {
-		result.addExhausted("concurrency", m.permits.Denied(now))
+	if m.limits.Concurrency > 0 && !m.permits.CanAdmit(now, parameters) {
+		result.addExhausted("concurrency", m.permits.RetryAfter(now))
 	}
 	if result.mustAsk && now.Before(m.unreachableUntil) {
 		result = verdict{limit: result.limit, retryAfter: m.unreachableUntil.Sub(now)}
@@ -130,8 +130,8 @@
 // recordDemand adds a request to the demand, whether or not it is admitted.
 func (m *meter) recordDemand(now time.Time, tokens float64) {
 	m.lastUsed = now
-	m.requests.Wanted(1)
-	m.tokens.Wanted(tokens)
+	m.requests.RecordDemand(1)
+	m.tokens.RecordDemand(tokens)
 }
 
 // release frees the permit of a request that has ended and corrects the token
@@ -146,13 +146,13 @@
 // urgentAsk returns an ask for what a waiting request lacks.
 func (m *meter) urgentAsk(now time.Time, tokens float64, parameters quota.Parameters) ask {
 	next := ask{Row: m.key.row, Tenant: m.key.tenant}
-	if m.limits.RequestsPerSecond > 0 && !m.requests.Has(1) {
+	if m.limits.RequestsPerSecond > 0 && !m.requests.CanAdmit(1) {
 		next.Requests = toRateAsk(m.requests.Ask(1))
 	}
-	if m.limits.TokensPerSecond > 0 && !m.tokens.Has(tokens) {
+	if m.limits.TokensPerSecond > 0 && !m.tokens.CanAdmit(tokens) {
 		next.Tokens = toRateAsk(m.tokens.Ask(tokens))
 	}
-	if m.limits.Concurrency > 0 && !m.permits.Has(now, parameters) {
+	if m.limits.Concurrency > 0 && !m.permits.CanAdmit(now, parameters) {
 		next.Permits = m.newPermitAsk(now, max(1, m.waiters))
 	}
 	return next
@@ -211,8 +211,8 @@
 // applyAnswer applies the answer to the last ask and wakes the waiting requests.
 func (m *meter) applyAnswer(now time.Time, reply answer, renewInterval time.Duration, parameters quota.Parameters) {
 	m.askInFlight = false
-	m.requests.Heard()
-	m.tokens.Heard()
+	m.requests.OwnerAnswered()
+	m.tokens.OwnerAnswered()
 	if reply.Requests != (loan{}) {
 		m.requests.Receive(now, reply.Requests.toQuota(), parameters)
 	}
@@ -257,8 +257,8 @@
 		unreachablePeriod = time.Second
 	)
 	m.askInFlight = false
-	m.requests.Silence()
-	m.tokens.Silence()
+	m.requests.OwnerUnanswered()
+	m.tokens.OwnerUnanswered()
 	if now.Before(m.useDeputyUntil) || m.deputy == "" {
 		m.unreachableUntil = now.Add(unreachablePeriod)
 		m.useDeputyUntil = time.Time{}
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -87,7 +87,7 @@
 		return reply, true
 	}
 	reply.Permits, ok = entry.lendPermits(from, now, limits, request.Permits, s.parameters)
-	if entry.permits.Short(now) && !now.Before(entry.nextRecallAt) {
+	if entry.permits.RecentlyShort(now) && !now.Before(entry.nextRecallAt) {
 		entry.nextRecallAt = now.Add(recallInterval)
 		message := recallMessage{Row: request.Row, Tenant: request.Tenant}
 		s.pendingRecalls = append(s.pendingRecalls, recall{message: message, holders: entry.permits.Holders(from)})
@@ -115,7 +115,7 @@
 	if limits.Concurrency <= 0 { // removed in this node's table, but not yet in the borrower's
 		return permits{Given: true, Total: request.Want}, true
 	}
-	quotaAsk := quota.PermitAsk{Sequence: request.Sequence, Hold: int(request.Hold), Want: int(request.Want)}
+	quotaAsk := quota.PermitRequest{Sequence: request.Sequence, Hold: int(request.Hold), Want: int(request.Want)}
 	total, ok := l.permits.Lend(now, from, limits.Concurrency, quotaAsk, parameters)
 	if !ok {
 		return permits{}, false
@@ -136,6 +136,6 @@
 			delete(s.lenders, key)
 			continue
 		}
-		entry.permits.ForgetUnless(s.ownership.isLive)
+		entry.permits.RetainNodes(s.ownership.isLive)
 	}
 }
--- a/internal/limits/service.go
+++ b/internal/limits/service.go
@@ -82,11 +82,11 @@
 	return s
 }
 
-// WatchBy makes the service check for suspensions of the machine before it
+// SetSuspensionWatch makes the service check for suspensions of the machine before it
 // admits, lends or borrows. It must be called before Run.
-func (s *Service) WatchBy(watch *suspension.Watch) {
+func (s *Service) SetSuspensionWatch(watch *suspension.Watch) {
 	s.suspensions = watch
-	watch.OnWake(func(time.Duration) { s.handleWake(time.Now()) })
+	watch.OnResume(func(time.Duration) { s.handleWake(time.Now()) })
 }
 
 // handleWake discards what this node has borrowed and its records of what it
@@ -237,7 +237,7 @@
 // tick sends the routine asks of the limits in use and deletes idle meters and
 // lenders.
 func (s *Service) tick(now time.Time) {
-	s.suspensions.Look()
+	s.suspensions.Check()
 	s.mu.Lock()
 	asks := outbox{}
 	for key, m := range s.meters {
@@ -265,7 +265,7 @@
 }
 
 func (s *Service) handleAsks(from identity.NodeID, message asksMessage) {
-	s.suspensions.Look()
+	s.suspensions.Check()
 	now := time.Now()
 	s.mu.Lock()
 	answers := make([]answer, 0, len(message.Asks))
@@ -290,7 +290,7 @@
 }
 
 func (s *Service) handleAnswers(message answersMessage) {
-	s.suspensions.Look()
+	s.suspensions.Check()
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/limits/service_test.go
+++ b/internal/limits/service_test.go
@@ -60,7 +60,7 @@
 		for _, bus := range f.buses {
 			service := New(DefaultConfig(), bus, f.rows, nil, nil)
 			clock := &suspensiontest.Clock{}
-			service.WatchBy(suspension.NewWatch(clock))
+			service.SetSuspensionWatch(suspension.NewWatch(clock))
 			f.clocks = append(f.clocks, clock)
 			f.nodes = append(f.nodes, service)
 			running.Go(func() { _ = service.Run(ctx) })
--- a/internal/node/compose.go
+++ b/internal/node/compose.go
@@ -32,7 +32,7 @@
 	client := store.New(n.platform.Table)
 	n.rows = rows.New(config.Rows, client, n.bus, n.logger, n.registry)
 	n.limits = limits.New(config.Limits, n.bus, n.rows, n.logger, n.registry)
-	n.limits.WatchBy(n.suspensions)
+	n.limits.SetSuspensionWatch(n.suspensions)
 	n.engines = fleet.New(config.Fleet, n.platform.Machines, n.platform.Engines, n.bus, n.logger, n.registry)
 	n.dispatch = dispatch.New(config.Dispatch, n.engines, n.bus, n.rows, n.logger, n.registry)
 	n.idempotency = idempotency.New(config.Idempotency, client, n.platform.Objects, n.bus, n.logger)
@@ -50,8 +50,8 @@
 		Revisions: n.rows, Audit: n.rows, Jobs: n.jobs.Operators(), Engines: engineList{n.engines},
 		Drainer: n, Gatherer: n.registry,
 	}, n.logger, n.registry)
-	n.gateway.ListenWith(n.network.Listen)
-	n.admin.ListenWith(n.network.Listen)
+	n.gateway.SetListenFunc(n.network.Listen)
+	n.admin.SetListenFunc(n.network.Listen)
 	peer.Register(drainTaken{})
 	n.bus.Handle(drainOrder{}, n.handleDrainOrder)
 	return nil
--- a/internal/passthrough/batch/claims.go
+++ b/internal/passthrough/batch/claims.go
@@ -27,13 +27,13 @@
 // seconds apart when they are busy, and the first one knows no other node: in 15 of 48 starts of
 // three nodes on a busy machine it took 17 to 24 of 24 jobs.
 const (
-	startupClaimPeriod = 4 * time.Second        // after SettleFor
+	startupClaimPeriod = 4 * time.Second        // after StartupDelay
 	startupClaimPause  = 150 * time.Millisecond // between two claims
 )
 
 // claimThrottled reports whether this node started recently and has just claimed a job.
 func (s *Service) claimThrottled(now time.Time) bool {
-	early := now.Sub(s.started) < s.config.SettleFor+startupClaimPeriod
+	early := now.Sub(s.started) < s.config.StartupDelay+startupClaimPeriod
 	return early && now.Sub(s.lastClaimAt) < startupClaimPause
 }
 
@@ -51,7 +51,7 @@
 		case <-s.view.wake:
 		}
 		timer.Reset(s.loopInterval(ownershipInterval, s.hasOwnershipWork()))
-		s.suspensionWatch.Look()
+		s.suspensionWatch.Check()
 		s.learnCrashes()
 		s.dropLostJobs()
 		s.mu.Lock()
--- a/internal/passthrough/batch/collect.go
+++ b/internal/passthrough/batch/collect.go
@@ -27,7 +27,7 @@
 		}
 		fleet := s.currentFleet(time.Now())
 		for _, job := range s.view.all() {
-			old := now > job.record.AcceptedAt+s.config.Keep
+			old := now > job.record.AcceptedAt+s.config.Retention
 			if old && !job.record.Active() && fleet.rank(job.record.ID, s.Self) == 0 {
 				s.remove(ctx, job)
 			}
--- a/internal/passthrough/batch/config.go
+++ b/internal/passthrough/batch/config.go
@@ -14,22 +14,22 @@
 
 // Config configures how jobs are stored and run.
 type Config struct {
-	Shards         int           `koanf:"shards" usage:"parts of the store that jobs are spread over; the same on all nodes"`
-	Heartbeat      time.Duration `koanf:"heartbeat" usage:"pause between two signs of life of a node in the store"`
-	DeadAfter      time.Duration `koanf:"dead_after" usage:"a node without a sign of life for this long has its jobs taken over"`
-	PerEngine      int           `koanf:"per_engine_percent" usage:"share of an engine's slots that batch items may hold, in per cent"`
-	Room           int           `koanf:"room_percent" usage:"share of all engines' slots in use up to which batch items are added, in per cent"`
-	SettleFor      time.Duration `koanf:"settle_for" usage:"no items are started for so long after the node's own start, so that it knows the other nodes' work at the engines first"`
-	Keep           time.Duration `koanf:"keep" usage:"how long a job can be read after it was accepted, when it is not open"`
-	BlindFor       time.Duration `koanf:"blind_for" usage:"items are sent to engines only while the store was heard within this time"`
-	TextCacheBytes int           `koanf:"text_cache_bytes" usage:"results kept in memory for readers"`
+	Shards           int           `koanf:"shards" usage:"parts of the store that jobs are spread over; the same on all nodes"`
+	Heartbeat        time.Duration `koanf:"heartbeat" usage:"pause between two signs of life of a node in the store"`
+	DeadAfter        time.Duration `koanf:"dead_after" usage:"a node without a sign of life for this long has its jobs taken over"`
+	MaxEnginePercent int           `koanf:"per_engine_percent" usage:"share of an engine's slots that batch items may hold, in per cent"`
+	MaxUsePercent    int           `koanf:"room_percent" usage:"share of all engines' slots in use up to which batch items are added, in per cent"`
+	StartupDelay     time.Duration `koanf:"settle_for" usage:"no items are started for so long after the node's own start, so that it knows the other nodes' work at the engines first"`
+	Retention        time.Duration `koanf:"keep" usage:"how long a job can be read after it was accepted, when it is not open"`
+	MaxStaleness     time.Duration `koanf:"blind_for" usage:"items are sent to engines only while the store was heard within this time"`
+	TextCacheBytes   int           `koanf:"text_cache_bytes" usage:"results kept in memory for readers"`
 }
 
 // DefaultConfig returns a configuration for engines with some dozen slots.
 func DefaultConfig() Config {
 	return Config{
 		Shards: 8, Heartbeat: time.Second, DeadAfter: 2500 * time.Millisecond,
-		PerEngine: 100, Room: 90, SettleFor: 700 * time.Millisecond, Keep: 2 * time.Minute, BlindFor: 2 * time.Second, TextCacheBytes: 48 << 20,
+		MaxEnginePercent: 100, MaxUsePercent: 90, StartupDelay: 700 * time.Millisecond, Retention: 2 * time.Minute, MaxStaleness: 2 * time.Second, TextCacheBytes: 48 << 20,
 	}
 }
 
@@ -42,7 +42,7 @@
 
 // liveness returns the configuration of the failure detector for watched nodes.
 func (c Config) liveness() liveness.Config {
-	return liveness.Config{HeartbeatEvery: c.DeadAfter / heartbeatsPerTimeout, SilentAfter: c.DeadAfter, ConfirmFor: c.DeadAfter / confirmDivisor}
+	return liveness.Config{HeartbeatEvery: c.DeadAfter / heartbeatsPerTimeout, NodeTimeout: c.DeadAfter, ConfirmTimeout: c.DeadAfter / confirmDivisor}
 }
 
 // Validate checks that the values are within their bounds.
@@ -51,11 +51,11 @@
 		configcheck.Between("shards", c.Shards, 1, 256),
 		configcheck.Positive("heartbeat", c.Heartbeat),
 		configcheck.Positive("dead_after", c.DeadAfter),
-		configcheck.Between("per_engine_percent", c.PerEngine, 1, 100),
-		configcheck.Between("room_percent", c.Room, 1, 100),
-		configcheck.NotNegative("settle_for", c.SettleFor),
-		configcheck.Positive("keep", c.Keep),
-		configcheck.Positive("blind_for", c.BlindFor),
+		configcheck.Between("per_engine_percent", c.MaxEnginePercent, 1, 100),
+		configcheck.Between("room_percent", c.MaxUsePercent, 1, 100),
+		configcheck.NotNegative("settle_for", c.StartupDelay),
+		configcheck.Positive("keep", c.Retention),
+		configcheck.Positive("blind_for", c.MaxStaleness),
 		configcheck.AtLeast("text_cache_bytes", c.TextCacheBytes, 1<<20),
 	)
 }
--- a/internal/passthrough/batch/crashes.go
+++ b/internal/passthrough/batch/crashes.go
@@ -147,8 +147,8 @@
 		report.crash.Age += since
 		crashes = append(crashes, report.crash)
 	}
-	s.Guard.Learn(crashes)
-	s.Guard.LearnOrders(orders)
+	s.Guard.AddStoredCrashes(crashes)
+	s.Guard.ApplyOrders(orders)
 }
 
 // removeExpiredCrashes removes rows with crashes whose retention has passed.
--- a/internal/passthrough/batch/decode_test.go
+++ b/internal/passthrough/batch/decode_test.go
@@ -144,11 +144,11 @@
 func TestCallsAboutAJobWhoseRowCannotBeRead(t *testing.T) {
 	service := newTestService(oneRowStore{row: passthrough.Row{Table: tableJobs, Key: "job1", Value: []byte("{}"), Version: 7}})
 	service.Headers = noHeaders{}
-	for _, kind := range []passthrough.JobCallKind{passthrough.ReadResults, passthrough.ReadItem, passthrough.EndJob} {
+	for _, kind := range []passthrough.JobCallKind{passthrough.ReadResults, passthrough.ReadItem, passthrough.CancelJob} {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		answer := httptest.NewRecorder()
 		request := httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil)
-		service.Call(answer, request, passthrough.JobCall{Kind: kind, Job: "job1", Item: "i"}, passthrough.Demand{})
+		service.HandleJobCall(answer, request, passthrough.JobCall{Kind: kind, Job: "job1", Item: "i"}, passthrough.Demand{})
 		cancel()
 		if answer.Code != http.StatusServiceUnavailable {
 			t.Errorf("call %d: status %d", kind, answer.Code)
@@ -207,7 +207,7 @@
 			{Part: "s00", Key: key, Value: value, Version: 1},
 		})
 		for _, job := range v.all() {
-			if job.record.ID != key || len(job.record.ItemAt()) != job.record.Listed {
+			if job.record.ID != key || len(job.record.ItemsByPosition()) != job.record.Listed {
 				t.Errorf("%q was read as %+v", value, job.record)
 			}
 		}
--- a/internal/passthrough/batch/intake.go
+++ b/internal/passthrough/batch/intake.go
@@ -50,8 +50,8 @@
 // String returns the outcome's name for logs and metrics.
 func (o submitOutcome) String() string { return submitOutcomeNames[o] }
 
-// HandIn handles the submission of a job.
-func (s *Service) HandIn(to http.ResponseWriter, call *relay.Call) {
+// Submit handles the submission of a job.
+func (s *Service) Submit(to http.ResponseWriter, call *relay.Call) {
 	id := call.Demand.RequestID
 	if !jobID.MatchString(id) {
 		relay.WriteRefusal(to, http.StatusBadRequest, relay.Refusal{Code: "bad_job_id", Message: "the request's id names the job: 1 to 120 letters, digits, dots, dashes, underlines or tildes", Run: relay.RunNot})
@@ -59,7 +59,7 @@
 	}
 	items, err := s.Format.Items(call.Body)
 	if err != nil {
-		events.JobHandedIn.Log(s.Logger, zap.String("job", id), zap.String("outcome", "malformed"), zap.Error(err))
+		events.JobSubmitted.Log(s.Logger, zap.String("job", id), zap.String("outcome", "malformed"), zap.Error(err))
 		relay.WriteRefusal(to, http.StatusBadRequest, relay.Refusal{Code: "bad_job", Message: err.Error(), Run: relay.RunNot})
 		return
 	}
@@ -68,7 +68,7 @@
 	outcome, cause := s.submit(ctx, call, items)
 	s.metrics.jobs.WithLabelValues(outcome.String()).Inc()
 	seen := s.view.countQueue(queueOf(call))
-	events.JobHandedIn.Log(s.Logger, zap.String("job", id), zap.String("outcome", outcome.String()), zap.String("route", call.Route.Name), zap.String("tenant", call.TenantName()),
+	events.JobSubmitted.Log(s.Logger, zap.String("job", id), zap.String("outcome", outcome.String()), zap.String("route", call.Route.Name), zap.String("tenant", call.TenantName()),
 		zap.Int64("routes_version", call.Version), zap.Int("items", len(items)), zap.Int64("tokens", totalTokens(items)),
 		zap.Int64("waiting", seen.tokens), zap.Int64("limit", call.Route.QueueTokens), zap.Int64("quota_version", seen.version),
 		zap.Duration("elapsed", time.Since(call.Received)), zap.Error(cause))
--- a/internal/passthrough/batch/members.go
+++ b/internal/passthrough/batch/members.go
@@ -151,7 +151,7 @@
 	s.mu.Lock()
 	heartbeatFailedAt, heartbeatWrittenAt, lastAllWatched := s.heartbeatFailedAt, s.heartbeatWrittenAt, s.lastAllWatched
 	s.mu.Unlock()
-	stable := now.Sub(health.LastBad) > deadAfter && now.Sub(heartbeatFailedAt) > deadAfter && now.Sub(s.started) > deadAfter
+	stable := now.Sub(health.LastFailure) > deadAfter && now.Sub(heartbeatFailedAt) > deadAfter && now.Sub(s.started) > deadAfter
 	s.view.mu.Lock()
 	defer s.view.mu.Unlock()
 	ownNode := s.view.nodes[s.Self]
--- a/internal/passthrough/batch/nodes.go
+++ b/internal/passthrough/batch/nodes.go
@@ -100,20 +100,20 @@
 // reaches each node, so a larger fleet writes them less often.
 const nodesPerHeartbeat = 40
 
-// Crowding returns the factor by which the fleet exceeds nodesPerHeartbeat, at least one.
-func (s *Service) Crowding() float64 {
+// FleetSizeFactor returns the factor by which the fleet exceeds nodesPerHeartbeat, at least one.
+func (s *Service) FleetSizeFactor() float64 {
 	s.view.mu.Lock()
 	defer s.view.mu.Unlock()
 	return max(1, float64(len(s.view.nodes))/nodesPerHeartbeat)
 }
 
 func (s *Service) heartbeatInterval() time.Duration {
-	return time.Duration(float64(s.config.Heartbeat) * s.Crowding())
+	return time.Duration(float64(s.config.Heartbeat) * s.FleetSizeFactor())
 }
 
 // nodeTimeout returns how long a node may write no heartbeat row before it is considered dead.
 func (s *Service) nodeTimeout() time.Duration {
-	return time.Duration(float64(s.config.DeadAfter) * s.Crowding())
+	return time.Duration(float64(s.config.DeadAfter) * s.FleetSizeFactor())
 }
 
 // heartbeatRetryDivisor is the part of the heartbeat interval on which the pause before the first
@@ -152,6 +152,6 @@
 	s.mu.Lock()
 	s.heartbeatFailedAt = time.Now()
 	s.mu.Unlock()
-	events.SignNotWritten.Log(s.Logger, zap.Int64("count", heartbeat.Count), zap.Error(err))
+	events.HeartbeatNotWritten.Log(s.Logger, zap.Int64("count", heartbeat.Count), zap.Error(err))
 	return false
 }
--- a/internal/passthrough/batch/orders.go
+++ b/internal/passthrough/batch/orders.go
@@ -54,7 +54,7 @@
 		}
 		since := max(storeNow-kept.WrittenAt, 0)
 		for _, entry := range kept.Crashes {
-			ledger.Note(quarantine.Crash{Content: content, Engine: entry.Engine, Age: entry.Age + since, Excused: entry.Excused}, now)
+			ledger.RecordCrash(quarantine.Crash{Content: content, Engine: entry.Engine, Age: entry.Age + since, Excused: entry.Excused}, now)
 		}
 		if kept.Order != nil {
 			known[content].Reason = kept.Order.Reason
--- a/internal/passthrough/batch/owned.go
+++ b/internal/passthrough/batch/owned.go
@@ -202,7 +202,7 @@
 	s.mu.Unlock()
 	job.cancel()
 	if current {
-		events.JobLetGo.Log(s.Logger, zap.String("job", record.ID), zap.String("why", why), zap.Int64("epoch", record.Epoch), zap.Int("listed", record.Listed), zap.Int("items", len(record.Items)))
+		events.JobDropped.Log(s.Logger, zap.String("job", record.ID), zap.String("why", why), zap.Int64("epoch", record.Epoch), zap.Int("listed", record.Listed), zap.Int("items", len(record.Items)))
 	}
 }
 
--- a/internal/passthrough/batch/preempt.go
+++ b/internal/passthrough/batch/preempt.go
@@ -12,9 +12,9 @@
 // reasonOnlineWork is the logged reason for a preemption.
 const reasonOnlineWork = "online work needs its slot"
 
-// Stop preempts the run that was granted a slot under the given request id, because online work
+// Preempt preempts the run that was granted a slot under the given request id, because online work
 // needs the slot. The events received so far are kept.
-func (s *Service) Stop(requestID uint64) {
+func (s *Service) Preempt(requestID uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stopped := false
@@ -44,7 +44,7 @@
 // drops the run as soon as it sees the connection close.
 func (s *Service) stopRun(job *ownedJob, index int, why string) {
 	work := &job.work[index]
-	events.ItemYields.Log(s.Logger, zap.String("job", job.id), zap.String("request", job.itemIDs[index]), zap.Stringer("engine", work.engine),
+	events.ItemPreempted.Log(s.Logger, zap.String("job", job.id), zap.String("request", job.itemIDs[index]), zap.Stringer("engine", work.engine),
 		zap.Int("events_kept", work.text.events), zap.String("why", why))
 	work.cancelRun()
 	work.cancelRun = nil
--- a/internal/passthrough/batch/preempt_test.go
+++ b/internal/passthrough/batch/preempt_test.go
@@ -101,7 +101,7 @@
 // within 0.2 s at 216 slots).
 func TestNodeThatHasJustStartedStartsNothing(t *testing.T) {
 	service := newTimedService()
-	for after, want := range map[time.Duration]bool{0: false, service.config.SettleFor - 1: false, service.config.SettleFor: true, time.Hour: true} {
+	for after, want := range map[time.Duration]bool{0: false, service.config.StartupDelay - 1: false, service.config.StartupDelay: true, time.Hour: true} {
 		if got := service.settled(service.started.Add(after)); got != want {
 			t.Errorf("after %v: %t", after, got)
 		}
--- a/internal/passthrough/batch/read.go
+++ b/internal/passthrough/batch/read.go
@@ -27,8 +27,8 @@
 	itemCacheSize    = 16
 )
 
-// Call handles a call about a job.
-func (s *Service) Call(to http.ResponseWriter, request *http.Request, call passthrough.JobCall, demand passthrough.Demand) {
+// HandleJobCall handles a call about a job.
+func (s *Service) HandleJobCall(to http.ResponseWriter, request *http.Request, call passthrough.JobCall, demand passthrough.Demand) {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(request.Context(), readTimeout+min(demand.Wait, maxResultWait))
 	defer cancel()
@@ -119,7 +119,7 @@
 	if err != nil {
 		return s.refuseCall(to, true, err)
 	}
-	order := known.record.ItemAt()
+	order := known.record.ItemsByPosition()
 	results := make([]passthrough.ItemResult, 0, len(texts))
 	for i, text := range texts {
 		item := known.record.Items[order[from+i]]
--- a/internal/passthrough/batch/run.go
+++ b/internal/passthrough/batch/run.go
@@ -89,7 +89,7 @@
 	end, status, err := s.sendItem(ctx, r)
 	ended := false
 	if end == runInterrupted && ctx.Err() == nil && engineconn.BrokenByEngine(err) {
-		ended = s.Guard.Broke(ctx, guard.Run{Request: r.item.ID, Content: r.digest, Engine: r.engineKey()})
+		ended = s.Guard.CheckBrokenRun(ctx, guard.Run{Request: r.item.ID, Content: r.digest, Engine: r.engineKey()})
 	}
 	switch {
 	case end == runCompleted || end == runFailed || end == runRejected:
@@ -105,7 +105,7 @@
 	s.mu.Unlock()
 	s.forecast.observeRun(kept-before, time.Since(started))
 	if end == runCompleted {
-		s.Guard.Served(r.item.ID, r.digest)
+		s.Guard.RecordSuccess(r.item.ID, r.digest)
 		s.forecast.observeItem(kept)
 	}
 	events.ItemRunEnded.Log(s.Logger, zap.String("job", r.job.id), zap.String("request", r.item.ID), zap.Int64("epoch", r.job.epoch),
@@ -205,10 +205,10 @@
 	s.Headers.SetForEngine(header, passthrough.EngineRequest{Instance: r.decision.Choice.Entry.ID, LastEvent: lastEvent, Tenant: r.job.tenant})
 	return engineconn.Request{
 		Method: http.MethodPost, Target: r.item.Path, Host: r.job.host, Header: header, Body: r.item.Body,
-		Own: func(answered http.Header) bool {
+		IsOwnResponse: func(answered http.Header) bool {
 			return s.Headers.Answer(http.StatusOK, answered).RequestID == r.item.ID
 		},
-		Surplus: func(answered http.Header) {
+		OnSurplusResponse: func(answered http.Header) {
 			events.SurplusAnswer.Log(s.Logger, zap.String("request", r.item.ID), zap.Stringer("engine", r.decision.Choice.Entry.Incarnation()),
 				zap.String("answered", s.Headers.Answer(http.StatusOK, answered).RequestID))
 		},
@@ -231,11 +231,11 @@
 			})
 		}
 		return runNotStarted, nil
-	case response.StatusCode == http.StatusUnprocessableEntity && headers.Sealed:
+	case response.StatusCode == http.StatusUnprocessableEntity && headers.Signed:
 		return runRejected, nil
-	case response.StatusCode == http.StatusOK && headers.Sealed:
+	case response.StatusCode == http.StatusOK && headers.Signed:
 		return s.readEvents(r, answer)
-	case response.StatusCode >= http.StatusInternalServerError && headers.Sealed:
+	case response.StatusCode >= http.StatusInternalServerError && headers.Signed:
 		return runFailed, nil
 	default:
 		return runInterrupted, errUnexpectedResponse
--- a/internal/passthrough/batch/schedule.go
+++ b/internal/passthrough/batch/schedule.go
@@ -54,10 +54,10 @@
 		case <-s.wake:
 		}
 		timer.Reset(s.loopInterval(scheduleInterval, s.ownsJobs()))
-		s.suspensionWatch.Look()
+		s.suspensionWatch.Check()
 		s.expireOverdue()
 		if s.stale() || !s.settled(time.Now()) {
-			s.Slots.WantBatch(nil)
+			s.Slots.SetBatchRequests(nil)
 			continue
 		}
 		s.requestSlots()
@@ -82,7 +82,7 @@
 // settled reports whether the node has been up long enough to know the other nodes. When all nodes
 // start at once, the first ones know no other node, and each would act as the dispatcher of every
 // lane for itself.
-func (s *Service) settled(now time.Time) bool { return now.Sub(s.started) >= s.config.SettleFor }
+func (s *Service) settled(now time.Time) bool { return now.Sub(s.started) >= s.config.StartupDelay }
 
 // maxSlotRequests bounds the items of this node that wait at the dispatcher at a time. It is more
 // than the dispatcher grants a node between two scheduling passes.
@@ -99,7 +99,7 @@
 	waiting := s.candidates(tenants)
 	storeNow, _ := s.storeClock()
 	now := time.Now()
-	requests := make([]slots.BatchAsk, 0, maxSlotRequests)
+	requests := make([]slots.BatchRequest, 0, maxSlotRequests)
 	for _, next := range waiting {
 		if len(requests) == maxSlotRequests {
 			break
@@ -110,13 +110,13 @@
 		}
 		requests = append(requests, s.slotRequest(next, route, now.Add(next.deadline-storeNow), resolvedRoute{route: route, version: known.Table.Version(), learned: known.Learned}))
 	}
-	s.Slots.WantBatch(requests)
+	s.Slots.SetBatchRequests(requests)
 }
 
 // routeOf returns the route of an item. An item without a route becomes a dead letter, but only if
 // the routes were current at a time at which this node already had the job: the node that accepted
 // the job may have known newer routes.
-func (s *Service) routeOf(known catalog.Known, next candidate) (*passroute.Route, bool) {
+func (s *Service) routeOf(known catalog.RoutesView, next candidate) (*passroute.Route, bool) {
 	route, found := known.Table.Lookup(next.job.host, next.job.items[next.index].Path)
 	if !found && known.AsOf.After(next.job.acquiredAt) {
 		s.finish(next.job, next.index, passjob.DeadLetter, "the route is gone")
@@ -150,12 +150,12 @@
 const heldRecheckInterval = time.Second
 
 // slotRequest builds the slot request of an item. The item keeps its request id while it waits.
-func (s *Service) slotRequest(next candidate, route *passroute.Route, due time.Time, routes resolvedRoute) slots.BatchAsk {
+func (s *Service) slotRequest(next candidate, route *passroute.Route, due time.Time, routes resolvedRoute) slots.BatchRequest {
 	item := next.job.items[next.index]
 	suspect := s.Guard.Suspect(next.job.digestOf(item))
 	query := relay.Query(s.Routes.Pool(route), s.Headers.Demand(item.Header))
-	query.Batch, query.Former = true, next.lastEngine
-	query.BatchPercent = s.config.PerEngine
+	query.Batch, query.PreviousEngine = true, next.lastEngine
+	query.MaxBatchPercent = s.config.MaxEnginePercent
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	work := &next.job.work[next.index]
@@ -163,7 +163,7 @@
 		work.slotRequestID = s.Slots.NewID()
 	}
 	id := work.slotRequestID
-	return slots.BatchAsk{ID: id, Query: query, RoomPercent: s.config.Room, TenantRank: next.rank, Rank: route.Priority, Due: due, Late: next.late, Suspect: suspect, Start: func(decision slots.Decision) bool {
+	return slots.BatchRequest{ID: id, Query: query, RoomPercent: s.config.MaxUsePercent, TenantRank: next.rank, Rank: route.Priority, Due: due, Late: next.late, Suspect: suspect, Start: func(decision slots.Decision) bool {
 		return s.startItem(next, id, decision, routes)
 	}}
 }
--- a/internal/passthrough/batch/schedule_test.go
+++ b/internal/passthrough/batch/schedule_test.go
@@ -26,10 +26,10 @@
 		defer service.mu.Unlock()
 		return job.work[0].finished
 	}
-	if _, found := service.routeOf(catalog.Known{Table: table, AsOf: acquired.Add(-time.Second)}, next); found || finished() != passjob.Open {
+	if _, found := service.routeOf(catalog.RoutesView{Table: table, AsOf: acquired.Add(-time.Second)}, next); found || finished() != passjob.Open {
 		t.Errorf("routes older than the job: found %v, state %v", found, finished())
 	}
-	if _, found := service.routeOf(catalog.Known{Table: table, AsOf: time.Now().Add(time.Second)}, next); found || finished() != passjob.DeadLetter {
+	if _, found := service.routeOf(catalog.RoutesView{Table: table, AsOf: time.Now().Add(time.Second)}, next); found || finished() != passjob.DeadLetter {
 		t.Errorf("routes newer than the job: found %v, state %v", found, finished())
 	}
 }
--- a/internal/passthrough/batch/service.go
+++ b/internal/passthrough/batch/service.go
@@ -107,18 +107,18 @@
 	service.follower.OnStoreClock(service.setStoreClock)
 	service.follower.Copy().Hide(isPulse)
 	if dependencies.StoreTime != nil {
-		service.follower.TimeBy(dependencies.StoreTime)
+		service.follower.SetStoreTime(dependencies.StoreTime)
 	}
 	return service
 }
 
-// WatchBy makes the service correct the ages of what it knows after a suspension. It must be called
+// SetSuspensionWatch makes the service correct the ages of what it knows after a suspension. It must be called
 // before Run. The times for which other nodes were silent are not corrected, since this node did
 // not receive anything during the suspension.
-func (s *Service) WatchBy(watch *suspension.Watch) {
+func (s *Service) SetSuspensionWatch(watch *suspension.Watch) {
 	s.suspensionWatch = watch
-	s.follower.WatchBy(watch)
-	watch.OnWake(func(gap time.Duration) {
+	s.follower.SetSuspensionWatch(watch)
+	watch.OnResume(func(gap time.Duration) {
 		s.mu.Lock()
 		s.storeClockAt = shiftBack(s.storeClockAt, gap)
 		s.heartbeatWrittenAt = shiftBack(s.heartbeatWrittenAt, gap)
@@ -138,9 +138,9 @@
 // Follower returns the follower of the table of jobs, which can be configured further before Run.
 func (s *Service) Follower() *catalog.Follower { return s.follower }
 
-// OnPassedOver registers a function that is called when the feed of jobs has skipped a change. It
+// OnSkippedChange registers a function that is called when the feed of jobs has skipped a change. It
 // must be called before Run.
-func (s *Service) OnPassedOver(hear func()) { s.follower.OnPassedOver(hear) }
+func (s *Service) OnSkippedChange(hear func()) { s.follower.OnSkipped(hear) }
 
 // Health returns how well the table of jobs is followed.
 func (s *Service) Health() catalog.Health { return s.follower.Health() }
@@ -191,7 +191,7 @@
 // stale reports whether the copy of the table of jobs may be too old to act on.
 func (s *Service) stale() bool {
 	health := s.follower.Health()
-	return !health.Listed || time.Since(health.AsOf) > s.config.BlindFor
+	return !health.Listed || time.Since(health.AsOf) > s.config.MaxStaleness
 }
 
 func (s *Service) wakeScheduler() {
--- a/internal/passthrough/batch/view.go
+++ b/internal/passthrough/batch/view.go
@@ -73,7 +73,7 @@
 
 func newView(config Config, logger *zap.Logger) *view {
 	return &view{
-		config: config, logger: events.Bounded(logger), jobs: make(map[string]*jobEntry), deletedVersions: make(map[string]int64),
+		config: config, logger: events.RateLimited(logger), jobs: make(map[string]*jobEntry), deletedVersions: make(map[string]int64),
 		nodes: make(map[string]*nodeView), removedNodes: make(map[string]int64), quotaVersions: make(map[string]int64), crashes: make(map[string]crashRowState),
 		jobWatchers: make(map[string]chan struct{}), wake: make(chan struct{}, 1),
 	}
--- a/internal/passthrough/batch/watchers.go
+++ b/internal/passthrough/batch/watchers.go
@@ -51,7 +51,7 @@
 			return nil
 		case <-ticker.C:
 		}
-		s.suspensionWatch.Look()
+		s.suspensionWatch.Check()
 		s.livenessTick(ctx, time.Now(), count%ticksPerHeartbeat == 0)
 	}
 }
@@ -78,7 +78,7 @@
 		s.nodeLiveness.generation = fleet.generation
 		detector.SetMembers(fleet.members, now)
 	}
-	detector.HearAnything(asOf)
+	detector.RecordContact(asOf)
 	if beat {
 		for _, watcher := range detector.Watchers() {
 			sends = append(sends, outgoingMessage{to: watcher, message: liveness.Message{Kind: liveness.Heartbeat, From: s.Self}})
@@ -113,20 +113,20 @@
 	}
 }
 
-// HearLiveness handles a liveness message from another node.
-func (s *Service) HearLiveness(from string, message liveness.Message) {
+// HandleLiveness handles a liveness message from another node.
+func (s *Service) HandleLiveness(from string, message liveness.Message) {
 	now := time.Now()
 	s.nodeLiveness.mu.Lock()
 	defer s.nodeLiveness.mu.Unlock()
 	watch := s.nodeLiveness.detector
 	switch message.Kind {
 	case liveness.Heartbeat:
-		watch.Hear(message.From, now)
+		watch.RecordHeartbeat(message.From, now)
 	case liveness.Voucher:
 		watch.Vouch(message.Node, message.Ago, now)
 	case liveness.Question:
-		watch.HearAnything(now)
-		if ago, heard := watch.Heard(message.Node, now); heard {
+		watch.RecordContact(now)
+		if ago, heard := watch.HeartbeatAge(message.Node, now); heard {
 			go s.nodeLiveness.transport.SendLiveness(from, liveness.Message{Kind: liveness.Voucher, From: s.Self, Node: message.Node, Ago: ago})
 		}
 	}
--- a/internal/passthrough/calls.go
+++ b/internal/passthrough/calls.go
@@ -10,7 +10,7 @@
 	NoJobCall JobCallKind = iota
 	ReadResults
 	ReadItem
-	EndJob
+	CancelJob
 )
 
 // JobCall is a call about a batch job.
--- a/internal/passthrough/catalog/copy.go
+++ b/internal/passthrough/catalog/copy.go
@@ -174,8 +174,8 @@
 	c.asOf = c.asOf.Add(-gap)
 }
 
-// Told is a copy's answer to a reader.
-type Told struct {
+// CopyAnswer is a copy's answer to a reader.
+type CopyAnswer struct {
 	// Whole means that Rows are all rows of the table. Otherwise Rows are the changed ones, with
 	// Gone set on removed rows.
 	Whole   bool
@@ -190,11 +190,11 @@
 
 // Since returns what has changed after a version, or all rows if the changes are no longer known
 // that far back. listed reports whether the copy has ever had a whole listing.
-func (c *Copy) Since(version int64) (reply Told, listed bool) {
+func (c *Copy) Since(version int64) (reply CopyAnswer, listed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readAt = time.Now()
-	reply = Told{Whole: version < c.historyFrom, Version: c.version, AsOf: c.asOf, StoreAt: c.storeAt, Renewing: c.renewing}
+	reply = CopyAnswer{Whole: version < c.historyFrom, Version: c.version, AsOf: c.asOf, StoreAt: c.storeAt, Renewing: c.renewing}
 	if reply.Whole {
 		reply.Rows = c.allRows()
 	} else {
--- a/internal/passthrough/catalog/copy_test.go
+++ b/internal/passthrough/catalog/copy_test.go
@@ -21,7 +21,7 @@
 	version int64
 }
 
-func (r *reader) apply(answer Told) {
+func (r *reader) apply(answer CopyAnswer) {
 	if answer.Whole {
 		r.rows = make(map[string]int64)
 	}
@@ -146,7 +146,7 @@
 		copied.applyListing([]passthrough.Row{{Key: "a", Version: 3}}, 5)
 		now := time.Now()
 		copied.confirm(now, time.Second)
-		answers := make(chan Told, 1)
+		answers := make(chan CopyAnswer, 1)
 		await := func(version int64) {
 			go func() {
 				copied.Await(t.Context(), version, now)
--- a/internal/passthrough/catalog/engines.go
+++ b/internal/passthrough/catalog/engines.go
@@ -72,12 +72,12 @@
 	}
 }
 
-// JudgeBy sets the function that reports how well the store is followed. It must be called before
+// SetHealth sets the function that reports how well the store is followed. It must be called before
 // Run.
-func (e *Engines) JudgeBy(health func() Health) { e.health = health }
+func (e *Engines) SetHealth(health func() Health) { e.health = health }
 
-// CountBy sets the counter of refused entries. It must be called before Run.
-func (e *Engines) CountBy(refusals *Refusals) { e.refusals = refusals }
+// SetRefusals sets the counter of refused entries. It must be called before Run.
+func (e *Engines) SetRefusals(refusals *Refusals) { e.refusals = refusals }
 
 // Use calls a function with the set while holding its lock.
 func (e *Engines) Use(do func(set *enginechoice.Set, now time.Time)) {
@@ -201,7 +201,7 @@
 	delete(e.listed, id)
 	now := time.Now()
 	health := e.health()
-	sick := !health.LastBad.IsZero() && now.Sub(health.LastBad) < storeFailureWindow
+	sick := !health.LastFailure.IsZero() && now.Sub(health.LastFailure) < storeFailureWindow
 	engine, _ := e.set.Newest(id)
 	e.set.Remove(engine, sick, now)
 	events.EngineGone.Log(e.logger, zap.Stringer("engine", engine), zap.Bool("store_was_sick", sick), zap.Int64("store_version", version))
@@ -228,7 +228,7 @@
 
 func (e *Engines) expire(now time.Time) {
 	health := e.health()
-	if now.Sub(health.LastBad) < relistTimeout || now.Sub(health.AsOf) > relistTimeout {
+	if now.Sub(health.LastFailure) < relistTimeout || now.Sub(health.AsOf) > relistTimeout {
 		return // the list is not reliable yet
 	}
 	e.mu.Lock()
@@ -245,9 +245,9 @@
 	return e.newestVersion
 }
 
-// CopyBy sets the copy of the table whose rows are passed on to peers. It must be called before
+// SetCopy sets the copy of the table whose rows are passed on to peers. It must be called before
 // Run.
-func (e *Engines) CopyBy(copied *Copy) { e.tableCopy = copied }
+func (e *Engines) SetCopy(copied *Copy) { e.tableCopy = copied }
 
 // Since returns the rows with versions above the given one, for a peer. If removals are no longer
 // remembered back to that version, it returns all present rows.
--- a/internal/passthrough/catalog/entries_test.go
+++ b/internal/passthrough/catalog/entries_test.go
@@ -69,8 +69,8 @@
 	l.routes = NewRoutes(textDocuments{}, logger)
 	l.engines = NewEngines("n1", textDocuments{}, l.routes, logger)
 	refusals := NewRefusals(l.metrics, logger)
-	l.routes.CountBy(refusals)
-	l.engines.CountBy(refusals)
+	l.routes.SetRefusals(refusals)
+	l.engines.SetRefusals(refusals)
 	return l
 }
 
@@ -148,7 +148,7 @@
 	l.put("e0", "unreadable")
 	l.expect("unreadable", "chat", "e1")
 	l.engines.Use(func(set *enginechoice.Set, _ time.Time) {
-		if set.Own()[enginechoice.Incarnation{ID: "e0"}].Online != 1 {
+		if set.InFlight()[enginechoice.Incarnation{ID: "e0"}].Online != 1 {
 			t.Error("the request in flight at the engine is no longer counted")
 		}
 	})
@@ -166,7 +166,7 @@
 func TestRemovalOfUnreadableEntryIsPassedOn(t *testing.T) {
 	l := newEngineList(t)
 	copied := NewCopy() // fed as the follower feeds it
-	l.engines.CopyBy(copied)
+	l.engines.SetCopy(copied)
 	copied.applyListing(nil, 0)
 	l.put("e0", "unreadable")
 	copied.applyChanges([]passthrough.Row{{Key: "e0", Version: l.version}})
--- a/internal/passthrough/catalog/evidence.go
+++ b/internal/passthrough/catalog/evidence.go
@@ -94,9 +94,9 @@
 	f.interruptCall()
 }
 
-// OnPassedOver sets a function that is called when the feed has skipped something, so that other
+// OnSkipped sets a function that is called when the feed has skipped something, so that other
 // tables of the same store are listed again as well. It must be called before Run.
-func (f *Follower) OnPassedOver(notify func()) { f.onSkipped = notify }
+func (f *Follower) OnSkipped(notify func()) { f.onSkipped = notify }
 
 // fetchChanges asks for changes after a version, from a relay if there is one. While something is
 // overdue the call is not held: an immediate answer shows whether the feed delivers it.
@@ -196,7 +196,7 @@
 }
 
 func (f *Follower) reportSkipped(id rowID, version, followedTo int64, knownFor time.Duration) {
-	events.FeedPassedOver.Log(f.logger, zap.String("table", f.table), zap.String("row", id.part+"/"+id.key),
+	events.FeedSkippedChange.Log(f.logger, zap.String("table", f.table), zap.String("row", id.part+"/"+id.key),
 		zap.Int64("row_version", version), zap.Int64("followed_to", followedTo), zap.Duration("known_for", knownFor))
 	f.onSkipped()
 }
--- a/internal/passthrough/catalog/evidence_test.go
+++ b/internal/passthrough/catalog/evidence_test.go
@@ -141,7 +141,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table, sink := newStoredTable(), &copySink{versions: make(map[string]int64)}
 		follower := NewFollower(config, table, "table", []string{""}, sink, zap.NewNop())
-		follower.OnPassedOver(func() { table.alarms.Add(1) })
+		follower.OnSkipped(func() { table.alarms.Add(1) })
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
@@ -186,7 +186,7 @@
 				defer heartbeats.Wait()
 				heartbeats.Go(func() { sendHeartbeats(10 * time.Second) })
 				for sink.version("routes") < missed {
-					if time.Since(start) > every+follower.config.MaxFeedLag+2*follower.config.Pace {
+					if time.Since(start) > every+follower.config.MaxFeedLag+2*follower.config.PollInterval {
 						t.Fatalf("phase %d, heartbeat each %v: silent feed not detected within %v", phase, every, time.Since(start))
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -196,8 +196,8 @@
 					t.Errorf("%d listings in 12 s", lists)
 				}
 				synctest.Wait()
-				if alarms := int(table.alarms.Load()); alarms == 0 || follower.Health().PassedOver != alarms {
-					t.Errorf("%d alarms reported, %d counted", alarms, follower.Health().PassedOver)
+				if alarms := int(table.alarms.Load()); alarms == 0 || follower.Health().SkippedCount != alarms {
+					t.Errorf("%d alarms reported, %d counted", alarms, follower.Health().SkippedCount)
 				}
 			})
 		}
@@ -230,7 +230,7 @@
 				shown = time.Now()
 				continue
 			}
-			if asOf.Sub(shown) > follower.config.MaxFeedLag+2*follower.config.Pace {
+			if asOf.Sub(shown) > follower.config.MaxFeedLag+2*follower.config.PollInterval {
 				t.Fatalf("AsOf is %v after a row that the copy lacks; %d listings", asOf.Sub(shown), lists)
 			}
 		}
--- a/internal/passthrough/catalog/follower.go
+++ b/internal/passthrough/catalog/follower.go
@@ -24,20 +24,20 @@
 	MaxFeedLag time.Duration
 	// AuditInterval is how often a page of the table is listed beside the feed. Zero disables
 	// audits.
-	AuditInterval time.Duration
-	Wait          time.Duration // how long the store may hold a feed call
-	Slack         time.Duration // how much longer than Wait an answer may take
-	Pace          time.Duration // minimum time between two feed calls
-	PaceMax       time.Duration // upper bound of that minimum in a large fleet, whatever SlowBy returns
-	RetryMin      time.Duration // pause after a failed call, doubled with each failure up to RetryMax
-	RetryMax      time.Duration
+	AuditInterval   time.Duration
+	Wait            time.Duration // how long the store may hold a feed call
+	Slack           time.Duration // how much longer than Wait an answer may take
+	PollInterval    time.Duration // minimum time between two feed calls
+	MaxPollInterval time.Duration // upper bound of that minimum in a large fleet, whatever the pace factor
+	RetryMin        time.Duration // pause after a failed call, doubled with each failure up to RetryMax
+	RetryMax        time.Duration
 }
 
 // DefaultFollowConfig returns a configuration for a store that answers within some milliseconds.
 func DefaultFollowConfig() FollowConfig {
 	return FollowConfig{
 		MaxFeedLag: 400 * time.Millisecond, AuditInterval: 10 * time.Second,
-		Wait: time.Second, Slack: 900 * time.Millisecond, Pace: 100 * time.Millisecond, PaceMax: 700 * time.Millisecond,
+		Wait: time.Second, Slack: 900 * time.Millisecond, PollInterval: 100 * time.Millisecond, MaxPollInterval: 700 * time.Millisecond,
 		RetryMin: 50 * time.Millisecond, RetryMax: 500 * time.Millisecond,
 	}
 }
@@ -58,7 +58,7 @@
 	parts     func(context.Context) ([]string, error)
 	sink      Sink
 	clock     func(storeAt time.Duration, made time.Time)
-	pace      func() time.Duration // at least config.Pace
+	pace      func() time.Duration // at least config.PollInterval
 	hurry     chan struct{}        // has one token if the next call should be made at once
 	logger    *zap.Logger
 	watch     *suspension.Watch
@@ -85,7 +85,7 @@
 // NewFollower returns a follower of the given parts of a table.
 func NewFollower(config FollowConfig, rows passthrough.Rows, table string, parts []string, sink Sink, logger *zap.Logger) *Follower {
 	fixed := func(context.Context) ([]string, error) { return parts, nil }
-	pace := func() time.Duration { return config.Pace }
+	pace := func() time.Duration { return config.PollInterval }
 	return &Follower{config: config, rows: rows, table: table, parts: fixed, sink: sink, clock: func(time.Duration, time.Time) {}, pace: pace, hurry: make(chan struct{}, 1), logger: logger, progress: newFeedProgress(), storeTime: NewStoreTime(), copy: NewCopy(), onSkipped: func() {}}
 }
 
@@ -93,14 +93,14 @@
 // bound of the local time at which the store's clock showed it. It must be called before Run.
 func (f *Follower) OnStoreClock(notify func(storeAt time.Duration, made time.Time)) { f.clock = notify }
 
-// TimeBy sets the shared estimate of the store's clock. It must be called before Run.
-func (f *Follower) TimeBy(storeTime *StoreTime) { f.storeTime = storeTime }
+// SetStoreTime sets the shared estimate of the store's clock. It must be called before Run.
+func (f *Follower) SetStoreTime(storeTime *StoreTime) { f.storeTime = storeTime }
 
-// WatchBy corrects the follower's health after suspensions of the machine, and keeps an answer
+// SetSuspensionWatch corrects the follower's health after suspensions of the machine, and keeps an answer
 // that arrives across a suspension from counting as fresh. It must be called before Run.
-func (f *Follower) WatchBy(watch *suspension.Watch) {
+func (f *Follower) SetSuspensionWatch(watch *suspension.Watch) {
 	f.watch = watch
-	watch.OnWake(func(gap time.Duration) {
+	watch.OnResume(func(gap time.Duration) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.asOf = f.asOf.Add(-gap)
@@ -111,16 +111,16 @@
 // Copy returns the rows as followed, for other nodes.
 func (f *Follower) Copy() *Copy { return f.copy }
 
-// RelayBy sets the relay, through which the follower asks another node's copy of the table where
+// SetRelay sets the relay, through which the follower asks another node's copy of the table where
 // there is one. It must be called before Run.
-func (f *Follower) RelayBy(relay Relay) { f.relay = relay }
+func (f *Follower) SetRelay(relay Relay) { f.relay = relay }
 
-// SlowBy sets a function that returns by which factor, at least one, calls are to be less frequent
+// SetPaceFactor sets a function that returns by which factor, at least one, calls are to be less frequent
 // than configured. It must be called before Run.
-func (f *Follower) SlowBy(factor func() float64) {
+func (f *Follower) SetPaceFactor(factor func() float64) {
 	f.pace = func() time.Duration {
-		slowed := time.Duration(float64(f.config.Pace) * max(factor(), 1))
-		return max(f.config.Pace, min(slowed, f.config.PaceMax))
+		slowed := time.Duration(float64(f.config.PollInterval) * max(factor(), 1))
+		return max(f.config.PollInterval, min(slowed, f.config.MaxPollInterval))
 	}
 }
 
@@ -129,17 +129,17 @@
 	Listed bool // a whole listing was applied
 	// AsOf is a time at which the feed had nothing left to deliver. It is never later than the
 	// time at which the store made the last answer, whenever that answer arrived.
-	AsOf    time.Time
-	LastBad time.Time // last failure; zero if there was none
-	// PassedOver counts how often the feed lacked what other calls had shown.
-	PassedOver int
+	AsOf        time.Time
+	LastFailure time.Time // last failure; zero if there was none
+	// SkippedCount counts how often the feed lacked what other calls had shown.
+	SkippedCount int
 }
 
 // Health returns the follower's health.
 func (f *Follower) Health() Health {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Health{Listed: f.listed, AsOf: f.asOf, LastBad: f.lastFailure, PassedOver: f.alarm.count}
+	return Health{Listed: f.listed, AsOf: f.asOf, LastFailure: f.lastFailure, SkippedCount: f.alarm.count}
 }
 
 // Run follows the table until ctx ends.
--- a/internal/passthrough/catalog/follower_test.go
+++ b/internal/passthrough/catalog/follower_test.go
@@ -18,9 +18,9 @@
 	for _, test := range []struct {
 		factor float64
 		want   time.Duration
-	}{{0, config.Pace}, {1, config.Pace}, {2, 2 * config.Pace}, {100, config.PaceMax}} {
+	}{{0, config.PollInterval}, {1, config.PollInterval}, {2, 2 * config.PollInterval}, {100, config.MaxPollInterval}} {
 		follower := NewFollower(config, nil, "t", nil, nil, zap.NewNop())
-		follower.SlowBy(func() float64 { return test.factor })
+		follower.SetPaceFactor(func() float64 { return test.factor })
 		if got := follower.pace(); got != test.want {
 			t.Errorf("factor %v: %s, want %s", test.factor, got, test.want)
 		}
@@ -63,7 +63,7 @@
 func TestHurryAsksAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := DefaultFollowConfig()
-		config.Pace = time.Minute
+		config.PollInterval = time.Minute
 		rows := &unchangedRows{}
 		follower := NewFollower(config, rows, "table", []string{""}, noSink{}, zap.NewNop())
 		ctx, stop := context.WithCancel(t.Context())
@@ -107,7 +107,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			rows := &suspendingRows{gap: gap}
 			follower := NewFollower(DefaultFollowConfig(), rows, "t", []string{""}, noSink{}, zap.NewNop())
-			follower.WatchBy(suspension.NewWatch(rows))
+			follower.SetSuspensionWatch(suspension.NewWatch(rows))
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- follower.Run(ctx) }()
--- a/internal/passthrough/catalog/refusals.go
+++ b/internal/passthrough/catalog/refusals.go
@@ -31,7 +31,7 @@
 	if registerer != nil {
 		registerer.MustRegister(counter)
 	}
-	return &Refusals{counter: counter, logger: events.Bounded(logger)}
+	return &Refusals{counter: counter, logger: events.RateLimited(logger)}
 }
 
 // note counts a refusal and logs it as the given event with the given fields.
--- a/internal/passthrough/catalog/relay.go
+++ b/internal/passthrough/catalog/relay.go
@@ -12,7 +12,7 @@
 	// Follow returns what has changed in a table after a version. It returns as soon as there is a
 	// change or the copy is known to be complete as of a later time, or after hold. It returns
 	// false if no relay could be asked; the caller must then ask the store.
-	Follow(ctx context.Context, table string, since int64, hold time.Duration) (Told, bool)
+	Follow(ctx context.Context, table string, since int64, hold time.Duration) (CopyAnswer, bool)
 	// Doubt reports that a relay has skipped changes. The relay is not asked for some time.
 	Doubt(table string)
 }
--- a/internal/passthrough/catalog/relay_test.go
+++ b/internal/passthrough/catalog/relay_test.go
@@ -17,15 +17,15 @@
 }
 
 // Follow implements Relay.
-func (r *tableRelay) Follow(ctx context.Context, _ string, since int64, hold time.Duration) (Told, bool) {
+func (r *tableRelay) Follow(ctx context.Context, _ string, since int64, hold time.Duration) (CopyAnswer, bool) {
 	if r.unavailable.Load() {
-		return Told{}, false
+		return CopyAnswer{}, false
 	}
 	snapshot, err := r.table.Feed(ctx, "", since, hold)
 	if err != nil {
-		return Told{}, false
+		return CopyAnswer{}, false
 	}
-	return Told{Rows: snapshot.Rows, Version: snapshot.Version, AsOf: time.Now(), StoreAt: snapshot.StoreAt}, true
+	return CopyAnswer{Rows: snapshot.Rows, Version: snapshot.Version, AsOf: time.Now(), StoreAt: snapshot.StoreAt}, true
 }
 
 // Doubt implements Relay.
@@ -42,7 +42,7 @@
 		table, sink := newStoredTable(), &copySink{versions: make(map[string]int64)}
 		follower := NewFollower(DefaultFollowConfig(), table, "table", []string{""}, sink, zap.NewNop())
 		relay := &tableRelay{table: table}
-		follower.RelayBy(relay)
+		follower.SetRelay(relay)
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
--- a/internal/passthrough/catalog/routes.go
+++ b/internal/passthrough/catalog/routes.go
@@ -36,17 +36,17 @@
 	return &Routes{documents: documents, logger: logger, refusals: NewRefusals(nil, logger), splitter: passroute.NewSplitter(rand.Float64), health: func() Health { return Health{} }}
 }
 
-// CountBy sets the counter of refused documents. It must be called before Run.
-func (r *Routes) CountBy(refusals *Refusals) { r.refusals = refusals }
+// SetRefusals sets the counter of refused documents. It must be called before Run.
+func (r *Routes) SetRefusals(refusals *Refusals) { r.refusals = refusals }
 
-// JudgeBy sets the function that reports how well the store is followed. It must be called before
+// SetHealth sets the function that reports how well the store is followed. It must be called before
 // Run.
-func (r *Routes) JudgeBy(health func() Health) { r.health = health }
+func (r *Routes) SetHealth(health func() Health) { r.health = health }
 
-// WatchBy corrects the time of the last peer confirmation after suspensions of the machine. It
+// SetSuspensionWatch corrects the time of the last peer confirmation after suspensions of the machine. It
 // must be called before Run.
-func (r *Routes) WatchBy(watch *suspension.Watch) {
-	watch.OnWake(func(gap time.Duration) {
+func (r *Routes) SetSuspensionWatch(watch *suspension.Watch) {
+	watch.OnResume(func(gap time.Duration) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if !r.confirmed.IsZero() {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Known is what a node knows of the routes at one moment.
-type Known struct {
+// RoutesView is what a node knows of the routes at one moment.
+type RoutesView struct {
 	Table    *passroute.Table // nil before the first routes
 	Document []byte           // the document that Table was read from
 	Learned  time.Time        // when Table came into force
@@ -77,14 +77,14 @@
 // Known returns the routes in force and the time as of which they are known to be the newest. It
 // reads the follower's health before the routes, so the routes may be newer than AsOf says but
 // never older.
-func (r *Routes) Known() Known {
+func (r *Routes) Known() RoutesView {
 	asOf := r.health().AsOf
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if r.confirmed.After(asOf) {
 		asOf = r.confirmed
 	}
-	return Known{Table: r.table, Document: r.document, Learned: r.learned, AsOf: asOf}
+	return RoutesView{Table: r.table, Document: r.document, Learned: r.learned, AsOf: asOf}
 }
 
 // Age returns the time since the routes in force were last known to be the newest.
@@ -142,7 +142,7 @@
 	r.table, r.document, r.learned, r.confirmed = table, document, time.Now(), time.Time{}
 	r.splitter.Retain(table)
 	r.mu.Unlock()
-	events.RoutesTaken.Log(r.logger, zap.Int64("version", table.Version()), zap.Int64("replaces", old), zap.String("source", source), zap.Int("tenants", table.Tenants().Directory.Len()))
+	events.RoutesApplied.Log(r.logger, zap.Int64("version", table.Version()), zap.Int64("replaces", old), zap.String("source", source), zap.Int("tenants", table.Tenants().Directory.Len()))
 	for _, problem := range table.Tenants().Problems {
 		events.TenantProblem.Log(r.logger, zap.Int64("version", table.Version()), zap.String("tenant", problem.Tenant), zap.Error(problem))
 	}
--- a/internal/passthrough/catalog/routes_test.go
+++ b/internal/passthrough/catalog/routes_test.go
@@ -29,7 +29,7 @@
 	routes := NewRoutes(versionDocuments{}, zap.NewNop())
 	routes.Take([]byte("1"), "test")
 	lastAnswer := time.Now()
-	routes.JudgeBy(func() Health {
+	routes.SetHealth(func() Health {
 		routes.Take([]byte("2"), "test")
 		return Health{AsOf: lastAnswer}
 	})
@@ -42,7 +42,7 @@
 func TestPeerConfirmationHoldsForItsVersion(t *testing.T) {
 	routes := NewRoutes(versionDocuments{}, zap.NewNop())
 	lastAnswer := time.Now()
-	routes.JudgeBy(func() Health { return Health{AsOf: lastAnswer} })
+	routes.SetHealth(func() Health { return Health{AsOf: lastAnswer} })
 	routes.Take([]byte("1"), "test")
 	routes.Confirm(1, lastAnswer.Add(-time.Second))
 	routes.Confirm(2, lastAnswer.Add(time.Second))
--- a/internal/passthrough/catalog/storetime.go
+++ b/internal/passthrough/catalog/storetime.go
@@ -19,12 +19,12 @@
 // NewStoreTime returns a StoreTime without any observation.
 func NewStoreTime() *StoreTime { return &StoreTime{} }
 
-// WatchBy corrects the estimate after suspensions of the machine. It must be called before Run.
-func (t *StoreTime) WatchBy(watch *suspension.Watch) {
-	watch.OnWake(func(gap time.Duration) {
+// SetSuspensionWatch corrects the estimate after suspensions of the machine. It must be called before Run.
+func (t *StoreTime) SetSuspensionWatch(watch *suspension.Watch) {
+	watch.OnResume(func(gap time.Duration) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.clock.Suspended(gap)
+		t.clock.AdjustForSuspension(gap)
 	})
 }
 
@@ -34,5 +34,5 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.clock.Observe(sent, storeAt)
-	return t.clock.MadeAt(sent, time.Now(), storeAt)
+	return t.clock.EarliestAnswerTime(sent, time.Now(), storeAt)
 }
--- a/internal/passthrough/edge/edge.go
+++ b/internal/passthrough/edge/edge.go
@@ -99,40 +99,40 @@
 	node.routes = catalog.NewRoutes(platform.Documents, node.logger)
 	node.engines = catalog.NewEngines(identity.Name, platform.Documents, node.routes, node.logger)
 	refusals := catalog.NewRefusals(node.registry, node.logger)
-	node.routes.CountBy(refusals)
-	node.engines.CountBy(refusals)
+	node.routes.SetRefusals(refusals)
+	node.engines.SetRefusals(refusals)
 	node.routesFollower = catalog.NewFollower(follow, node.store, places.RoutesTable, wholeTable, node.routes, node.logger)
 	engineFollow := follow
-	engineFollow.Pace = engineFeedInterval
+	engineFollow.PollInterval = engineFeedInterval
 	node.engineFollower = catalog.NewFollower(engineFollow, node.store, places.EnginesTable, wholeTable, node.engines, node.logger)
 	node.storeTime = catalog.NewStoreTime()
-	node.routesFollower.TimeBy(node.storeTime)
-	node.engineFollower.TimeBy(node.storeTime)
-	node.engines.JudgeBy(node.engineFollower.Health)
-	node.engines.CopyBy(node.engineFollower.Copy())
-	node.routes.JudgeBy(node.routesFollower.Health)
-	follow.Pace = jobFeedInterval
+	node.routesFollower.SetStoreTime(node.storeTime)
+	node.engineFollower.SetStoreTime(node.storeTime)
+	node.engines.SetHealth(node.engineFollower.Health)
+	node.engines.SetCopy(node.engineFollower.Copy())
+	node.routes.SetHealth(node.routesFollower.Health)
+	follow.PollInterval = jobFeedInterval
 	node.pool = engineconn.New(engineconn.DefaultConfig())
 	node.guard = guard.New(quarantine.DefaultConfig(), guard.Dependencies{
 		Engines: node.engines, Pool: node.pool, Logger: node.logger, Metrics: guard.NewMetrics(node.registry), Self: node.incarnation, Peers: node.peerAddresses, Seeds: node.seeds,
 	})
 	node.slots = slots.New(config.Limits, slots.Dependencies{
 		Engines: node.engines, Logger: node.logger, Metrics: slots.NewMetrics(node.registry),
-		Self: node.peerName(), Name: identity.Name, Life: node.incarnation, Zone: identity.Zone,
+		Self: node.peerName(), Name: identity.Name, Incarnation: node.incarnation, Zone: identity.Zone,
 		Candidates: node.candidates, LiveNodes: node.LiveNodes, Seeds: node.seeds, Ready: node.hasRoutesAndEngines, MembersKnown: node.hasNodeList, Connected: node.pool.Connected,
-		Stop: func(ask uint64) { node.batch.Stop(ask) },
+		Stop: func(ask uint64) { node.batch.Preempt(ask) },
 	})
-	node.routes.OnChange(node.slots.TakeTable)
+	node.routes.OnChange(node.slots.SetRoutes)
 	node.batch = batch.New(config.Batch, batch.Dependencies{
 		Store: node.store, Objects: node.store, Headers: platform.Headers, Format: platform.Format,
 		Routes: node.routes, Engines: node.engines, Slots: node.slots, Pool: node.pool, Guard: node.guard, Logger: node.logger,
 		Self: node.incarnation, Name: identity.Name, Zone: identity.Zone, Peer: config.PeerAddress, Capacity: config.Capacity, Ready: node.hasRoutesAndEngines, Follow: follow, StoreTime: node.storeTime, Registerer: node.registry,
 		Reader: node.readerSlot,
 	})
-	node.guard.KeepBy(node.batch)
+	node.guard.UseKeeper(node.batch)
 	node.relistAllTables()
 	for _, follower := range node.followers() {
-		follower.SlowBy(node.storeSlowdown)
+		follower.SetPaceFactor(node.storeSlowdown)
 	}
 	forward := relay.New(platform.Headers, node.engines, node.slots, node.pool, node.guard, node.logger, relay.NewMetrics(node.registry))
 	node.guard.OnBlocked(forward.StopContent)
@@ -171,12 +171,12 @@
 	config := replicas.DefaultConfig()
 	config.Slots = n.config.Readers
 	n.replicas = replicas.New(config, replicas.Dependencies{
-		Rows: n.store, Peers: n.share, Logger: n.logger, Name: n.identity.Name, Life: n.incarnation, Zone: n.identity.Zone,
+		Rows: n.store, Peers: n.share, Logger: n.logger, Name: n.identity.Name, Incarnation: n.incarnation, Zone: n.identity.Zone,
 		Address: n.config.PeerAddress, Capacity: n.config.Capacity, StoreTime: n.storeTime, Leaving: n.leaving.Load,
 	})
 	for table, follower := range n.followers() {
 		n.replicas.Offer(table, follower.Copy())
-		follower.RelayBy(n.replicas.Relay())
+		follower.SetRelay(n.replicas.Relay())
 	}
 	n.share.UseTables(n.replicas.Tables())
 }
@@ -196,13 +196,13 @@
 	if n.replicas != nil && !n.replicas.Alone() {
 		return 1
 	}
-	return n.batch.Crowding()
+	return n.batch.FleetSizeFactor()
 }
 
 // relistAllTables relists all tables once the feed of the jobs table has missed a change. Only that
 // table is written by this node, so only its feed shows that the store's feeds deliver nothing.
 func (n *Node) relistAllTables() {
-	n.batch.OnPassedOver(func() {
+	n.batch.OnSkippedChange(func() {
 		n.routesFollower.Relist()
 		n.engineFollower.Relist()
 	})
@@ -405,16 +405,16 @@
 // watchSuspensions registers the components that correct their state after a suspension of the
 // machine, before they act on it.
 func (n *Node) watchSuspensions(forward *relay.Relay) {
-	n.watch.OnWake(func(gap time.Duration) { events.Suspended.Log(n.logger, zap.Duration("gap", gap)) })
-	n.storeTime.WatchBy(n.watch)
-	n.routesFollower.WatchBy(n.watch)
-	n.engineFollower.WatchBy(n.watch)
-	n.routes.WatchBy(n.watch)
-	n.slots.WatchBy(n.watch)
-	n.batch.WatchBy(n.watch)
-	n.watch.OnWake(n.pool.Suspended)
+	n.watch.OnResume(func(gap time.Duration) { events.Suspended.Log(n.logger, zap.Duration("gap", gap)) })
+	n.storeTime.SetSuspensionWatch(n.watch)
+	n.routesFollower.SetSuspensionWatch(n.watch)
+	n.engineFollower.SetSuspensionWatch(n.watch)
+	n.routes.SetSuspensionWatch(n.watch)
+	n.slots.SetSuspensionWatch(n.watch)
+	n.batch.SetSuspensionWatch(n.watch)
+	n.watch.OnResume(n.pool.Suspended)
 	if n.replicas != nil {
-		n.replicas.WatchBy(n.watch)
+		n.replicas.SetSuspensionWatch(n.watch)
 	}
 	forward.SetSuspensionWatch(n.watch)
 }
--- a/internal/passthrough/edge/inspect.go
+++ b/internal/passthrough/edge/inspect.go
@@ -28,7 +28,7 @@
 // engines was not reliable.
 func (n *Node) DoubtfulEngines(pool string) int {
 	count := 0
-	n.engines.Use(func(set *enginechoice.Set, _ time.Time) { count = set.Doubtful(pool) })
+	n.engines.Use(func(set *enginechoice.Set, _ time.Time) { count = set.UnlistedCount(pool) })
 	return count
 }
 
@@ -47,8 +47,8 @@
 	return number
 }
 
-// StoreMissed reports whether a call to the store for the table of engines has failed so far.
-func (n *Node) StoreMissed() bool { return !n.engineFollower.Health().LastBad.IsZero() }
+// StoreCallFailed reports whether a call to the store for the table of engines has failed so far.
+func (n *Node) StoreCallFailed() bool { return !n.engineFollower.Health().LastFailure.IsZero() }
 
 // EventsKept returns the number of events that this node holds for a job's open items.
 func (n *Node) EventsKept(job string) int { return n.batch.EventsKept(job) }
@@ -56,8 +56,8 @@
 // LiveNodes returns the number of nodes that this node considers alive, including itself.
 func (n *Node) LiveNodes() int { return n.batch.LiveNodes() }
 
-// OwnWayLost reports whether this node considers its direct connection to the store lost.
-func (n *Node) OwnWayLost() bool { return n.store.Lost() }
+// StoreConnectionLost reports whether this node considers its direct connection to the store lost.
+func (n *Node) StoreConnectionLost() bool { return n.store.Lost() }
 
 // RoutesVersion returns the version of the current routes, or 0 if there are none.
 func (n *Node) RoutesVersion() int64 {
@@ -81,14 +81,14 @@
 // OwnedJobs returns the number of jobs that this node runs.
 func (n *Node) OwnedJobs() int { return n.batch.OwnedJobs() }
 
-// UnderWay returns the number of requests at engines in the lanes that this node dispatches.
-func (n *Node) UnderWay() int {
-	return n.sumLanes(func(load slots.Load) int { return load.UnderWay })
+// DispatchedRequests returns the number of requests at engines in the lanes that this node dispatches.
+func (n *Node) DispatchedRequests() int {
+	return n.sumLanes(func(load slots.Load) int { return load.InFlight })
 }
 
-// Attached returns the number of nodes that are attached to this one as the dispatcher that enforces
+// AttachedNodes returns the number of nodes that are attached to this one as the dispatcher that enforces
 // the limits of tenants.
-func (n *Node) Attached() int {
+func (n *Node) AttachedNodes() int {
 	return n.sumLanes(func(load slots.Load) int { return load.Attached })
 }
 
--- a/internal/passthrough/edge/metrics.go
+++ b/internal/passthrough/edge/metrics.go
@@ -23,10 +23,10 @@
 		n.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "ringstream_pass_feed_passed_over_total", Help: "Times that a table was listed anew since its feed lacked what other calls had shown.",
 			ConstLabels: prometheus.Labels{"table": table},
-		}, func() float64 { return float64(health().PassedOver) }))
+		}, func() float64 { return float64(health().SkippedCount) }))
 	}
 	for state, count := range map[string]func(slots.Load) int{
-		"under_way": func(load slots.Load) int { return load.UnderWay }, "waiting": func(load slots.Load) int { return load.Queued },
+		"under_way": func(load slots.Load) int { return load.InFlight }, "waiting": func(load slots.Load) int { return load.Queued },
 		"attached_nodes": func(load slots.Load) int { return load.Attached },
 	} {
 		n.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/internal/passthrough/edge/sharer.go
+++ b/internal/passthrough/edge/sharer.go
@@ -77,8 +77,8 @@
 // Suspensions implements sharing.Local.
 func (s *sharer) Suspensions() uint64 { return s.node.watch.Count() }
 
-// Blind implements sharing.Local.
-func (s *sharer) Blind() bool {
+// StoreUnreachable implements sharing.Local.
+func (s *sharer) StoreUnreachable() bool {
 	now := time.Now()
 	return now.Sub(s.node.routesFollower.Health().AsOf) > storeSilenceTimeout || now.Sub(s.node.engineFollower.Health().AsOf) > storeSilenceTimeout
 }
@@ -110,15 +110,15 @@
 	return documents
 }
 
-// Learn implements sharing.Local.
-func (s *sharer) Learn(documents sharing.Documents, from string, asked time.Time) {
+// ApplyDocuments implements sharing.Local.
+func (s *sharer) ApplyDocuments(documents sharing.Documents, from string, asked time.Time) {
 	if !documents.Stale {
 		defer s.node.routes.Confirm(documents.RoutesVersion, asked.Add(-documents.Age))
 	}
 	if documents.Routes == nil && len(documents.Rows) == 0 {
 		return
 	}
-	events.PeerTold.Log(s.node.logger, zap.String("peer", from), zap.Int64("routes_version", documents.RoutesVersion), zap.Int("rows", len(documents.Rows)), zap.Duration("age", documents.Age))
+	events.PeerDocumentsApplied.Log(s.node.logger, zap.String("peer", from), zap.Int64("routes_version", documents.RoutesVersion), zap.Int("rows", len(documents.Rows)), zap.Duration("age", documents.Age))
 	if documents.Routes != nil {
 		s.node.routes.Take(documents.Routes, "peer "+from)
 	}
