--- a/internal/passthrough/edge/sharer_test.go
+++ b/internal/passthrough/edge/sharer_test.go
@@ -77,11 +77,11 @@
 	asker, clock := newSharer(t)
 	clock.Suspend(time.Minute)
 	asked := time.Now().Add(-300 * time.Millisecond)
-	asker.Learn(sharing.Documents{RoutesVersion: 1, Age: time.Second, Stale: true}, "peer", asked)
+	asker.ApplyDocuments(sharing.Documents{RoutesVersion: 1, Age: time.Second, Stale: true}, "peer", asked)
 	if age := asker.ageOfRoutes(); age < time.Minute {
 		t.Errorf("routes are %v old after an answer across a suspension, want at least 1 minute", age)
 	}
-	asker.Learn(sharing.Documents{RoutesVersion: 1, Age: time.Second}, "peer", asked)
+	asker.ApplyDocuments(sharing.Documents{RoutesVersion: 1, Age: time.Second}, "peer", asked)
 	if age := asker.ageOfRoutes(); age < 1300*time.Millisecond || age > 30*time.Second {
 		t.Errorf("routes are %v old, want 1.3 s to 30 s", age)
 	}
@@ -89,6 +89,6 @@
 
 // ageOfRoutes checks the clocks for suspensions first, as the ingress server does for each request.
 func (s *sharer) ageOfRoutes() time.Duration {
-	s.node.watch.Look()
+	s.node.watch.Check()
 	return s.node.RoutesAge()
 }
--- a/internal/passthrough/engineconn/conn.go
+++ b/internal/passthrough/engineconn/conn.go
@@ -56,10 +56,10 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own reports whether a response with this header belongs to the request.
-	Own func(http.Header) bool
-	// Surplus is called with the header of each skipped response to another request.
-	Surplus func(http.Header)
+	// IsOwnResponse reports whether a response with this header belongs to the request.
+	IsOwnResponse func(http.Header) bool
+	// OnSurplusResponse is called with the header of each skipped response to another request.
+	OnSurplusResponse func(http.Header)
 }
 
 // conn is one connection to an engine.
@@ -229,10 +229,10 @@
 		if response.StatusCode < http.StatusOK {
 			continue // interim responses have no body
 		}
-		if request.Own(response.Header) {
+		if request.IsOwnResponse(response.Header) {
 			return response, nil
 		}
-		request.Surplus(response.Header)
+		request.OnSurplusResponse(response.Header)
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, err
 		}
--- a/internal/passthrough/engineconn/conn_test.go
+++ b/internal/passthrough/engineconn/conn_test.go
@@ -16,7 +16,7 @@
 
 // TestWriterThatIsSlowToReportLosesNoConnection guards against a connection that is closed because
 // the response ends before the writer has reported that the request is written. On a busy machine
-// such connections were closed and opened again (seen in TestMetricsTellWhatTheNodeGoesBy).
+// such connections were closed and opened again (seen in TestNodeExposesItsMetrics).
 func TestWriterThatIsSlowToReportLosesNoConnection(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -54,7 +54,7 @@
 	pool := New(DefaultConfig())
 	key := Key{Engine: enginechoice.Incarnation{ID: "e"}, Address: strings.TrimPrefix(server.URL, "http://")}
 	use := func() bool {
-		exchange, err := pool.Do(context.Background(), key, Request{Method: http.MethodGet, Target: "/", Header: make(http.Header), Own: func(http.Header) bool { return true }})
+		exchange, err := pool.Do(context.Background(), key, Request{Method: http.MethodGet, Target: "/", Header: make(http.Header), IsOwnResponse: func(http.Header) bool { return true }})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/passthrough/engineconn/pool.go
+++ b/internal/passthrough/engineconn/pool.go
@@ -68,10 +68,10 @@
 	return connection.send(ctx, request)
 }
 
-// Ended reports whether an engine's process has ended, which is so when its address refuses a new
+// ProcessEnded reports whether an engine's process has ended, which is so when its address refuses a new
 // connection. It is called after an exchange with the engine broke. A connection that it opens is
 // kept in the pool.
-func (p *Pool) Ended(ctx context.Context, key Key) bool {
+func (p *Pool) ProcessEnded(ctx context.Context, key Key) bool {
 	ctx, cancel := context.WithTimeout(ctx, p.config.ProbeTimeout)
 	defer cancel()
 	connection, err := p.dial(ctx, key)
--- a/internal/passthrough/engineconn/restart_test.go
+++ b/internal/passthrough/engineconn/restart_test.go
@@ -22,7 +22,7 @@
 	former := Key{Engine: enginechoice.Incarnation{ID: "e", Born: 1000}, Address: address}
 	next := Key{Engine: enginechoice.Incarnation{ID: "e", Born: 2000}, Address: address}
 	use := func(key Key) bool {
-		exchange, err := pool.Do(context.Background(), key, Request{Method: http.MethodGet, Target: "/", Header: make(http.Header), Own: func(http.Header) bool { return true }})
+		exchange, err := pool.Do(context.Background(), key, Request{Method: http.MethodGet, Target: "/", Header: make(http.Header), IsOwnResponse: func(http.Header) bool { return true }})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/passthrough/guard/guard.go
+++ b/internal/passthrough/guard/guard.go
@@ -87,8 +87,8 @@
 // Run.
 func (s *Service) UseTransport(transport Transport) { s.transport = transport }
 
-// KeepBy sets the keeper that stores crashes. It must be called before Run.
-func (s *Service) KeepBy(keeper Keeper) { s.keeper = keeper }
+// UseKeeper sets the keeper that stores crashes. It must be called before Run.
+func (s *Service) UseKeeper(keeper Keeper) { s.keeper = keeper }
 
 // Verdict returns the verdict on a content. While no crash and no operator's block is known it
 // costs one atomic load.
@@ -118,11 +118,11 @@
 	Engine  engineconn.Key
 }
 
-// Broke checks whether the engine of a broken run has ended, and if so records the end as a crash
+// CheckBrokenRun checks whether the engine of a broken run has ended, and if so records the end as a crash
 // of the run's content. An engine that still listens may have restarted; its next entry shows
 // this (see Restarted).
-func (s *Service) Broke(ctx context.Context, run Run) (ended bool) {
-	if s.Pool.Ended(ctx, run.Engine) {
+func (s *Service) CheckBrokenRun(ctx context.Context, run Run) (ended bool) {
+	if s.Pool.ProcessEnded(ctx, run.Engine) {
 		s.recordEngineEnd(run)
 		return true
 	}
@@ -162,8 +162,8 @@
 	s.reportBlocked(newlyBlocked, run.Content, verdict, "own run")
 }
 
-// Served records that a run of a content completed.
-func (s *Service) Served(request string, content quarantine.Digest) {
+// RecordSuccess records that a run of a content completed.
+func (s *Service) RecordSuccess(request string, content quarantine.Digest) {
 	if !s.hasRecords.Load() {
 		return
 	}
@@ -182,21 +182,21 @@
 	}
 }
 
-// Hear records crashes that another node reports.
-func (s *Service) Hear(from string, crashes []quarantine.Crash) {
+// AddPeerCrashes records crashes that another node reports.
+func (s *Service) AddPeerCrashes(from string, crashes []quarantine.Crash) {
 	s.applyCrashes(crashes, "peer "+from)
 }
 
-// Gravest returns the crashes that a node must know after its start.
-func (s *Service) Gravest() []quarantine.Crash {
+// StartupReports returns the crashes that a node must know after its start.
+func (s *Service) StartupReports() []quarantine.Crash {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Gravest(maxGravestCrashes, gravestMaxAge, now)
+	return s.ledger.MostFrequentCrashes(maxGravestCrashes, gravestMaxAge, now)
 }
 
-// Learn records crashes that were read from the store.
-func (s *Service) Learn(crashes []quarantine.Crash) { s.applyCrashes(crashes, "store") }
+// AddStoredCrashes records crashes that were read from the store.
+func (s *Service) AddStoredCrashes(crashes []quarantine.Crash) { s.applyCrashes(crashes, "store") }
 
 func (s *Service) applyCrashes(crashes []quarantine.Crash, source string) {
 	now := time.Now()
@@ -220,15 +220,15 @@
 	s.mu.Unlock()
 	if len(changed) > 0 {
 		notify(s.persistSignal)
-		events.CrashesTold.Log(s.Logger, zap.String("source", source), zap.Int("crashes", len(crashes)), zap.Int("contents", len(changed)))
+		events.CrashesLearned.Log(s.Logger, zap.String("source", source), zap.Int("crashes", len(crashes)), zap.Int("contents", len(changed)))
 	}
 	for content, verdict := range newlyBlocked {
 		s.reportBlocked(true, content, verdict, source)
 	}
 }
 
-// LearnOrders applies operators' orders that were read from the store.
-func (s *Service) LearnOrders(orders []quarantine.Order) {
+// ApplyOrders applies operators' orders that were read from the store.
+func (s *Service) ApplyOrders(orders []quarantine.Order) {
 	now := time.Now()
 	newlyBlocked := make(map[quarantine.Digest]quarantine.Verdict)
 	s.mu.Lock()
@@ -256,7 +256,7 @@
 
 // recordCrash adds a crash to the ledger and reports whether it was new. The caller holds mu.
 func (s *Service) recordCrash(crash quarantine.Crash, now time.Time) bool {
-	isNew := s.ledger.Note(crash, now)
+	isNew := s.ledger.RecordCrash(crash, now)
 	s.updateHasRecords()
 	return isNew
 }
--- a/internal/passthrough/guard/guard_test.go
+++ b/internal/passthrough/guard/guard_test.go
@@ -56,7 +56,7 @@
 		transport := &network{started: time.Now(), firstSent: make(map[quarantine.Crash]time.Duration), sendCounts: make(map[quarantine.Crash]int)}
 		s := New(quarantine.DefaultConfig(), Dependencies{Logger: zap.NewNop(), Peers: func() []string { return []string{"peer"} }})
 		s.UseTransport(transport)
-		s.KeepBy(slowStore{})
+		s.UseKeeper(slowStore{})
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx) }()
--- a/internal/passthrough/guard/spread.go
+++ b/internal/passthrough/guard/spread.go
@@ -177,7 +177,7 @@
 		return
 	}
 	s.mu.Lock()
-	crashes := s.ledger.Gravest(maxGravestCrashes, gravestMaxAge, now)
+	crashes := s.ledger.MostFrequentCrashes(maxGravestCrashes, gravestMaxAge, now)
 	s.mu.Unlock()
 	peers := s.Peers()
 	if len(crashes) > 0 && len(peers) > 0 {
--- a/internal/passthrough/ingress/ingress.go
+++ b/internal/passthrough/ingress/ingress.go
@@ -96,7 +96,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(to http.ResponseWriter, request *http.Request) {
-	s.Watch.Look() // brings Total up to date
+	s.Watch.Check() // brings Total up to date
 	received, suspended := time.Now(), s.Watch.Total()
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -136,8 +136,8 @@
 
 // snapshot returns the current routes and their freshness. It is called after the request's body is
 // read, because that may take long.
-func (s *Server) snapshot() catalog.Known {
-	s.Watch.Look() // a suspension makes the routes older than they seem
+func (s *Server) snapshot() catalog.RoutesView {
+	s.Watch.Check() // a suspension makes the routes older than they seem
 	return s.Routes.Known()
 }
 
@@ -149,7 +149,7 @@
 // refuseNoRoute answers a request that matches no known route. A client does not retry after 404,
 // but tries another node after 503. The answer is therefore 503 while the configuration may be
 // stale.
-func (s *Server) refuseNoRoute(to http.ResponseWriter, request *http.Request, snapshot catalog.Known, demand passthrough.Demand) {
+func (s *Server) refuseNoRoute(to http.ResponseWriter, request *http.Request, snapshot catalog.RoutesView, demand passthrough.Demand) {
 	age := time.Since(snapshot.AsOf)
 	events.NoRoute.Log(s.Logger, zap.String("request", demand.RequestID), zap.String("host", request.Host), zap.String("path", request.URL.Path),
 		zap.Int64("routes_version", snapshot.Table.Version()), zap.Duration("routes_age", time.Since(snapshot.Learned)), zap.Duration("confirmed_age", age))
@@ -172,14 +172,14 @@
 	if holder != nil {
 		job.Tenant = holder.Name
 	}
-	s.Batch.Call(to, request, job, demand)
+	s.Batch.HandleJobCall(to, request, job, demand)
 }
 
 func (s *Server) serve(to http.ResponseWriter, call *relay.Call) {
-	events.RequestTaken.Log(s.Logger, zap.String("request", call.Demand.RequestID), zap.String("route", call.Route.Name), zap.String("tenant", call.TenantName()),
+	events.RequestAccepted.Log(s.Logger, zap.String("request", call.Demand.RequestID), zap.String("route", call.Route.Name), zap.String("tenant", call.TenantName()),
 		zap.Int64("routes_version", call.Version), zap.Duration("left", call.Demand.TimeLeft))
 	if call.Route.Kind == passroute.KindBatch && call.Request.Method == http.MethodPost {
-		s.Batch.HandIn(to, call)
+		s.Batch.Submit(to, call)
 		return
 	}
 	call.Pool = s.Routes.Pool(call.Route)
--- a/internal/passthrough/ingress/keys.go
+++ b/internal/passthrough/ingress/keys.go
@@ -76,7 +76,7 @@
 
 // authenticate returns the tenant of a request and whether the request is allowed. It answers a
 // request that is not allowed.
-func (s *Server) authenticate(to http.ResponseWriter, snapshot catalog.Known, open bool, demand passthrough.Demand) (*tenant.Tenant, bool) {
+func (s *Server) authenticate(to http.ResponseWriter, snapshot catalog.RoutesView, open bool, demand passthrough.Demand) (*tenant.Tenant, bool) {
 	age := time.Since(snapshot.AsOf)
 	holder, verdict := judgeKey(s.config.Keys, snapshot.Table, open, demand.Key, age)
 	s.metrics.keys.WithLabelValues(verdict.String()).Inc()
--- a/internal/passthrough/passthrough.go
+++ b/internal/passthrough/passthrough.go
@@ -41,7 +41,7 @@
 type EngineAnswer struct {
 	RequestID string
 	Instance  string // the engine's own id, if the answer has it
-	Sealed    bool   // the answer carries the engine's signature
+	Signed    bool   // the answer carries the engine's signature
 	NotRun    bool   // the engine states that it did not run the request
 	Load      EngineLoad
 	LoadKnown bool
--- a/internal/passthrough/peerstore/peerstore.go
+++ b/internal/passthrough/peerstore/peerstore.go
@@ -110,7 +110,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case !failed && !s.lostAt.IsZero():
-		events.OwnWayRegained.Log(s.logger, zap.Duration("after", time.Since(s.lostAt)), zap.String("helper", s.lastHelper))
+		events.StoreConnectionRegained.Log(s.logger, zap.Duration("after", time.Since(s.lostAt)), zap.String("helper", s.lastHelper))
 		s.failures, s.lostAt = 0, time.Time{}
 	case !failed:
 		s.failures = 0
@@ -121,7 +121,7 @@
 		s.failures++
 		if s.failures >= s.config.MinFailures && time.Since(s.firstFailure) >= s.config.MinFailurePeriod && s.lostAt.IsZero() {
 			s.lostAt = time.Now()
-			events.OwnWayLost.Log(s.logger, zap.Int("failures", s.failures), zap.Error(err))
+			events.StoreConnectionLost.Log(s.logger, zap.Int("failures", s.failures), zap.Error(err))
 		}
 	}
 }
--- a/internal/passthrough/relay/attempt.go
+++ b/internal/passthrough/relay/attempt.go
@@ -68,10 +68,10 @@
 	}
 	engineEnded := false
 	if outcome == Failed && !interrupted && engineconn.BrokenByEngine(err) {
-		engineEnded = e.guard.Broke(deadlineCtx, guard.Run{Request: e.call.Demand.RequestID, Content: e.content, Engine: key})
+		engineEnded = e.guard.CheckBrokenRun(deadlineCtx, guard.Run{Request: e.call.Demand.RequestID, Content: e.content, Engine: key})
 	}
 	if outcome == Completed {
-		e.guard.Served(e.call.Demand.RequestID, e.content)
+		e.guard.RecordSuccess(e.call.Demand.RequestID, e.content)
 	}
 	if outcome == Failed {
 		e.attempts++
@@ -117,10 +117,10 @@
 	return engineconn.Request{
 		Method: e.call.Request.Method, Target: e.call.Request.RequestURI, Host: e.call.Request.Host,
 		Header: header, Body: e.call.Body,
-		Own: func(answered http.Header) bool {
+		IsOwnResponse: func(answered http.Header) bool {
 			return e.headers.Answer(http.StatusOK, answered).RequestID == e.call.Demand.RequestID
 		},
-		Surplus: func(answered http.Header) {
+		OnSurplusResponse: func(answered http.Header) {
 			events.SurplusAnswer.Log(e.logger, zap.String("request", e.call.Demand.RequestID), zap.Stringer("engine", engine.Incarnation()),
 				zap.String("answered", e.headers.Answer(http.StatusOK, answered).RequestID))
 		},
@@ -149,7 +149,7 @@
 // engineLikelyFull reports whether the engine is believed to have no free slot. Its silence then
 // means that the request is queued there, and another engine would queue it as well.
 func (e *exchange) engineLikelyFull(choice enginechoice.Choice) (full bool) {
-	e.engines.Use(func(set *enginechoice.Set, now time.Time) { full = set.Queues(choice, now) })
+	e.engines.Use(func(set *enginechoice.Set, now time.Time) { full = set.MayBeQueued(choice, now) })
 	return full
 }
 
@@ -167,7 +167,7 @@
 		return e.discardRefusal(answer, decision.Choice)
 	}
 	success := response.StatusCode >= http.StatusOK && response.StatusCode < http.StatusMultipleChoices
-	if success && !metadata.Sealed {
+	if success && !metadata.Signed {
 		return Failed, errUnsigned
 	}
 	if success && e.call.Route.Kind == passroute.KindStream {
--- a/internal/passthrough/relay/relay.go
+++ b/internal/passthrough/relay/relay.go
@@ -70,7 +70,7 @@
 // each attempt. It must be called before the first Serve.
 func (r *Relay) SetSuspensionWatch(watch *suspension.Watch) {
 	r.watch = watch
-	watch.OnWake(r.Suspended)
+	watch.OnResume(r.Suspended)
 }
 
 // New returns a relay.
@@ -149,7 +149,7 @@
 		if clientCtx.Err() != nil {
 			return ClientGone
 		}
-		e.watch.Look()
+		e.watch.Check()
 		if deadlineCtx.Err() != nil || e.clock.remaining() <= 0 {
 			return e.giveUp(timedOut)
 		}
@@ -173,7 +173,7 @@
 			decision.Slot.End(enginechoice.Abandoned, false)
 			return e.refuseBlocked(verdict)
 		}
-		if e.watch.Look(); e.clock.remaining() <= 0 {
+		if e.watch.Check(); e.clock.remaining() <= 0 {
 			decision.Slot.End(enginechoice.Abandoned, false)
 			continue
 		}
@@ -237,12 +237,12 @@
 func (e *exchange) acquireSlot(deadlineCtx context.Context, slotDeadline time.Time) (slots.Decision, error) {
 	query := Query(e.call.Pool, e.call.Demand)
 	query.Exclude = e.excluded
-	request := slots.Request{ID: e.call.Demand.RequestID, Query: query, Rank: e.call.Route.Priority, PlaceAt: slotDeadline, Suspect: e.guard.Suspect(e.content)}
+	request := slots.Request{ID: e.call.Demand.RequestID, Query: query, Rank: e.call.Route.Priority, PlacementDeadline: slotDeadline, Suspect: e.guard.Suspect(e.content)}
 	if e.call.Route.Objective > 0 {
-		request.Due = e.call.Received.Add(e.call.Route.Objective)
+		request.FirstTokenDeadline = e.call.Received.Add(e.call.Route.Objective)
 	}
 	if e.stream.Count() > 0 {
-		request.PlaceAt = e.call.Received // a resumed stream does not wait for a free slot
+		request.PlacementDeadline = e.call.Received // a resumed stream does not wait for a free slot
 	}
 	if e.call.Tenant != nil {
 		request.TenantRank = e.call.Tenant.Priority
@@ -282,7 +282,7 @@
 		zap.String("request", e.call.Demand.RequestID), zap.Stringer("engine", choice.Entry.Incarnation()), zap.Int("attempt", e.tries),
 		zap.Stringer("chosen_by", decision.Source), zap.String("dispatcher", decision.From), zap.Duration("waited", decision.Waited),
 		zap.Float64("score_ms", choice.Score), zap.Int("in_flight", choice.InFlight), zap.Int("slots", choice.Entry.Slots), zap.Int("prefill_tokens", choice.PrefillTokens),
-		zap.Bool("makes_room", choice.MakeRoom), zap.Stringer("state", choice.State), zap.Duration("left", e.clock.remaining()), zap.String("last_event", e.stream.Last()))
+		zap.Bool("makes_room", choice.Preempts), zap.Stringer("state", choice.State), zap.Duration("left", e.clock.remaining()), zap.String("last_event", e.stream.Last()))
 }
 
 // Query translates a request's demand into a query for an engine. The last part of the prompt
--- a/internal/passthrough/replicas/follow.go
+++ b/internal/passthrough/replicas/follow.go
@@ -18,24 +18,24 @@
 type relay struct{ *Service }
 
 // Follow implements catalog.Relay.
-func (r relay) Follow(ctx context.Context, table string, since int64, hold time.Duration) (catalog.Told, bool) {
+func (r relay) Follow(ctx context.Context, table string, since int64, hold time.Duration) (catalog.CopyAnswer, bool) {
 	from, after := r.sourceForTable(ctx, table)
 	if from == nil {
-		return catalog.Told{}, false
+		return catalog.CopyAnswer{}, false
 	}
 	suspensions := r.watch.Count()
 	answer, sent, err := r.Peers.Follow(ctx, from.address, sharing.FollowCall{Table: table, Since: since, Hold: hold, After: after})
 	if ctx.Err() != nil {
-		return catalog.Told{}, false // the caller ended the call, or its time was up
+		return catalog.CopyAnswer{}, false // the caller ended the call, or its time was up
 	}
-	if err == nil && answer.Refusal == sharing.TooOld {
-		return catalog.Told{}, false // the store is asked for this table, and the source again afterwards
+	if err == nil && answer.Refusal == sharing.TooStale {
+		return catalog.CopyAnswer{}, false // the store is asked for this table, and the source again afterwards
 	}
 	if err != nil || answer.Refusal != sharing.NotRefused {
 		r.leaveSource(from, err)
-		return catalog.Told{}, false
+		return catalog.CopyAnswer{}, false
 	}
-	told := catalog.Told{Whole: answer.Whole, Rows: answer.Rows, Version: answer.Version, StoreAt: answer.StoreAt, Renewing: answer.Renewing}
+	told := catalog.CopyAnswer{Whole: answer.Whole, Rows: answer.Rows, Version: answer.Version, StoreAt: answer.StoreAt, Renewing: answer.Renewing}
 	for i := range told.Rows {
 		told.Rows[i].Table = table
 	}
@@ -52,7 +52,7 @@
 	defer s.mu.Unlock()
 	from.completeAsOf[table] = answer.AsOf
 	from.clock.Observe(sent, answer.At)
-	made := from.clock.MadeAt(sent, time.Now(), answer.At)
+	made := from.clock.EarliestAnswerTime(sent, time.Now(), answer.At)
 	return made.Add(answer.AsOf - answer.At)
 }
 
@@ -102,17 +102,17 @@
 		return sharing.FollowAnswer{Refusal: refusal}
 	}
 	if copied == nil {
-		return sharing.FollowAnswer{Refusal: sharing.NoRelay}
+		return sharing.FollowAnswer{Refusal: sharing.NotRelay}
 	}
 	t.waitForChanges(ctx, copied, call)
-	t.watch.Look()
+	t.watch.Check()
 	told, listed := copied.Since(call.Since)
 	now := time.Now()
 	switch {
 	case !listed || told.AsOf.IsZero():
-		return sharing.FollowAnswer{Refusal: sharing.NotYet}
+		return sharing.FollowAnswer{Refusal: sharing.NotListed}
 	case now.Sub(told.AsOf) > t.maxCopyAge(told.Renewing):
-		return sharing.FollowAnswer{Refusal: sharing.TooOld}
+		return sharing.FollowAnswer{Refusal: sharing.TooStale}
 	}
 	return sharing.FollowAnswer{
 		Whole: told.Whole, Rows: told.Rows, Version: told.Version,
@@ -147,9 +147,9 @@
 	defer s.mu.Unlock()
 	switch {
 	case s.claiming:
-		return sharing.NotYet
+		return sharing.NotListed
 	case s.mode != holding || s.Leaving():
-		return sharing.NoRelay // a node that asks a new incarnation of a former holder must not wait for it
+		return sharing.NotRelay // a node that asks a new incarnation of a former holder must not wait for it
 	default:
 		return sharing.NotRefused
 	}
--- a/internal/passthrough/replicas/harness_test.go
+++ b/internal/passthrough/replicas/harness_test.go
@@ -91,7 +91,7 @@
 	return answer, sent, nil
 }
 
-func (n *testPeers) Forget(string) {}
+func (n *testPeers) CloseIdleConnections(string) {}
 
 func (n *testPeers) setSilent(peer string, silent bool) {
 	n.mu.Lock()
@@ -222,13 +222,13 @@
 	config.Slots = z.slotCount
 	storeTime := catalog.NewStoreTime()
 	service := New(config, Dependencies{
-		Rows: z.slots, Peers: z.peers, StoreTime: storeTime, Logger: zap.NewNop(), Name: name, Life: name + "/1", Zone: "z", Address: name, Capacity: capacity,
+		Rows: z.slots, Peers: z.peers, StoreTime: storeTime, Logger: zap.NewNop(), Name: name, Incarnation: name + "/1", Zone: "z", Address: name, Capacity: capacity,
 		Leaving: func() bool { return false },
 	})
 	follower := catalog.NewFollower(catalog.DefaultFollowConfig(), rowsOf{z.store, name}, "table", []string{""}, emptySink{}, zap.NewNop())
-	follower.TimeBy(storeTime)
+	follower.SetStoreTime(storeTime)
 	service.Offer("table", follower.Copy())
-	follower.RelayBy(service.Relay())
+	follower.SetRelay(service.Relay())
 	z.peers.mu.Lock()
 	z.peers.nodes[name] = service
 	z.peers.mu.Unlock()
--- a/internal/passthrough/replicas/replicas.go
+++ b/internal/passthrough/replicas/replicas.go
@@ -80,8 +80,8 @@
 type Peers interface {
 	// Follow asks a node for its copy. It also returns when the call was sent.
 	Follow(ctx context.Context, peer string, call sharing.FollowCall) (sharing.FollowAnswer, time.Time, error)
-	// Forget closes the connections to a node.
-	Forget(peer string)
+	// CloseIdleConnections closes the connections to a node.
+	CloseIdleConnections(peer string)
 }
 
 // Dependencies are the components that the service uses.
@@ -89,10 +89,10 @@
 	Rows   passthrough.Rows // the store
 	Peers  Peers
 	Logger *zap.Logger
-	// Name is the node's name, Life identifies this incarnation of the node, and Address is where
+	// Name is the node's name, Incarnation identifies this incarnation of the node, and Address is where
 	// other nodes reach it.
-	Name, Life, Zone, Address string
-	Capacity                  float64 // of the machine, as a share of a processor core
+	Name, Incarnation, Zone, Address string
+	Capacity                         float64 // of the machine, as a share of a processor core
 	// StoreTime is this node's estimate of the store's clock. The calls on the slot rows keep it
 	// tight, because a node that follows another's copies makes no other calls to the store and
 	// may have to serve others at once.
@@ -149,15 +149,15 @@
 // Offer lets other nodes follow a table by a copy. It must be called before Run.
 func (s *Service) Offer(table string, copied *catalog.Copy) { s.copies[table] = copied }
 
-// WatchBy registers the service with a suspension watch, by which it corrects its estimate of the
+// SetSuspensionWatch registers the service with a suspension watch, by which it corrects its estimate of the
 // source's clock. It must be called before Run.
-func (s *Service) WatchBy(watch *suspension.Watch) {
+func (s *Service) SetSuspensionWatch(watch *suspension.Watch) {
 	s.watch = watch
-	watch.OnWake(func(gap time.Duration) {
+	watch.OnResume(func(gap time.Duration) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.source != nil {
-			s.source.clock.Suspended(gap)
+			s.source.clock.AdjustForSuspension(gap)
 		}
 	})
 }
@@ -222,7 +222,7 @@
 		if err != nil {
 			continue
 		}
-		if own, found := findSlotRow(rows, s.slot); !found || own.holder.Life != s.Life {
+		if own, found := findSlotRow(rows, s.slot); !found || own.holder.Life != s.Incarnation {
 			return
 		}
 		s.setMode(holding, s.findLowerHolder(ctx, rows))
--- a/internal/passthrough/replicas/search.go
+++ b/internal/passthrough/replicas/search.go
@@ -19,7 +19,7 @@
 		return alone, nil
 	}
 	for attempt := 0; attempt < maxClaimAttempts && ctx.Err() == nil && !s.Leaving(); attempt++ {
-		if found && row.holder.Life == s.Life {
+		if found && row.holder.Life == s.Incarnation {
 			return holding, s.searchLowerHolder(ctx)
 		}
 		if found {
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	s.claiming = true // a node that reads the new row before the result is known here must wait
 	s.mu.Unlock()
-	value, err := json.Marshal(holderDocument{Address: s.Address, Life: s.Life})
+	value, err := json.Marshal(holderDocument{Address: s.Address, Life: s.Incarnation})
 	if err != nil {
 		return slotRow{}, false, err
 	}
--- a/internal/passthrough/replicas/source.go
+++ b/internal/passthrough/replicas/source.go
@@ -79,7 +79,7 @@
 	if !wasCurrent {
 		return
 	}
-	s.Peers.Forget(from.address)
+	s.Peers.CloseIdleConnections(from.address)
 	events.ReplicaLeft.Log(s.Logger, zap.String("holder", from.address), zap.Error(reason))
 	select {
 	case s.sourceLost <- struct{}{}:
@@ -170,11 +170,11 @@
 		switch {
 		case err != nil:
 			return noAnswer
-		case answer.Refusal == sharing.NotYet:
+		case answer.Refusal == sharing.NotListed:
 			return notListed
-		case answer.Refusal == sharing.TooOld && s.hasFreshCopy(table):
+		case answer.Refusal == sharing.TooStale && s.hasFreshCopy(table):
 			return noHolder
-		case answer.Refusal == sharing.TooOld:
+		case answer.Refusal == sharing.TooStale:
 			return staleCopy
 		case answer.Refusal != sharing.NotRefused:
 			return noHolder
--- a/internal/passthrough/replicas/suspension_test.go
+++ b/internal/passthrough/replicas/suspension_test.go
@@ -17,8 +17,8 @@
 // discarded.
 func TestSuspensionDuringTheSearchForASource(t *testing.T) {
 	clock := &suspensiontest.Clock{}
-	service := New(DefaultConfig(), Dependencies{Logger: zap.NewNop(), Name: "node", Life: "node/1", Zone: "z", Address: "node"})
-	service.WatchBy(suspension.NewWatch(clock))
+	service := New(DefaultConfig(), Dependencies{Logger: zap.NewNop(), Name: "node", Incarnation: "node/1", Zone: "z", Address: "node"})
+	service.SetSuspensionWatch(suspension.NewWatch(clock))
 	found := service.newSource("holder")
 	found.clock.Observe(time.Now(), time.Minute)
 	clock.Suspend(time.Minute)
@@ -32,7 +32,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("setMode did not return after a suspension")
 	}
-	if sent := time.Now(); !found.clock.MadeAt(sent, sent.Add(time.Hour), time.Minute).Equal(sent) {
+	if sent := time.Now(); !found.clock.EarliestAnswerTime(sent, sent.Add(time.Hour), time.Minute).Equal(sent) {
 		t.Error("the source's clock estimate from before the suspension is still used")
 	}
 }
--- a/internal/passthrough/slots/acquire.go
+++ b/internal/passthrough/slots/acquire.go
@@ -21,12 +21,12 @@
 	TenantRank, Rank int
 	// Tenant is the name of the tenant whose limit applies to the request. It is empty if no
 	// limit applies or the request has been counted already.
-	Tenant string
-	Due    time.Time // deadline of the first token; zero: no objective
-	// PlaceAt is when the request stops waiting for a free slot. From then on it is placed at an
+	Tenant             string
+	FirstTokenDeadline time.Time // deadline of the first token; zero: no objective
+	// PlacementDeadline is when the request stops waiting for a free slot. From then on it is placed at an
 	// engine regardless of the engine's queue.
-	PlaceAt time.Time
-	Suspect grant.Suspect
+	PlacementDeadline time.Time
+	Suspect           grant.Suspect
 }
 
 // Source identifies which node chose an engine.
@@ -151,7 +151,7 @@
 
 // hasUsableEngine reports whether any engine known to this node may take the request.
 func (s *Service) hasUsableEngine(query enginechoice.Query) (found bool) {
-	s.Engines.Use(func(set *enginechoice.Set, now time.Time) { found = set.Any(query, now) })
+	s.Engines.Use(func(set *enginechoice.Set, now time.Time) { found = set.CanPick(query, now) })
 	return found
 }
 
@@ -173,7 +173,7 @@
 	s.mu.Unlock()
 	defer s.removeWaiter(id)
 	s.submitAsk(pending.lane, ask, request.firstTokenDeadline())
-	place := time.NewTimer(max(time.Until(request.PlaceAt), 0))
+	place := time.NewTimer(max(time.Until(request.PlacementDeadline), 0))
 	defer place.Stop()
 	for {
 		select {
@@ -197,22 +197,22 @@
 }
 
 // firstTokenDeadline returns the deadline of the first token. For a request without an objective
-// this is PlaceAt.
+// this is PlacementDeadline.
 func (r Request) firstTokenDeadline() time.Time {
-	if r.Due.IsZero() {
-		return r.PlaceAt
+	if r.FirstTokenDeadline.IsZero() {
+		return r.PlacementDeadline
 	}
-	return r.Due
+	return r.FirstTokenDeadline
 }
 
 // askFromQuery converts an engine query to an ask.
 func (s *Service) askFromQuery(id uint64, query enginechoice.Query) grant.Ask {
 	ask := grant.Ask{
 		ID: id, Batch: query.Batch, Shared: query.Shared, OwnTokens: query.OwnTokens, MemoryTokens: query.MemoryTokens,
-		BatchPercent: query.BatchPercent,
+		BatchPercent: query.MaxBatchPercent,
 	}
-	if query.Former != (enginechoice.Incarnation{}) {
-		ask.Former = grant.EngineHash(query.Former)
+	if query.PreviousEngine != (enginechoice.Incarnation{}) {
+		ask.Former = grant.EngineHash(query.PreviousEngine)
 	}
 	for engine := range query.Exclude {
 		ask.Exclude = append(ask.Exclude, grant.EngineHash(engine))
@@ -225,7 +225,7 @@
 // ended. The caller holds mu.
 func (s *Service) laneForLocked(pool string, ask grant.Ask) grant.Lane {
 	lane := grant.Lane{Pool: pool, Parts: s.engines.laneCount(pool)}
-	key := grant.LifeHash(s.Life) + ask.ID
+	key := grant.LifeHash(s.Incarnation) + ask.ID
 	if ask.Suspect.Content != 0 {
 		key = ask.Suspect.Content // one dispatcher sees all runs of a content
 	} else if len(ask.Shared) > 0 {
@@ -353,7 +353,7 @@
 	}
 	decision := Decision{Source: ByDispatcher, From: received.from, Choice: enginechoice.Choice{
 		Entry: listed.Entry, State: listed.State, Score: received.grant.Score, PrefillTokens: received.grant.PrefillTokens,
-		InFlight: received.grant.InFlight, MakeRoom: received.grant.Preempts,
+		InFlight: received.grant.InFlight, Preempts: received.grant.Preempts,
 	}}
 	if received.from == s.Self {
 		decision.Source = ByLocalDispatcher
--- a/internal/passthrough/slots/batch.go
+++ b/internal/passthrough/slots/batch.go
@@ -7,8 +7,8 @@
 	"ringstream.example/ringstream/internal/core/grant"
 )
 
-// BatchAsk is a batch item that waits for a slot.
-type BatchAsk struct {
+// BatchRequest is a batch item that waits for a slot.
+type BatchRequest struct {
 	ID    uint64 // from NewID; it stays the same while the item waits
 	Query enginechoice.Query
 	// RoomPercent is the share of the lane's slots that may be in use when the item gets one, in
@@ -24,8 +24,8 @@
 	Start func(Decision) bool
 }
 
-// WantBatch replaces the set of this node's batch items that wait for a slot.
-func (s *Service) WantBatch(asks []BatchAsk) {
+// SetBatchRequests replaces the set of this node's batch items that wait for a slot.
+func (s *Service) SetBatchRequests(asks []BatchRequest) {
 	now := time.Now()
 	wanted := make(map[uint64]bool, len(asks))
 	for _, ask := range asks {
@@ -37,7 +37,7 @@
 			s.cancelBatchAsk(id, now)
 		}
 	}
-	var changed []BatchAsk
+	var changed []BatchRequest
 	for _, ask := range asks {
 		before, known := s.batchAsks[ask.ID]
 		if !known || before.Late != ask.Late {
@@ -59,7 +59,7 @@
 	delete(s.batchLanes, id)
 }
 
-func (s *Service) submitBatchAsk(ask BatchAsk) {
+func (s *Service) submitBatchAsk(ask BatchRequest) {
 	sent := s.askFromQuery(ask.ID, ask.Query)
 	sent.RoomPercent = ask.RoomPercent
 	sent.Late, sent.TenantRank, sent.Rank, sent.Suspect = ask.Late, ask.TenantRank, ask.Rank, ask.Suspect
@@ -102,7 +102,7 @@
 // Load is the load of a lane as seen by its dispatcher on this node.
 type Load struct {
 	Lane             grant.Lane
-	UnderWay, Queued int
+	InFlight, Queued int
 	Attached         int // nodes whose share of the tenants' limits is kept in the lane
 }
 
@@ -114,7 +114,7 @@
 	var loads []Load
 	for lane, dispatcher := range s.dispatchers {
 		underWay, queued := dispatcher.Counts()
-		loads = append(loads, Load{Lane: lane, UnderWay: underWay, Queued: queued, Attached: dispatcher.Attached(now)})
+		loads = append(loads, Load{Lane: lane, InFlight: underWay, Queued: queued, Attached: dispatcher.Attached(now)})
 	}
 	return loads
 }
--- a/internal/passthrough/slots/engines.go
+++ b/internal/passthrough/slots/engines.go
@@ -80,7 +80,7 @@
 }
 
 // laneCount returns the number of lanes of a pool.
-func (v *engineView) laneCount(pool string) uint32 { return grant.Parts(v.slotsByPool[pool]) }
+func (v *engineView) laneCount(pool string) uint32 { return grant.LaneCount(v.slotsByPool[pool]) }
 
 // enginesInPool returns the engines of a pool in unspecified order.
 func (v *engineView) enginesInPool(pool string) []enginechoice.Listed {
--- a/internal/passthrough/slots/engines_test.go
+++ b/internal/passthrough/slots/engines_test.go
@@ -71,7 +71,7 @@
 				set.Upsert(enginechoice.Entry{ID: "i-00000007", Pool: "p", Slots: 8}, states[turn%2], now)
 				view.apply(changesSince(set, view.appliedChanges))
 			}
-			if view.laneCount("p") != grant.Parts(8*engines) {
+			if view.laneCount("p") != grant.LaneCount(8*engines) {
 				b.Errorf("%d lanes", view.laneCount("p"))
 			}
 		})
--- a/internal/passthrough/slots/members.go
+++ b/internal/passthrough/slots/members.go
@@ -19,14 +19,14 @@
 
 // waitForKnownMembers calls submitAndWait, and repeats the ask while the nodes that share the
 // tenant's limit are unknown. It returns ErrLimitNotKnown if they are still unknown shortly
-// before the request's PlaceAt.
+// before the request's PlacementDeadline.
 func (s *Service) waitForKnownMembers(ctx context.Context, request Request, lane grant.Lane, ask grant.Ask) (askVerdict, error) {
 	for {
 		result, err := s.submitAndWait(ctx, request, lane, ask)
 		if !errors.Is(err, errMembersNotKnown) {
 			return result, err
 		}
-		if time.Until(request.PlaceAt) <= membersRetryDelay {
+		if time.Until(request.PlacementDeadline) <= membersRetryDelay {
 			return askVerdict{}, ErrLimitNotKnown
 		}
 		if !wait.For(ctx, membersRetryDelay) {
--- a/internal/passthrough/slots/members_test.go
+++ b/internal/passthrough/slots/members_test.go
@@ -18,14 +18,14 @@
 	directory, _ := tenant.NewDirectory([]tenant.Definition{{Tenant: tenant.Tenant{Name: name, Limit: limit}}})
 	table := passroute.NewTable(1, []passroute.Route{{Name: "r", Targets: []passroute.Target{{Pool: "p", Weight: 1}}}}, nil, passroute.Limits{}, passroute.Tenants{Directory: directory})
 	for _, node := range f.nodes {
-		node.TakeTable(table)
+		node.SetRoutes(table)
 	}
 }
 
 // tenantRequest returns a request of a tenant that waits for at most the given time.
 func tenantRequest(name string, patience time.Duration) Request {
 	until := time.Now().Add(patience)
-	return Request{Query: enginechoice.Query{Pool: "p"}, Tenant: name, Due: until, PlaceAt: until}
+	return Request{Query: enginechoice.Query{Pool: "p"}, Tenant: name, FirstTokenDeadline: until, PlacementDeadline: until}
 }
 
 // runLoad has each node send a tenant's requests one after the other for some time. It returns
@@ -82,8 +82,8 @@
 }
 
 // TestRequestOfALimitedTenantWaitsUntilTheMembersAreKnown lets the nodes learn of each other
-// while requests wait. A request gets its slot then, and one whose patience ends earlier fails
-// with ErrLimitNotKnown. Requests without a limit do not wait.
+// while requests wait. A request gets its slot then, and one whose slot deadline passes earlier
+// fails with ErrLimitNotKnown. Requests without a limit do not wait.
 func TestRequestOfALimitedTenantWaitsUntilTheMembersAreKnown(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		const listedAfter, patience = 400 * time.Millisecond, 2 * time.Second
--- a/internal/passthrough/slots/messages.go
+++ b/internal/passthrough/slots/messages.go
@@ -69,16 +69,16 @@
 	return nil
 }
 
-// HearState handles another node's state in a lane. A node that does not know the engines yet
+// HandleState handles another node's state in a lane. A node that does not know the engines yet
 // does not reply, so that the sender asks the next node in its ranking.
-func (s *Service) HearState(from string, lane grant.Lane, state grant.State) error {
+func (s *Service) HandleState(from string, lane grant.Lane, state grant.State) error {
 	if err := checkLane(lane); err != nil {
 		return err
 	}
 	if !s.Ready() {
 		return nil
 	}
-	s.watch.Look()
+	s.watch.Check()
 	now := time.Now()
 	var out outbox
 	s.mu.Lock()
@@ -95,7 +95,7 @@
 	if dispatcher == nil {
 		return
 	}
-	dispatcher.Hear(from, state, now)
+	dispatcher.ApplyState(from, state, now)
 	s.collectReplies(lane, dispatcher, now, out)
 }
 
@@ -110,12 +110,12 @@
 	}
 }
 
-// HearReply handles the reply of a lane's dispatcher.
-func (s *Service) HearReply(from string, lane grant.Lane, reply grant.Reply) error {
+// HandleReply handles the reply of a lane's dispatcher.
+func (s *Service) HandleReply(from string, lane grant.Lane, reply grant.Reply) error {
 	if err := checkLane(lane); err != nil {
 		return err
 	}
-	s.watch.Look()
+	s.watch.Check()
 	var out outbox
 	s.mu.Lock()
 	s.handleReply(from, lane, reply, time.Now(), &out)
@@ -130,7 +130,7 @@
 		return
 	}
 	before := requester.Current()
-	result := requester.HearReply(from, reply, now)
+	result := requester.ApplyReply(from, reply, now)
 	out.recordDispatcherChange(lane, before, requester.Current())
 	for _, received := range result.Grants {
 		out.grants = append(out.grants, receivedGrant{lane: lane, from: from, grant: received})
--- a/internal/passthrough/slots/metrics.go
+++ b/internal/passthrough/slots/metrics.go
@@ -33,7 +33,7 @@
 		work = "batch"
 	}
 	switch {
-	case decision.Choice.MakeRoom:
+	case decision.Choice.Preempts:
 		kind = "preempts"
 	case !decision.Choice.HasSlot():
 		kind = "full"
--- a/internal/passthrough/slots/restart_test.go
+++ b/internal/passthrough/slots/restart_test.go
@@ -31,7 +31,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		if loads := f.nodes["n0"].Loads(); loads[0].UnderWay != 2 {
+		if loads := f.nodes["n0"].Loads(); loads[0].InFlight != 2 {
 			t.Errorf("the dispatcher counts %+v", loads)
 		}
 	})
--- a/internal/passthrough/slots/slot.go
+++ b/internal/passthrough/slots/slot.go
@@ -48,7 +48,7 @@
 	}
 	s.service.Engines.Use(func(set *enginechoice.Set, now time.Time) {
 		set.FirstToken(s.engine, s.counted)
-		set.Remember(s.engine, s.shared, now)
+		set.RecordPrompt(s.engine, s.shared, now)
 	})
 	s.service.updateRequester(s.lane, func(requester *laneRequester, now time.Time) { requester.Started(s.id, now) })
 }
@@ -56,7 +56,7 @@
 // Observe records the engine's own counts of running and waiting requests, taken from the
 // response headers.
 func (s *Slot) Observe(running, waiting int) {
-	s.service.Engines.Use(func(set *enginechoice.Set, now time.Time) { set.Observe(s.engine, running, waiting, now) })
+	s.service.Engines.Use(func(set *enginechoice.Set, now time.Time) { set.RecordReport(s.engine, running, waiting, now) })
 	s.service.mu.Lock()
 	defer s.service.mu.Unlock()
 	if requester := s.service.requesters[s.lane]; requester != nil {
--- a/internal/passthrough/slots/slots.go
+++ b/internal/passthrough/slots/slots.go
@@ -32,9 +32,9 @@
 	Engines *catalog.Engines
 	Logger  *zap.Logger
 	Metrics *Metrics
-	// Self is the address on which this node receives messages from other nodes. Life identifies
+	// Self is the address on which this node receives messages from other nodes. Incarnation identifies
 	// this incarnation of the node.
-	Self, Name, Life, Zone string
+	Self, Name, Incarnation, Zone string
 	// Candidates returns the nodes that may be dispatchers, including this one. It returns the
 	// same slice until the list changes.
 	Candidates func() []grant.Candidate
@@ -100,24 +100,24 @@
 	requesters       map[grant.Lane]*laneRequester
 	dispatchers      map[grant.Lane]*laneDispatcher
 	waiters          map[uint64]*waiter // by ask id
-	batchAsks        map[uint64]BatchAsk
+	batchAsks        map[uint64]BatchRequest
 	batchLanes       map[uint64]grant.Lane
 	engines          engineView
 	refreshedAt      time.Time
 	rankedCandidates []grant.Candidate // the candidates of the current dispatcher rankings
 	limits           limits
-	liveNodeCount    int          // live nodes, including this one; 0: unknown
-	localQuota       *quota.Place // this node's share of the limits, used while it reaches no dispatcher
-	nextWake         time.Time    // when the loop wakes next
+	liveNodeCount    int                // live nodes, including this one; 0: unknown
+	localQuota       *quota.RateCounter // this node's share of the limits, used while it reaches no dispatcher
+	nextWake         time.Time          // when the loop wakes next
 }
 
 // New returns a service. Run does its periodic work.
 func New(config LimitsConfig, dependencies Dependencies) *Service {
 	return &Service{
-		config: config, localQuota: quota.NewLonePlace(config.margin(), time.Now()),
-		Dependencies: dependencies, lifeHash: grant.LifeHash(dependencies.Life), wake: make(chan struct{}, 1),
+		config: config, localQuota: quota.NewIsolatedRateCounter(config.margin(), time.Now()),
+		Dependencies: dependencies, lifeHash: grant.LifeHash(dependencies.Incarnation), wake: make(chan struct{}, 1),
 		requesters: make(map[grant.Lane]*laneRequester), dispatchers: make(map[grant.Lane]*laneDispatcher),
-		waiters: make(map[uint64]*waiter), batchAsks: make(map[uint64]BatchAsk), batchLanes: make(map[uint64]grant.Lane),
+		waiters: make(map[uint64]*waiter), batchAsks: make(map[uint64]BatchRequest), batchLanes: make(map[uint64]grant.Lane),
 		engines: newEngineView(),
 	}
 }
@@ -126,13 +126,13 @@
 // before Run.
 func (s *Service) UseTransport(transport Transport) { s.transport = transport }
 
-// WatchBy registers the service with a suspension watch. After a suspension the service discards
+// SetSuspensionWatch registers the service with a suspension watch. After a suspension the service discards
 // state that may be outdated: the work of nodes that may have moved to another dispatcher, and
 // grants that were not used in time and whose slots may have been granted again. It must be
 // called before Run.
-func (s *Service) WatchBy(watch *suspension.Watch) {
+func (s *Service) SetSuspensionWatch(watch *suspension.Watch) {
 	s.watch = watch
-	watch.OnWake(func(gap time.Duration) {
+	watch.OnResume(func(gap time.Duration) {
 		now := time.Now()
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -227,7 +227,7 @@
 	before := requester.Current()
 	due, next := requester.Poll(now, connected)
 	out.recordDispatcherChange(lane, before, requester.Current())
-	out.noDispatcher = append(out.noDispatcher, due.Alone...)
+	out.noDispatcher = append(out.noDispatcher, due.Fallbacks...)
 	for _, send := range due.Sends {
 		if send.To != s.Self {
 			out.states = append(out.states, outgoingState{to: send.To, lane: lane, state: send.State})
--- a/internal/passthrough/slots/slots_test.go
+++ b/internal/passthrough/slots/slots_test.go
@@ -54,11 +54,11 @@
 }
 
 func (n *testNode) SendState(to string, lane grant.Lane, state grant.State) {
-	n.send(to, func(receiver *testNode) error { return receiver.HearState(n.name, lane, state) })
+	n.send(to, func(receiver *testNode) error { return receiver.HandleState(n.name, lane, state) })
 }
 
 func (n *testNode) SendReply(to string, lane grant.Lane, reply grant.Reply) {
-	n.send(to, func(receiver *testNode) error { return receiver.HearReply(n.name, lane, reply) })
+	n.send(to, func(receiver *testNode) error { return receiver.HandleReply(n.name, lane, reply) })
 }
 
 // newFleet starts the given numbers of nodes and of engines with two slots each. All nodes ask
@@ -75,7 +75,7 @@
 			}
 		})
 		node.Service = New(DefaultLimitsConfig(), Dependencies{
-			Engines: list, Logger: zap.NewNop(), Metrics: NewMetrics(nil), Self: name, Name: name, Life: name, Zone: "z1",
+			Engines: list, Logger: zap.NewNop(), Metrics: NewMetrics(nil), Self: name, Name: name, Incarnation: name, Zone: "z1",
 			Candidates: node.currentCandidates, Seeds: func() []string { return []string{"n0"} },
 			LiveNodes: func() int { return nodes },
 			Ready:     func() bool { return true }, MembersKnown: func() bool { return !f.membersUnlisted.Load() }, Connected: func() map[enginechoice.Incarnation]bool { return nil },
@@ -116,7 +116,7 @@
 	got := make(chan Decision, 1)
 	now := time.Now()
 	go func() {
-		decision, err := n.Acquire(ctx, Request{Query: enginechoice.Query{Pool: "p"}, Due: now.Add(300 * time.Millisecond), PlaceAt: now.Add(time.Second)})
+		decision, err := n.Acquire(ctx, Request{Query: enginechoice.Query{Pool: "p"}, FirstTokenDeadline: now.Add(300 * time.Millisecond), PlacementDeadline: now.Add(time.Second)})
 		if err != nil {
 			close(got)
 			return
@@ -173,7 +173,7 @@
 		}
 		f.setIsolated("n1", false)
 		time.Sleep(4 * time.Second)
-		if loads := f.nodes["n0"].Loads(); len(loads) != 1 || loads[0].UnderWay != 1 {
+		if loads := f.nodes["n0"].Loads(); len(loads) != 1 || loads[0].InFlight != 1 {
 			t.Errorf("the dispatcher knows of %+v", loads)
 		}
 	})
@@ -191,7 +191,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		if loads := f.nodes["n0"].Loads(); loads[0].UnderWay != 2 {
+		if loads := f.nodes["n0"].Loads(); loads[0].InFlight != 2 {
 			t.Errorf("the dispatcher counts %+v", loads)
 		}
 	})
@@ -203,24 +203,24 @@
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		f := newFleet(ctx, 3, 1)
 		started := make(chan Decision, 2)
-		var asks []BatchAsk
+		var asks []BatchRequest
 		for range 3 {
-			asks = append(asks, BatchAsk{
-				ID: f.nodes["n1"].NewID(), Due: time.Now().Add(20 * time.Second), Query: enginechoice.Query{Pool: "p", Batch: true, BatchPercent: 100}, RoomPercent: 100,
+			asks = append(asks, BatchRequest{
+				ID: f.nodes["n1"].NewID(), Due: time.Now().Add(20 * time.Second), Query: enginechoice.Query{Pool: "p", Batch: true, MaxBatchPercent: 100}, RoomPercent: 100,
 				Start: func(decision Decision) bool { started <- decision; return true },
 			})
 		}
-		f.nodes["n1"].WantBatch(asks)
+		f.nodes["n1"].SetBatchRequests(asks)
 		runs := []Decision{<-started, <-started}
 		time.Sleep(time.Second) // the third waits
 		got := <-f.nodes["n2"].acquire(ctx)
-		if !got.Choice.MakeRoom || got.Waited > 10*time.Millisecond {
+		if !got.Choice.Preempts || got.Waited > 10*time.Millisecond {
 			t.Errorf("got %+v", got)
 		}
 		if stopped := <-f.nodes["n1"].stopped; stopped != runs[0].Slot.ID() && stopped != runs[1].Slot.ID() {
 			t.Errorf("stopped %d", stopped)
 		}
-		f.nodes["n1"].WantBatch(nil)
+		f.nodes["n1"].SetBatchRequests(nil)
 	})
 }
 
@@ -241,13 +241,13 @@
 			decision.Slot.End(enginechoice.Succeeded, false)
 		}
 		time.Sleep(time.Second)
-		if loads := f.nodes["n0"].Loads(); len(loads) > 0 && loads[0].UnderWay+loads[0].Queued > 0 {
+		if loads := f.nodes["n0"].Loads(); len(loads) > 0 && loads[0].InFlight+loads[0].Queued > 0 {
 			t.Errorf("requests left at the dispatcher: %+v", loads)
 		}
 	})
 }
 
-// TestRequestIsPlacedWhenItsPatienceEnds keeps the only engine full until the request's PlaceAt.
+// TestRequestIsPlacedWhenItsPatienceEnds keeps the only engine full until the request's PlacementDeadline.
 func TestRequestIsPlacedWhenItsPatienceEnds(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		f := newFleet(ctx, 2, 1)
@@ -279,7 +279,7 @@
 			t.Errorf("requests by lane: %v", lanes)
 		}
 		time.Sleep(time.Second)
-		if loads := f.nodes["n0"].Loads(); len(loads) != 2 || loads[0].UnderWay+loads[1].UnderWay != requests {
+		if loads := f.nodes["n0"].Loads(); len(loads) != 2 || loads[0].InFlight+loads[1].InFlight != requests {
 			t.Errorf("the dispatcher knows of %+v", loads)
 		}
 	})
@@ -288,10 +288,10 @@
 func TestMessagesWithInvalidLanesAreRefused(t *testing.T) {
 	service := New(DefaultLimitsConfig(), Dependencies{Ready: func() bool { return true }})
 	for _, lane := range []grant.Lane{{Pool: "p"}, {Pool: "p", Parts: 3}, {Pool: "p", Parts: 2, Part: 2}} {
-		if err := service.HearState("n1", lane, grant.State{}); err == nil {
+		if err := service.HandleState("n1", lane, grant.State{}); err == nil {
 			t.Errorf("lane %+v was accepted", lane)
 		}
-		if err := service.HearReply("n1", lane, grant.Reply{}); err == nil {
+		if err := service.HandleReply("n1", lane, grant.Reply{}); err == nil {
 			t.Errorf("lane %+v was accepted", lane)
 		}
 	}
@@ -306,13 +306,13 @@
 		directory, _ := tenant.NewDirectory([]tenant.Definition{{Tenant: tenant.Tenant{Name: "one", Limit: tenant.Limit{PerSecond: 10, Burst: 10}}}})
 		table := passroute.NewTable(1, []passroute.Route{{Name: "r", Targets: []passroute.Target{{Pool: "p", Weight: 1}}}}, nil, passroute.Limits{}, passroute.Tenants{Directory: directory})
 		for _, node := range f.nodes {
-			node.TakeTable(table)
+			node.SetRoutes(table)
 		}
 		time.Sleep(3 * time.Second) // both nodes are attached to the dispatcher, and its bucket is full
 		granted, refused := make(map[uint32]int), 0
 		for i := range requests {
 			node := f.nodes[fmt.Sprint("n", i%2)]
-			decision, err := node.Acquire(ctx, Request{Query: enginechoice.Query{Pool: "p"}, Tenant: "one", Due: time.Now().Add(time.Second), PlaceAt: time.Now().Add(time.Second)})
+			decision, err := node.Acquire(ctx, Request{Query: enginechoice.Query{Pool: "p"}, Tenant: "one", FirstTokenDeadline: time.Now().Add(time.Second), PlacementDeadline: time.Now().Add(time.Second)})
 			var overLimit *OverLimitError
 			switch {
 			case errors.As(err, &overLimit):
@@ -347,7 +347,7 @@
 		}
 		directory, _ := tenant.NewDirectory(definitions)
 		table := passroute.NewTable(1, []passroute.Route{{Name: "r", Targets: []passroute.Target{{Pool: "p", Weight: 1}}}}, nil, passroute.Limits{}, passroute.Tenants{Directory: directory})
-		service.TakeTable(table)
+		service.SetRoutes(table)
 		admitted := make([]int, tenants)
 		for range requests {
 			for i, definition := range definitions {
--- a/internal/passthrough/slots/tenants.go
+++ b/internal/passthrough/slots/tenants.go
@@ -79,8 +79,8 @@
 	return read
 }
 
-// TakeTable applies the tenants' limits of a new version of the routes.
-func (s *Service) TakeTable(table *passroute.Table) {
+// SetRoutes applies the tenants' limits of a new version of the routes.
+func (s *Service) SetRoutes(table *passroute.Table) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +162,7 @@
 		return errMembersNotKnown
 	}
 	s.localQuota.Advance(time.Now(), 1/float64(max(s.liveNodeCount, 1)))
-	if !s.localQuota.DrawAlone(tenant, rand.Float64()) {
+	if !s.localQuota.AdmitRandomly(tenant, rand.Float64()) {
 		return ErrLimitNotKnown
 	}
 	return nil
--- a/internal/peer/connect.go
+++ b/internal/peer/connect.go
@@ -114,7 +114,7 @@
 	}
 	n.links[link.peer] = link
 	if old != nil {
-		old.close(ErrLost)
+		old.close(ErrConnectionLost)
 	}
 	n.perform(n.machine.Step(time.Now(), membership.LinkUp{Peer: peer, Dialed: link.dialed}))
 	return true
@@ -228,7 +228,7 @@
 	}
 	n.connectionsMu.Unlock()
 	for _, c := range idle {
-		c.close(ErrLost)
+		c.close(ErrConnectionLost)
 	}
 	view := n.View()
 	n.seen.retain(func(origin identity.NodeID) bool {
@@ -258,7 +258,7 @@
 	}
 	n.connectionsMu.Unlock()
 	for _, c := range lost {
-		c.close(ErrLost)
+		c.close(ErrConnectionLost)
 	}
 	for _, open := range streams {
 		open.abort()
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -53,7 +53,7 @@
 }
 
 // enqueue queues a frame for sending. It does not block: it returns ErrQueueFull if the queue is full and
-// ErrLost if the connection is closed.
+// ErrConnectionLost if the connection is closed.
 func (c *connection) enqueue(f frame) error {
 	c.lastUsed.Store(time.Now().UnixNano())
 	queue := c.data
@@ -62,7 +62,7 @@
 	}
 	select {
 	case <-c.done:
-		return ErrLost
+		return ErrConnectionLost
 	default:
 	}
 	select {
@@ -116,10 +116,10 @@
 	go func() {
 		defer close(writerDone)
 		c.write()
-		c.close(ErrLost)
+		c.close(ErrConnectionLost)
 	}()
 	c.read()
-	c.close(ErrLost)
+	c.close(ErrConnectionLost)
 	<-writerDone
 }
 
@@ -240,7 +240,7 @@
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
-		return 0, nil, ErrLost
+		return 0, nil, ErrConnectionLost
 	}
 	if c.pending == nil {
 		c.pending = map[uint64]chan reply{}
--- a/internal/peer/flood.go
+++ b/internal/peer/flood.go
@@ -95,7 +95,7 @@
 	n.mu.Lock()
 	links := make([]*connection, 0, len(n.links))
 	for id, link := range n.links {
-		if link != source && !n.machine.Spare(id) {
+		if link != source && !n.machine.OutsideOverlay(id) {
 			links = append(links, link)
 		}
 	}
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -146,7 +146,7 @@
 
 // Hint adds peer addresses from the platform's machine list as addresses to dial. They
 // do not make a node a member.
-func (n *Node) Hint(addresses []string) { n.step(membership.Hinted{Addresses: addresses}) }
+func (n *Node) Hint(addresses []string) { n.step(membership.AddressesDiscovered{Addresses: addresses}) }
 
 // Links returns the number of established overlay links.
 func (n *Node) Links() int {
@@ -196,13 +196,13 @@
 	n.streams = map[*stream]struct{}{}
 	n.connectionsMu.Unlock()
 	for _, link := range links {
-		link.close(ErrLost)
+		link.close(ErrConnectionLost)
 	}
 	for _, connection := range direct {
-		connection.close(ErrLost)
+		connection.close(ErrConnectionLost)
 	}
 	for connection := range accepted {
-		connection.close(ErrLost)
+		connection.close(ErrConnectionLost)
 	}
 	for open := range streams {
 		open.abort()
@@ -241,7 +241,7 @@
 			n.spawn(func() { n.connect(effect) })
 		case membership.Disconnect:
 			if link := n.links[effect.ID]; link != nil {
-				link.close(ErrLost)
+				link.close(ErrConnectionLost)
 			}
 		case membership.Probe:
 			n.spawn(func() { n.probe(effect) })
@@ -251,12 +251,12 @@
 			n.changed = make(chan struct{})
 		case membership.MemberChanged:
 			n.memberChanged(effect)
-		case membership.Accused:
+		case membership.SuspicionRaised:
 			n.accusations.Add(1)
 			events.MemberSuspected.Log(n.logger, zap.String("member", string(effect.ID)), zap.String("reason", effect.Reason))
 		case membership.Refuted:
 			n.refutations.Add(1)
-			events.DeathDenied.Log(n.logger, zap.Uint64("incarnation", effect.Incarnation))
+			events.DeathReportRefuted.Log(n.logger, zap.Uint64("incarnation", effect.Incarnation))
 		case membership.Paused:
 			events.NodePaused.Log(n.logger, zap.Float64("seconds", effect.Seconds))
 		}
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -230,7 +230,7 @@
 		}
 		fleet.network.Kill(testAddress(1))
 		began := time.Now()
-		if _, err = stream.Receive(); !errors.Is(err, ErrLost) {
+		if _, err = stream.Receive(); !errors.Is(err, ErrConnectionLost) {
 			t.Errorf("stream to a killed node: got error %v, want ErrLost", err)
 		}
 		if took := time.Since(began); took > 5*time.Second {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,7 +19,7 @@
 	"ringstream.example/ringstream/internal/core/membership"
 )
 
-// Errors that callers of a Bus can distinguish. All except ErrLost mean that the
+// Errors that callers of a Bus can distinguish. All except ErrConnectionLost mean that the
 // message was not delivered to a handler.
 var (
 	ErrUnknownMember = errors.New("peer: no live member of that id")
@@ -27,8 +27,8 @@
 	ErrQueueFull     = errors.New("peer: send queue full")
 	ErrNoHandler     = errors.New("peer: no handler for the message there")
 	ErrNotRegistered = errors.New("peer: message type not registered")
-	// ErrLost means that the connection broke. A message that was already queued may have arrived.
-	ErrLost = errors.New("peer: connection lost")
+	// ErrConnectionLost means that the connection broke. A message that was already queued may have arrived.
+	ErrConnectionLost = errors.New("peer: connection lost")
 )
 
 // Handler handles one message. For calls, its result is the reply. It must not
--- a/internal/peer/sharing/datagrams.go
+++ b/internal/peer/sharing/datagrams.go
@@ -79,7 +79,7 @@
 // handleDatagram decodes a datagram, a liveness message or a message about slots or crashes, and handles it.
 func (s *Share) handleDatagram(from string, datagram []byte) error {
 	if livenessMsg, err := s.livenessCodec.Read(datagram); err == nil {
-		s.watchers.HearLiveness(from, livenessMsg)
+		s.watchers.HandleLiveness(from, livenessMsg)
 		return nil
 	}
 	msg, err := s.messageCodec.Read(datagram)
@@ -96,17 +96,17 @@
 func (s *Share) handleMessage(from string, msg message) error {
 	switch {
 	case len(msg.Crashes) > 0:
-		s.crashes.Hear(from, msg.Crashes)
+		s.crashes.AddPeerCrashes(from, msg.Crashes)
 		return nil
 	case msg.AskCrashes:
-		if crashes := s.crashes.Gravest(); len(crashes) > 0 {
+		if crashes := s.crashes.StartupReports(); len(crashes) > 0 {
 			s.SendCrashes(from, crashes)
 		}
 		return nil
 	case msg.State != nil && msg.Reply == nil:
-		return s.slots.HearState(from, msg.Lane, *msg.State)
+		return s.slots.HandleState(from, msg.Lane, *msg.State)
 	case msg.Reply != nil && msg.State == nil:
-		return s.slots.HearReply(from, msg.Lane, *msg.Reply)
+		return s.slots.HandleReply(from, msg.Lane, *msg.Reply)
 	default:
 		return errUnknownMessage
 	}
--- a/internal/peer/sharing/follow.go
+++ b/internal/peer/sharing/follow.go
@@ -31,9 +31,9 @@
 // The refusals.
 const (
 	NotRefused FollowRefusal = iota
-	NotYet                   // the node is a relay, but has not listed the table yet
-	NoRelay                  // the node is not a relay, or not any more
-	TooOld                   // the node's copy of the table is staler than allowed for a relay
+	NotListed                // the node is a relay, but has not listed the table yet
+	NotRelay                 // the node is not a relay, or not any more
+	TooStale                 // the node's copy of the table is staler than allowed for a relay
 )
 
 // FollowAnswer answers a FollowCall.
@@ -178,8 +178,8 @@
 	p.idle[key] = connection
 }
 
-// Forget closes the idle connections to a node whose copies are no longer followed.
-func (s *Share) Forget(peer string) {
+// CloseIdleConnections closes the idle connections to a node whose copies are no longer followed.
+func (s *Share) CloseIdleConnections(peer string) {
 	s.followConnections.mu.Lock()
 	defer s.followConnections.mu.Unlock()
 	for key, connection := range s.followConnections.idle {
--- a/internal/peer/sharing/sharing.go
+++ b/internal/peer/sharing/sharing.go
@@ -69,14 +69,14 @@
 	Seeds() []string
 	// Suspensions returns how often this node's machine was suspended.
 	Suspensions() uint64
-	// Blind reports whether this node has no contact with the store.
-	Blind() bool
+	// StoreUnreachable reports whether this node has no contact with the store.
+	StoreUnreachable() bool
 	// Question returns the request for documents newer than this node's.
 	Question() Question
 	// Answer returns the documents that the requesting node lacks.
 	Answer(Question) Documents
-	// Learn applies an answer from the peer at the address from; askedAt is when the question was sent.
-	Learn(documents Documents, from string, askedAt time.Time)
+	// ApplyDocuments applies an answer from the peer at the address from; askedAt is when the question was sent.
+	ApplyDocuments(documents Documents, from string, askedAt time.Time)
 	// CallStore makes a call to the store for another node.
 	CallStore(ctx context.Context, call StoreCall) StoreAnswer
 }
@@ -84,20 +84,20 @@
 // Slots receives the messages of other nodes about slots. An error means that the
 // message was not accepted.
 type Slots interface {
-	HearState(from string, lane grant.Lane, state grant.State) error
-	HearReply(from string, lane grant.Lane, reply grant.Reply) error
+	HandleState(from string, lane grant.Lane, state grant.State) error
+	HandleReply(from string, lane grant.Lane, reply grant.Reply) error
 }
 
 // Crashes receives the reports of other nodes about engines that crashed on certain contents.
 type Crashes interface {
-	Hear(from string, crashes []quarantine.Crash)
-	// Gravest returns the reports that a node needs when it has just started.
-	Gravest() []quarantine.Crash
+	AddPeerCrashes(from string, crashes []quarantine.Crash)
+	// StartupReports returns the reports that a node needs when it has just started.
+	StartupReports() []quarantine.Crash
 }
 
 // Watchers receives the liveness messages of other nodes.
 type Watchers interface {
-	HearLiveness(from string, message liveness.Message)
+	HandleLiveness(from string, message liveness.Message)
 }
 
 // Config sets the address of a node and the interval of its questions.
@@ -220,7 +220,7 @@
 func (s *Share) askPeersWhileBlind(ctx context.Context) {
 	for wait.For(ctx, s.config.AskEvery) {
 		peers := s.askablePeers()
-		if !s.local.Blind() || len(peers) == 0 {
+		if !s.local.StoreUnreachable() || len(peers) == 0 {
 			continue
 		}
 		peer := peers[rand.IntN(len(peers))]
@@ -228,10 +228,10 @@
 		documents, askedAt, err := s.askPeer(ctx, peer)
 		documents.Stale = documents.Stale || s.local.Suspensions() != suspensions
 		if err != nil {
-			events.PeerNotAsked.Log(s.logger, zap.String("peer", peer), zap.Error(err))
+			events.PeerUnanswered.Log(s.logger, zap.String("peer", peer), zap.Error(err))
 			continue
 		}
-		s.local.Learn(documents, peer, askedAt)
+		s.local.ApplyDocuments(documents, peer, askedAt)
 	}
 }
 
--- a/internal/peer/sharing/sharing_test.go
+++ b/internal/peer/sharing/sharing_test.go
@@ -46,27 +46,29 @@
 	return &fakeNode{learned: make(chan learnedAnswer, 10), heard: make(chan message, 10), alive: make(chan liveness.Message, 10)}
 }
 
-func (l *fakeNode) Peers() []string     { return l.peers }
-func (l *fakeNode) Seeds() []string     { return nil }
-func (l *fakeNode) Suspensions() uint64 { return l.suspensions.Load() }
-func (l *fakeNode) Blind() bool         { return l.blind }
-func (l *fakeNode) Question() Question  { return Question{RoutesVersion: 3, RowsSince: 7} }
+func (l *fakeNode) Peers() []string        { return l.peers }
+func (l *fakeNode) Seeds() []string        { return nil }
+func (l *fakeNode) Suspensions() uint64    { return l.suspensions.Load() }
+func (l *fakeNode) StoreUnreachable() bool { return l.blind }
+func (l *fakeNode) Question() Question     { return Question{RoutesVersion: 3, RowsSince: 7} }
 
-func (l *fakeNode) HearState(_ string, lane grant.Lane, state grant.State) error {
+func (l *fakeNode) HandleState(_ string, lane grant.Lane, state grant.State) error {
 	l.heard <- message{Lane: lane, State: &state}
 	return nil
 }
 
-func (l *fakeNode) HearReply(_ string, lane grant.Lane, reply grant.Reply) error {
+func (l *fakeNode) HandleReply(_ string, lane grant.Lane, reply grant.Reply) error {
 	l.heard <- message{Lane: lane, Reply: &reply}
 	return nil
 }
 
-func (l *fakeNode) Hear(_ string, crashes []quarantine.Crash) { l.heard <- message{Crashes: crashes} }
+func (l *fakeNode) AddPeerCrashes(_ string, crashes []quarantine.Crash) {
+	l.heard <- message{Crashes: crashes}
+}
 
-func (l *fakeNode) HearLiveness(_ string, msg liveness.Message) { l.alive <- msg }
+func (l *fakeNode) HandleLiveness(_ string, msg liveness.Message) { l.alive <- msg }
 
-func (l *fakeNode) Gravest() []quarantine.Crash { return l.gravest }
+func (l *fakeNode) StartupReports() []quarantine.Crash { return l.gravest }
 
 func (l *fakeNode) CallStore(context.Context, StoreCall) StoreAnswer {
 	l.mu.Lock()
@@ -84,7 +86,7 @@
 	return l.documents
 }
 
-func (l *fakeNode) Learn(documents Documents, _ string, askedAt time.Time) {
+func (l *fakeNode) ApplyDocuments(documents Documents, _ string, askedAt time.Time) {
 	l.learned <- learnedAnswer{documents, askedAt}
 }
 
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -42,7 +42,7 @@
 	for {
 		f, size, err := s.wire.decoder.decode()
 		if err != nil {
-			s.err = ErrLost
+			s.err = ErrConnectionLost
 			return
 		}
 		s.node.traffic.received(f.msgType, size)
@@ -53,7 +53,7 @@
 		select {
 		case s.incoming <- f.message:
 		case <-s.closed:
-			s.err = ErrLost
+			s.err = ErrConnectionLost
 			return
 		}
 	}
@@ -68,7 +68,7 @@
 	return s.send(&frame{kind: frameMessage, message: message, msgType: msgType})
 }
 
-// send writes and flushes a frame. If that fails, it aborts the stream and returns ErrLost.
+// send writes and flushes a frame. If that fails, it aborts the stream and returns ErrConnectionLost.
 func (s *stream) send(f *frame) error {
 	s.sendMu.Lock()
 	defer s.sendMu.Unlock()
@@ -79,7 +79,7 @@
 	}
 	if err != nil {
 		s.abort()
-		return ErrLost
+		return ErrConnectionLost
 	}
 	s.node.traffic.sent(f.msgType, size)
 	return nil
--- a/internal/rows/audit.go
+++ b/internal/rows/audit.go
@@ -30,14 +30,14 @@
 
 // Revisions requests the table's state from every live node and returns the
 // answers sorted by node.
-func (s *Service) Revisions(ctx context.Context) []NodeRevision {
+func (s *Service) Revisions(ctx context.Context) []NodeTableStatus {
 	members := s.bus.View().Live()
-	revisions := make([]NodeRevision, len(members))
+	revisions := make([]NodeTableStatus, len(members))
 	var group errgroup.Group
 	group.SetLimit(maxStatusCalls)
 	for i, member := range members {
 		group.Go(func() error {
-			revisions[i] = NodeRevision{Node: member.ID, Zone: member.Zone}
+			revisions[i] = NodeTableStatus{Node: member.ID, Zone: member.Zone}
 			status, known := s.status(), true
 			if member.ID != s.bus.Self() {
 				answer, err := s.call(ctx, member.ID, statusRequest{Asked: true})
@@ -52,7 +52,7 @@
 		})
 	}
 	_ = group.Wait() // the functions return no errors
-	slices.SortFunc(revisions, func(a, b NodeRevision) int { return strings.Compare(string(a.Node), string(b.Node)) })
+	slices.SortFunc(revisions, func(a, b NodeTableStatus) int { return strings.Compare(string(a.Node), string(b.Node)) })
 	return revisions
 }
 
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -84,8 +84,8 @@
 	Edit(ctx context.Context, edit Edit) (EditResult, error)
 }
 
-// NodeRevision describes one node's copy of the table.
-type NodeRevision struct {
+// NodeTableStatus describes one node's copy of the table.
+type NodeTableStatus struct {
 	Node identity.NodeID `json:"node"`
 	Zone string          `json:"zone"`
 	// Known is false if the node did not answer in time.
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -2,7 +2,7 @@
 // which a node measures the age of its state, does not advance during a suspension, and
 // timers do not run. After resuming, a node would therefore treat old state as fresh.
 // Components register corrections of their state, and code that is about to act on such
-// state calls Look first.
+// state calls Check first.
 package suspension
 
 import (
@@ -54,10 +54,10 @@
 	return ahead
 }
 
-// Least is the shortest suspension that is detected. It is well above the noise of the
+// MinDetected is the shortest suspension that is detected. It is well above the noise of the
 // clocks and below the shortest timeout that nodes apply to each other
-// (grant.DispatcherConfig.UnusedAfter).
-const Least = 50 * time.Millisecond
+// (grant.DispatcherConfig.GrantTimeout).
+const MinDetected = 50 * time.Millisecond
 
 // Watch detects suspensions and runs the registered corrections. A nil Watch detects none.
 type Watch struct {
@@ -78,18 +78,18 @@
 	return watch
 }
 
-// OnWake registers a function that corrects a component's state by the length of a
-// suspension. The function must not call Look. OnWake must be called before the watch is
+// OnResume registers a function that corrects a component's state by the length of a
+// suspension. The function must not call Check. OnResume must be called before the watch is
 // used.
-func (w *Watch) OnWake(correct func(gap time.Duration)) {
+func (w *Watch) OnResume(correct func(gap time.Duration)) {
 	if w != nil {
 		w.corrections = append(w.corrections, correct)
 	}
 }
 
-// Look checks whether the machine was suspended since the last correction. If so, it runs
+// Check checks whether the machine was suspended since the last correction. If so, it runs
 // all corrections and returns when they are complete. The caller must hold no lock.
-func (w *Watch) Look() {
+func (w *Watch) Check() {
 	if w == nil || !w.clocksDiverged() {
 		return
 	}
@@ -97,7 +97,7 @@
 	defer w.correctMutex.Unlock()
 	suspended := w.clock.Suspended()
 	gap := suspended - time.Duration(w.corrected.Load())
-	if gap < Least {
+	if gap < MinDetected {
 		return // another caller has run the corrections
 	}
 	w.noticed.Add(1)
@@ -108,14 +108,14 @@
 	w.corrected.Store(int64(suspended))
 }
 
-// clocksDiverged reports whether the clocks have diverged by Least or more since the last
+// clocksDiverged reports whether the clocks have diverged by MinDetected or more since the last
 // correction.
 func (w *Watch) clocksDiverged() bool {
-	return w.clock.Suspended()-time.Duration(w.corrected.Load()) >= Least
+	return w.clock.Suspended()-time.Duration(w.corrected.Load()) >= MinDetected
 }
 
 // Total returns the total suspension time detected so far, including a suspension whose
-// corrections are still running. It serves state that an OnWake function cannot know yet
+// corrections are still running. It serves state that an OnResume function cannot know yet
 // when it runs.
 func (w *Watch) Total() time.Duration {
 	if w == nil {
@@ -133,18 +133,18 @@
 	if w == nil {
 		return 0
 	}
-	w.Look()
+	w.Check()
 	return w.noticed.Load()
 }
 
-// lookInterval is the interval of Look calls by Run. It bounds the delay until requests
+// lookInterval is the interval of Check calls by Run. It bounds the delay until requests
 // whose deadline passed during a suspension are ended.
 const lookInterval = 250 * time.Millisecond
 
-// Run calls Look every lookInterval until ctx is done.
+// Run calls Check every lookInterval until ctx is done.
 func (w *Watch) Run(ctx context.Context) error {
 	for wait.For(ctx, lookInterval) {
-		w.Look()
+		w.Check()
 	}
 	return nil
 }
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -15,11 +15,11 @@
 	clock.Suspend(time.Hour) // before the node started
 	watch := suspension.NewWatch(clock)
 	var corrected atomic.Int64
-	watch.OnWake(func(gap time.Duration) {
-		time.Sleep(5 * time.Millisecond) // other goroutines call Look meanwhile
+	watch.OnResume(func(gap time.Duration) {
+		time.Sleep(5 * time.Millisecond) // other goroutines call Check meanwhile
 		corrected.Add(int64(gap))
 	})
-	watch.Look()
+	watch.Check()
 	if corrected.Load() != 0 {
 		t.Error("a suspension before the start was corrected")
 	}
@@ -27,7 +27,7 @@
 	var group sync.WaitGroup
 	for range 8 {
 		group.Go(func() {
-			watch.Look()
+			watch.Check()
 			if got := time.Duration(corrected.Load()); got != 3*time.Second {
 				t.Errorf("Look returned after a correction of %v, want 3s", got)
 			}
@@ -43,12 +43,12 @@
 	clock := &suspensiontest.Clock{}
 	watch := suspension.NewWatch(clock)
 	var corrected time.Duration
-	watch.OnWake(func(gap time.Duration) { corrected += gap })
+	watch.OnResume(func(gap time.Duration) { corrected += gap })
 	for range 10 {
-		clock.Suspend(suspension.Least / 4)
-		watch.Look()
+		clock.Suspend(suspension.MinDetected / 4)
+		watch.Check()
 	}
-	if corrected != 2*suspension.Least {
+	if corrected != 2*suspension.MinDetected {
 		t.Errorf("corrected %v, want twice Least", corrected)
 	}
 }
@@ -57,15 +57,15 @@
 	clock := suspension.NewSystemClock()
 	before := clock.Suspended()
 	time.Sleep(30 * time.Millisecond)
-	if drift := (clock.Suspended() - before).Abs(); drift >= suspension.Least {
+	if drift := (clock.Suspended() - before).Abs(); drift >= suspension.MinDetected {
 		t.Errorf("the clocks diverged by %v", drift)
 	}
 }
 
 func TestNilWatch(t *testing.T) {
 	var watch *suspension.Watch
-	watch.OnWake(func(time.Duration) { t.Error("a nil Watch called a correction") })
-	watch.Look()
+	watch.OnResume(func(time.Duration) { t.Error("a nil Watch called a correction") })
+	watch.Check()
 	if watch.Count() != 0 {
 		t.Error("a nil Watch detected a suspension")
 	}
@@ -74,6 +74,6 @@
 func BenchmarkLook(b *testing.B) {
 	watch := suspension.NewWatch(suspension.NewSystemClock())
 	for b.Loop() {
-		watch.Look()
+		watch.Check()
 	}
 }
