--- a/cmd/ringstream-bench/soak.go
+++ b/cmd/ringstream-bench/soak.go
@@ -33,17 +33,17 @@
 			} else if options.Seed == 0 {
 				seeds = []uint64{uint64(time.Now().UnixNano())} //nolint:gosec // any number
 			}
-			options.Said = func(line string) { _, _ = fmt.Fprintln(command.ErrOrStderr(), line) }
+			options.OnFault = func(line string) { _, _ = fmt.Fprintln(command.ErrOrStderr(), line) }
 			return soakSeeds(command, options, seeds)
 		},
 	}
 	flags := command.Flags()
 	flags.StringVar(&options.Binary, "binary", "bin/ringstream", "the ringstream program")
-	flags.StringVar(&options.Former, "former", "", "an older build that the nodes begin with, and are rolled from")
+	flags.StringVar(&options.PreviousBinary, "former", "", "an older build that the nodes begin with, and are rolled from")
 	flags.StringVar(&options.Folder, "out", "out/soak", "folder for settings, logs and reports, by seed")
 	flags.Uint64Var(&options.Seed, "seed", 0, "seed of faults and calls; 0: a fresh one")
 	flags.StringVar(&seedsFile, "seeds", "", "run the seeds that a file lists, the first word of a line each")
-	flags.DurationVar(&options.For, "for", time.Minute, "how long faults strike, for each seed")
+	flags.DurationVar(&options.FaultDuration, "for", time.Minute, "how long faults strike, for each seed")
 	flags.IntVar(&options.Nodes, "nodes", 4, "processes")
 	flags.IntVar(&options.Engines, "engines", 6, "engine stand-ins")
 	flags.IntVar(&options.Callers, "callers", 10, "callers at the same time")
--- a/cmd/ringstream/explain.go
+++ b/cmd/ringstream/explain.go
@@ -55,7 +55,7 @@
 				_, err := fmt.Fprint(command.OutOrStdout(), explain.Summarize(lines).Text())
 				return err
 			}
-			story := explain.Story(lines, args[0], before)
+			story := explain.Timeline(lines, args[0], before)
 			if story == nil {
 				return &idNotFoundError{id: args[0], lines: len(lines)}
 			}
--- a/internal/bench/faults/faults.go
+++ b/internal/bench/faults/faults.go
@@ -43,8 +43,8 @@
 		{"engine_killed", "the engine dies with all that it runs, and comes back empty", killEngine, 5 * time.Second},
 		{"engine_hung", "the engine answers nothing and makes no token", onEngine(func(s *emulator.FaultSettings) { s.Hang, s.Stall = true, true }), longFault},
 		{"engine_stalled", "the engine answers calls and makes no token", onEngine(func(s *emulator.FaultSettings) { s.Stall = true }), longFault},
-		{"engine_late", "the engine's tokens come 1.5 s late", onEngine(func(s *emulator.FaultSettings) { s.LateMillis = 1500 }), shortFault},
-		{"engine_crossed", "streams carry lines of other attempts", onEngine(func(s *emulator.FaultSettings) { s.CrossStreams, s.DropStreamAfter = 6, 3 }), shortFault},
+		{"engine_late", "the engine's tokens come 1.5 s late", onEngine(func(s *emulator.FaultSettings) { s.WriteDelayMillis = 1500 }), shortFault},
+		{"engine_crossed", "streams carry lines of other attempts", onEngine(func(s *emulator.FaultSettings) { s.MixStreams, s.DropStreamAfter = 6, 3 }), shortFault},
 		{"engine_drops", "streams are cut after 3 tokens", onEngine(func(s *emulator.FaultSettings) { s.DropStreams, s.DropStreamAfter = 6, 3 }), shortFault},
 		{"engine_leaves", "the engine takes no new work, and the machine list says so late", drainEngine, longFault},
 		{"engine_answer_lost", "the engine takes calls and its answers are lost", onEngine(func(s *emulator.FaultSettings) { s.LoseAnswers = 3 }), shortFault},
@@ -119,8 +119,8 @@
 		}
 		return func() {
 			for _, other := range others {
-				c.fleet.network.Join(host, other)
-				c.fleet.network.Join(other, host)
+				c.fleet.network.Heal(host, other)
+				c.fleet.network.Heal(other, host)
 			}
 			c.recordOutage(away, host)
 		}
@@ -169,11 +169,11 @@
 	away := ledger.NodeStop{Node: at.node, At: time.Now()}
 	zone := zones[at.node]
 	c.markDisturbed(at.node)
-	c.fleet.network.Lose(c.fleet.members[at.node].host)
+	c.fleet.network.Isolate(c.fleet.members[at.node].host)
 	var restarts []func()
 	for _, machine := range c.fleet.platform.Machines.Current() {
 		if machine.Zone == zone {
-			c.fleet.network.Lose(c.fleet.platform.Host(machine.ID))
+			c.fleet.network.Isolate(c.fleet.platform.Host(machine.ID))
 			restarts = append(restarts, c.loseEngine(machine.ID))
 		}
 	}
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -249,7 +249,7 @@
 	engine := EngineConfig(from)
 	model := measure.EngineModel{
 		Slots: map[string]int{}, PrefixTokens: map[string]int{},
-		StepBase: engine.StepBase, StepPerSequence: engine.StepPerSequence, StepPerPrefill: engine.StepPerPrefill,
+		StepBase: engine.StepBase, StepPerSequence: engine.StepPerSequence, StepPerPrefill: engine.StepPerPrefillToken,
 	}
 	for _, engine := range stand.Engines {
 		model.Slots[engine.ID()] = engine.MaxRunning()
@@ -267,7 +267,7 @@
 		for _, entry := range engine.Ledger() {
 			addEntry(into, engine.ID(), entry, names[entry.PromptHash])
 		}
-		for _, stood := range engine.Standstills() {
+		for _, stood := range engine.SchedulingStalls() {
 			into.Standstills = append(into.Standstills, ledger.Standstill{Engine: engine.ID(), From: stood.From, Until: stood.Until})
 		}
 	}
--- a/internal/bench/soak/deadly.go
+++ b/internal/bench/soak/deadly.go
@@ -122,14 +122,14 @@
 	job, item := s.ids.next("j"), s.ids.next("d")
 	body := deadlyBodyPrefix + s.ids.next("b")
 	for range maxJobTries {
-		reply := platformtest.Send(ctx, platformtest.HandInOne(s.nodes[random.IntN(len(s.nodes))].callerLink.address(), job, item, body))
+		reply := platformtest.Send(ctx, platformtest.SubmitOneItem(s.nodes[random.IntN(len(s.nodes))].callerLink.address(), job, item, body))
 		if reply.Err == nil && reply.Status == http.StatusAccepted || !wait.For(ctx, jobPause) {
 			break
 		}
 	}
 	wait.For(ctx, randomDuration(random, time.Second, 8*time.Second))
 	for range maxJobTries {
-		reply := platformtest.Send(context.WithoutCancel(ctx), platformtest.End(s.nodes[random.IntN(len(s.nodes))].callerLink.address(), job))
+		reply := platformtest.Send(context.WithoutCancel(ctx), platformtest.CancelJob(s.nodes[random.IntN(len(s.nodes))].callerLink.address(), job))
 		if reply.Err == nil && reply.Status == http.StatusOK || !wait.For(ctx, jobPause) {
 			return
 		}
--- a/internal/bench/soak/judge_test.go
+++ b/internal/bench/soak/judge_test.go
@@ -95,7 +95,7 @@
 		"a result changes": {"results_do_not_change", func(j *judge) []engineRun {
 			job := &jobRecord{id: "j-1", items: []string{"i-1"}, accepted: true}
 			j.addJob(job)
-			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{{ID: "i-1", State: platformtest.StateGivenUp}}})
+			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{{ID: "i-1", State: platformtest.StateDeadLetter}}})
 			j.addResults(job, 0, platformtest.Results{Total: 1, Results: []platformtest.Result{succeeded(j, "i-1")}})
 			return nil
 		}},
--- a/internal/bench/soak/process.go
+++ b/internal/bench/soak/process.go
@@ -37,8 +37,8 @@
 	readyAddress  string
 	peerAddress   string
 	callerLink    *proxy // from callers to the node
-	door          *platformtest.Door
-	storeLink     *proxy // from the node to its door of the store
+	door          *platformtest.Endpoint
+	storeLink     *proxy // from the node to its endpoint of the store
 	judge         *judge
 	settings      string
 
@@ -114,7 +114,7 @@
 // newNode creates a node and writes its settings. It does not start the process.
 func (s *soak) newNode(number int, seed string) (*nodeProcess, error) {
 	node := &nodeProcess{
-		name: fmt.Sprintf("n%d", number), zone: fmt.Sprintf("z%d", number%2), binary: cmp.Or(s.options.Former, s.options.Binary),
+		name: fmt.Sprintf("n%d", number), zone: fmt.Sprintf("z%d", number%2), binary: cmp.Or(s.options.PreviousBinary, s.options.Binary),
 		folder: s.options.Folder, judge: s.judge, state: nodeDead,
 	}
 	for _, address := range []*string{&node.callerAddress, &node.readyAddress, &node.peerAddress} {
--- a/internal/bench/soak/restarts.go
+++ b/internal/bench/soak/restarts.go
@@ -53,10 +53,10 @@
 func (s *soak) startNextIncarnation(former *engineLink) *engineLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	former.EndUnder("", nil) // the next incarnation uses the same link
+	former.CrashOn("", nil) // the next incarnation uses the same link
 	next := &engineLink{Engine: former.Restart(time.Now().UnixMilli()), link: former.link, zone: former.zone}
 	next.Pace(eventInterval)
-	next.EndUnder(deadlyBodyPrefix, func() { s.engineEnded(next) })
+	next.CrashOn(deadlyBodyPrefix, func() { s.engineEnded(next) })
 	s.engines = append(s.engines, next)
 	return next
 }
@@ -83,7 +83,7 @@
 func (j *judge) addRestart(engine *engineLink, listed time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.restarts = append(j.restarts, engineRestart{incarnation: incarnationName(engine.ID, engine.Born), listed: listed})
+	j.restarts = append(j.restarts, engineRestart{incarnation: incarnationName(engine.ID, engine.StartedAtMs), listed: listed})
 }
 
 // concludeRestarts judges the choices of engines in the nodes' log files.
--- a/internal/bench/soak/roll.go
+++ b/internal/bench/soak/roll.go
@@ -6,12 +6,12 @@
 // then upgrades all nodes. Nodes of both builds run side by side in the meantime, while all other
 // faults are injected.
 func (s *soak) rollBuilds(ctx context.Context) {
-	if s.options.Former == "" {
+	if s.options.PreviousBinary == "" {
 		return
 	}
 	half := s.nodes[:(len(s.nodes)+1)/2]
 	s.rollTo(ctx, half, s.options.Binary)
-	s.rollTo(ctx, half, s.options.Former)
+	s.rollTo(ctx, half, s.options.PreviousBinary)
 	s.rollTo(ctx, s.nodes, s.options.Binary)
 }
 
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -22,16 +22,16 @@
 
 // Options configures a soak.
 type Options struct {
-	Binary  string        // path of the ringstream binary
-	Former  string        // path of an older build that the nodes start with and are upgraded from; empty: none
-	Folder  string        // for settings and logs; it must exist
-	Seed    uint64        // of the faults and calls
-	For     time.Duration // how long faults are injected
-	Nodes   int
-	Engines int
-	Callers int
-	// Said is called with a line for each fault; nil discards the lines.
-	Said func(string)
+	Binary         string        // path of the ringstream binary
+	PreviousBinary string        // path of an older build that the nodes start with and are upgraded from; empty: none
+	Folder         string        // for settings and logs; it must exist
+	Seed           uint64        // of the faults and calls
+	FaultDuration  time.Duration // how long faults are injected
+	Nodes          int
+	Engines        int
+	Callers        int
+	// OnFault is called with a line for each fault; nil discards the lines.
+	OnFault func(string)
 }
 
 // Size limits, which fit a machine with 16 GB of memory and a few hundred processes.
@@ -52,8 +52,8 @@
 			problems = append(problems, fmt.Errorf("%s: %d given, allowed is %d to %d", bound.name, bound.value, bound.minimum, bound.maximum))
 		}
 	}
-	if o.For <= 0 {
-		problems = append(problems, fmt.Errorf("for: %v given, allowed is more than 0", o.For))
+	if o.FaultDuration <= 0 {
+		problems = append(problems, fmt.Errorf("for: %v given, allowed is more than 0", o.FaultDuration))
 	}
 	return errors.Join(problems...)
 }
@@ -198,14 +198,14 @@
 	s.lastEngineNumber++
 	engine := platformtest.NewEngine(fmt.Sprintf("e%d", s.lastEngineNumber), eventsPerAnswer)
 	engine.Pace(eventInterval)
-	engine.Born = time.Now().UnixMilli()
+	engine.StartedAtMs = time.Now().UnixMilli()
 	link, err := newProxy(engine.Address())
 	if err != nil {
 		return err
 	}
-	engine.Front = link.address()
+	engine.AdvertisedAddress = link.address()
 	linked := &engineLink{Engine: engine, link: link, zone: fmt.Sprintf("z%d", s.lastEngineNumber%2)}
-	engine.EndUnder(deadlyBodyPrefix, func() { s.engineEnded(linked) })
+	engine.CrashOn(deadlyBodyPrefix, func() { s.engineEnded(linked) })
 	s.engines = append(s.engines, linked)
 	s.store.List(engine, linked.zone, "ready")
 	return nil
--- a/internal/bench/soak/stalls.go
+++ b/internal/bench/soak/stalls.go
@@ -63,7 +63,7 @@
 	defer s.feedControl.Unlock()
 	s.beginStoreFault()
 	defer s.endStoreFault()
-	s.store.Hush()
+	s.store.MuteFeeds()
 	total := randomDuration(random, 800*time.Millisecond, 2500*time.Millisecond)
 	before := randomDuration(random, 0, total)
 	wait.For(ctx, before)
@@ -72,5 +72,5 @@
 	if random.IntN(2) == 0 {
 		s.store.DropHistory()
 	}
-	s.store.Speak()
+	s.store.UnmuteFeeds()
 }
--- a/internal/bench/soak/strike.go
+++ b/internal/bench/soak/strike.go
@@ -77,7 +77,7 @@
 	for _, kind := range kinds {
 		total += kind.weight
 	}
-	deadline := time.Now().Add(s.options.For)
+	deadline := time.Now().Add(s.options.FaultDuration)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		kind := drawKind(kinds, random.IntN(total))
 		inject(random, rand.New(rand.NewPCG(s.options.Seed, random.Uint64())), kind)
@@ -102,8 +102,8 @@
 	s.mu.Lock()
 	s.counts[name]++
 	s.mu.Unlock()
-	if s.options.Said != nil {
-		s.options.Said(fmt.Sprintf("%8.2fs %s", time.Since(s.judge.started).Seconds(), name))
+	if s.options.OnFault != nil {
+		s.options.OnFault(fmt.Sprintf("%8.2fs %s", time.Since(s.judge.started).Seconds(), name))
 	}
 }
 
@@ -203,33 +203,33 @@
 	node.beginFault()
 	node.door.Set(doorFaults[random.IntN(len(doorFaults))], random.IntN(2) == 0)
 	wait.For(ctx, randomDuration(random, 300*time.Millisecond, 5*time.Second))
-	node.door.Set(platformtest.Well, false)
+	node.door.Set(platformtest.NoFault, false)
 	node.endFault()
 }
 
 func (s *soak) disturbStoreForAll(ctx context.Context, random *rand.Rand) {
 	kind, writes := doorFaults[random.IntN(len(doorFaults))], random.IntN(2) == 0
-	s.disturbAllDoors(ctx, randomDuration(random, 300*time.Millisecond, 4*time.Second), func(door *platformtest.Door) { door.Set(kind, writes) },
-		func(door *platformtest.Door) { door.Set(platformtest.Well, false) })
+	s.disturbAllDoors(ctx, randomDuration(random, 300*time.Millisecond, 4*time.Second), func(door *platformtest.Endpoint) { door.Set(kind, writes) },
+		func(door *platformtest.Endpoint) { door.Set(platformtest.NoFault, false) })
 }
 
 func (s *soak) slowStore(ctx context.Context, random *rand.Rand) {
 	delay := randomDuration(random, 50*time.Millisecond, 400*time.Millisecond)
-	s.disturbAllDoors(ctx, randomDuration(random, time.Second, 5*time.Second), func(door *platformtest.Door) { door.Slow(delay) },
-		func(door *platformtest.Door) { door.Slow(0) })
+	s.disturbAllDoors(ctx, randomDuration(random, time.Second, 5*time.Second), func(door *platformtest.Endpoint) { door.Slow(delay) },
+		func(door *platformtest.Endpoint) { door.Slow(0) })
 }
 
 // delayTransactions leaves transactions unanswered and applies them seconds later.
 func (s *soak) delayTransactions(ctx context.Context, random *rand.Rand) {
 	s.beginStoreFault()
-	s.disturbAllDoors(ctx, randomDuration(random, 100*time.Millisecond, 600*time.Millisecond), func(door *platformtest.Door) { door.Set(platformtest.LateEffect, true) },
-		func(door *platformtest.Door) { door.Set(platformtest.Well, false) })
+	s.disturbAllDoors(ctx, randomDuration(random, 100*time.Millisecond, 600*time.Millisecond), func(door *platformtest.Endpoint) { door.Set(platformtest.LateEffect, true) },
+		func(door *platformtest.Endpoint) { door.Set(platformtest.NoFault, false) })
 	wait.For(ctx, randomDuration(random, 100*time.Millisecond, 4*time.Second))
-	s.store.Land()
+	s.store.ApplyHeldTransactions()
 	s.endStoreFault()
 }
 
-func (s *soak) disturbAllDoors(ctx context.Context, duration time.Duration, begin, end func(*platformtest.Door)) {
+func (s *soak) disturbAllDoors(ctx context.Context, duration time.Duration, begin, end func(*platformtest.Endpoint)) {
 	s.beginStoreFault()
 	for _, node := range s.nodes {
 		begin(node.door)
@@ -250,7 +250,7 @@
 func (s *soak) makeEngineMisbehave(_ context.Context, random *rand.Rand) {
 	// Answers that end early without an error are left out: on a route that does not stream they
 	// cannot be told from whole answers.
-	kinds := []platformtest.Misbehaviour{
+	kinds := []platformtest.Behavior{
 		platformtest.Shed, platformtest.CutMidway, platformtest.CutBefore, platformtest.Unsealed, platformtest.Hang,
 	}
 	s.recordFault()
--- a/internal/bench/soak/workload.go
+++ b/internal/bench/soak/workload.go
@@ -58,7 +58,7 @@
 		s.judgePlannedStop(node, id, func() platformtest.Reply {
 			// The call continues after the end of the soak, so that its outcome is judged too.
 			reply := platformtest.Send(context.WithoutCancel(ctx), platformtest.Call{
-				Node: node.callerLink.address(), Method: http.MethodPost, Path: "/" + route + "/x", ID: id, Body: "prompt of " + id, Deadline: onlineDeadline, Keep: transport,
+				Node: node.callerLink.address(), Method: http.MethodPost, Path: "/" + route + "/x", ID: id, Body: "prompt of " + id, Deadline: onlineDeadline, Transport: transport,
 			})
 			s.judge.addAnswer(requestRecord{id: id, route: route, reply: reply})
 			return reply
@@ -112,7 +112,7 @@
 func (s *soak) submitJob(ctx context.Context, job *jobRecord, random *rand.Rand) {
 	for range maxJobTries {
 		node := s.nodes[random.IntN(len(s.nodes))]
-		reply := platformtest.Send(ctx, platformtest.HandIn(node.callerLink.address(), job.id, job.items))
+		reply := platformtest.Send(ctx, platformtest.SubmitJob(node.callerLink.address(), job.id, job.items))
 		s.judge.mu.Lock()
 		job.accepted = job.accepted || (reply.Err == nil && reply.Status == http.StatusAccepted)
 		job.refused = job.refused && (reply.Err == nil && promisesNotRun(reply.Status) || reply.Err != nil && !reply.Sent)
@@ -128,7 +128,7 @@
 	wait.For(ctx, time.Duration(random.IntN(400))*time.Millisecond)
 	for range maxJobTries {
 		node := s.nodes[random.IntN(len(s.nodes))]
-		reply := platformtest.Send(ctx, platformtest.End(node.callerLink.address(), job.id))
+		reply := platformtest.Send(ctx, platformtest.CancelJob(node.callerLink.address(), job.id))
 		if reply.Err == nil && reply.Status == http.StatusOK {
 			s.judge.mu.Lock()
 			job.ended = time.Now()
@@ -159,7 +159,7 @@
 func (s *soak) readJob(ctx context.Context, job *jobRecord, node *nodeProcess, from int, hold time.Duration) {
 	before := node.condition()
 	sent := time.Now()
-	call := platformtest.Read(node.callerLink.address(), job.id, from)
+	call := platformtest.ReadResults(node.callerLink.address(), job.id, from)
 	call.Wait = hold
 	reply := platformtest.Send(ctx, call)
 	read := resultRead{node: node.name, from: from, sent: sent, answered: time.Now(), undisturbed: s.undisturbedThroughout(node, before, sent)}
--- a/internal/core/batch/job.go
+++ b/internal/core/batch/job.go
@@ -143,9 +143,9 @@
 	return index, true
 }
 
-// Return puts a running item back to Waiting. It returns false if the job is
+// Requeue puts a running item back to Waiting. It returns false if the job is
 // closed or the item is not Running.
-func (j *Job) Return(index int) bool {
+func (j *Job) Requeue(index int) bool {
 	if j.closed || j.phases[index] != Running {
 		return false
 	}
--- a/internal/core/batch/job_test.go
+++ b/internal/core/batch/job_test.go
@@ -109,7 +109,7 @@
 	index := rapid.IntRange(0, len(j.model.items)-1).Draw(t, "index")
 	item := &j.model.items[index]
 	want := !j.model.closed && item.phase == Running
-	if got := j.job.Return(index); got != want {
+	if got := j.job.Requeue(index); got != want {
 		t.Fatalf("Return(%d): %v, want %v", index, got, want)
 	}
 	if want {
@@ -235,10 +235,10 @@
 		var candidates []Candidate
 		for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
 			candidates = append(candidates, Candidate{
-				Job:      identity.JobID(fmt.Sprint(i)),
-				Deadline: start.Add(time.Duration(rapid.IntRange(-3600, 36_000).Draw(t, "deadline")) * time.Second),
-				Work:     time.Duration(rapid.IntRange(0, 3600).Draw(t, "work")) * time.Second,
-				Weight:   rapid.IntRange(1, 50).Draw(t, "weight"),
+				Job:           identity.JobID(fmt.Sprint(i)),
+				Deadline:      start.Add(time.Duration(rapid.IntRange(-3600, 36_000).Draw(t, "deadline")) * time.Second),
+				RemainingWork: time.Duration(rapid.IntRange(0, 3600).Draw(t, "work")) * time.Second,
+				Weight:        rapid.IntRange(1, 50).Draw(t, "weight"),
 			})
 		}
 		var scheduler Scheduler
@@ -272,7 +272,7 @@
 			return last[candidates[a].Job] - last[candidates[b].Job]
 		}
 		key := func(c Candidate) float64 {
-			slack := (c.Deadline.Sub(now) - c.Work).Seconds()
+			slack := (c.Deadline.Sub(now) - c.RemainingWork).Seconds()
 			if slack > 0 {
 				return slack / float64(c.Weight)
 			}
@@ -292,8 +292,8 @@
 func TestForecastAddsUpTheWorkAhead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	finish := Forecast(now, []Candidate{
-		{Job: "late", Deadline: now.Add(3 * time.Hour), Work: time.Hour, Weight: 1},
-		{Job: "soon", Deadline: now.Add(time.Hour), Work: 30 * time.Minute, Weight: 1},
+		{Job: "late", Deadline: now.Add(3 * time.Hour), RemainingWork: time.Hour, Weight: 1},
+		{Job: "soon", Deadline: now.Add(time.Hour), RemainingWork: 30 * time.Minute, Weight: 1},
 	})
 	want := map[identity.JobID]time.Time{"soon": now.Add(30 * time.Minute), "late": now.Add(90 * time.Minute)}
 	if diff := cmp.Diff(want, finish); diff != "" {
--- a/internal/core/batch/model_steps_test.go
+++ b/internal/core/batch/model_steps_test.go
@@ -162,7 +162,7 @@
 		}
 	}
 	if r := node.pending; r != nil && len(r.intents) > 0 && node.job.phases[nonRepeatableItem] == Running && !node.sent[nonRepeatableItem] {
-		add(true, name("gives the intent up"), func(w *world) { w.nodes[i].job.Return(nonRepeatableItem) })
+		add(true, name("gives the intent up"), func(w *world) { w.nodes[i].job.Requeue(nonRepeatableItem) })
 	}
 	if node.pending == nil && len(node.ready) > 0 {
 		add(false, name("commits"), func(w *world) { w.commit(i, nil) })
--- a/internal/core/batch/model_test.go
+++ b/internal/core/batch/model_test.go
@@ -124,7 +124,7 @@
 
 func modelMachine(node, restarts int) lease.Machine {
 	machine := lease.Machine{Node: identity.NodeID(fmt.Sprint(node)), Session: fmt.Sprintf("s%d.%d", node, restarts), TimeToLive: time.Second}
-	machine.Want(true)
+	machine.SetWanted(true)
 	return machine
 }
 
--- a/internal/core/batch/schedule.go
+++ b/internal/core/batch/schedule.go
@@ -12,15 +12,15 @@
 type Candidate struct {
 	Job      identity.JobID
 	Deadline time.Time
-	// Work is the estimated time for the job's remaining items at the current rate.
-	Work time.Duration
+	// RemainingWork is the estimated time for the job's remaining items at the current rate.
+	RemainingWork time.Duration
 	// Weight is the weight of the job's row; at least 1.
 	Weight int
 }
 
 // Slack returns how long the job can still wait and meet its deadline. It is
 // negative if the job is late.
-func (c Candidate) Slack(now time.Time) time.Duration { return c.Deadline.Sub(now) - c.Work }
+func (c Candidate) Slack(now time.Time) time.Duration { return c.Deadline.Sub(now) - c.RemainingWork }
 
 // urgency returns the sort key of a candidate in seconds; the lowest runs first.
 // Positive slack is divided by the weight, so that a job with a higher weight
@@ -77,27 +77,27 @@
 	return a.Compare(b, now) < 0
 }
 
-// Joined adds a job. For the fair picks it counts as picked most recently.
-func (s *Scheduler) Joined(job identity.JobID) {
+// Add adds a job. For the fair picks it counts as picked most recently.
+func (s *Scheduler) Add(job identity.JobID) {
 	if s.lastPick == nil {
 		s.lastPick = make(map[identity.JobID]uint64)
 	}
 	s.lastPick[job] = s.picks
 }
 
-// Left removes a job.
-func (s *Scheduler) Left(job identity.JobID) { delete(s.lastPick, job) }
+// Remove removes a job.
+func (s *Scheduler) Remove(job identity.JobID) { delete(s.lastPick, job) }
 
 // Forecast returns the expected completion time of each candidate if the
 // candidates run one after the other in order of urgency, at the total rate that
-// their Work is based on.
+// their RemainingWork is based on.
 func Forecast(now time.Time, candidates []Candidate) map[identity.JobID]time.Time {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b Candidate) int { return a.Compare(b, now) })
 	finish := make(map[identity.JobID]time.Time, len(ordered))
 	at := now
 	for _, candidate := range ordered {
-		at = at.Add(candidate.Work)
+		at = at.Add(candidate.RemainingWork)
 		finish[candidate.Job] = at
 	}
 	return finish
--- a/internal/core/grant/dispatcher.go
+++ b/internal/core/grant/dispatcher.go
@@ -368,10 +368,10 @@
 	}
 }
 
-// Suspended accounts for a suspension of this node's machine. It ages all received
+// AdjustForSuspension accounts for a suspension of this node's machine. It ages all received
 // reports by gap, so that nodes that have switched to another dispatcher meanwhile are
 // removed.
-func (d *Dispatcher) Suspended(gap time.Duration, now time.Time) {
+func (d *Dispatcher) AdjustForSuspension(gap time.Duration, now time.Time) {
 	for _, known := range d.nodes {
 		known.lastStateAt = known.lastStateAt.Add(-gap)
 		for _, request := range known.inFlight {
--- a/internal/core/grant/requester.go
+++ b/internal/core/grant/requester.go
@@ -252,8 +252,8 @@
 	r.scheduleSend(now)
 }
 
-// Observe records an engine's own count of its requests, to be sent with the next State.
-func (r *Requester) Observe(load Load) { r.loads[load.Engine] = load }
+// RecordReport records an engine's own count of its requests, to be sent with the next State.
+func (r *Requester) RecordReport(load Load) { r.loads[load.Engine] = load }
 
 // scheduleSend schedules a message within SendDelay of a time.
 func (r *Requester) scheduleSend(now time.Time) {
@@ -267,9 +267,9 @@
 	return min(max(time.Duration(r.config.ReplyTimeoutRoundTrips*float64(r.roundTrip)), r.config.MinReplyTimeout), r.config.MaxReplyTimeout)
 }
 
-// Suspended records that the node's machine was suspended. Grants from before may have
+// AdjustForSuspension records that the node's machine was suspended. Grants from before may have
 // been given to other nodes meanwhile.
-func (r *Requester) Suspended() { r.suspendedSequence = r.sequence }
+func (r *Requester) AdjustForSuspension() { r.suspendedSequence = r.sequence }
 
 // ReplyOutcome is what a node has to do after a Reply.
 type ReplyOutcome struct {
--- a/internal/core/grant/suspension_test.go
+++ b/internal/core/grant/suspension_test.go
@@ -24,7 +24,7 @@
 		d.state.Attached = true
 		d.state.Held = []Held{{ID: 1, Engine: EngineHash(enginechoice.Incarnation{ID: "e0"})}}
 		d.exchange()
-		d.Suspended(test.gap, d.now.Add(10*time.Millisecond))
+		d.AdjustForSuspension(test.gap, d.now.Add(10*time.Millisecond))
 		inFlight, _ := d.Counts()
 		if attached := d.Attached(d.now); inFlight != test.inFlight || attached != test.attached {
 			t.Errorf("suspended for %v: %d requests in flight and %d nodes attached, want %d and %d", test.gap, inFlight, attached, test.inFlight, test.attached)
@@ -44,7 +44,7 @@
 	if len(actions.Sends) != 1 {
 		t.Fatalf("got messages %+v, want one", actions.Sends)
 	}
-	r.Suspended()
+	r.AdjustForSuspension()
 	old := Reply{Life: 1, Sequence: actions.Sends[0].State.Sequence, Grants: []Grant{{ID: 5, Engine: 9}}}
 	if outcome := r.ApplyReply("d", old, now); len(outcome.Grants) > 0 || !r.IsWaiting(5) {
 		t.Errorf("got %+v for a reply from before the suspension, want no grant and the request still waiting", outcome)
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -96,8 +96,8 @@
 // fencing token.
 func (m *Machine) Lease() Versioned { return m.lastSeen }
 
-// Want sets whether this node should hold the shard.
-func (m *Machine) Want(wanted bool) Action {
+// SetWanted sets whether this node should hold the shard.
+func (m *Machine) SetWanted(wanted bool) Action {
 	switch {
 	case wanted && m.state == Idle:
 		m.state = Seeking
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -50,7 +50,7 @@
 	n.incarnations++
 	n.reads = nil // a new process has no state
 	n.machine = Machine{Node: identity.NodeID(fmt.Sprint(index)), Session: fmt.Sprintf("%d.%d", index, n.incarnations), TimeToLive: timeToLive}
-	n.machine.Want(true)
+	n.machine.SetWanted(true)
 	n.live = true
 	f.renew(n)
 }
@@ -160,7 +160,7 @@
 		f.shard = Versioned{n.machine.ReleaseRecord(), f.version}
 	}
 	n.machine.Released()
-	n.machine.Want(true)
+	n.machine.SetWanted(true)
 }
 
 func TestLeasesAreFencedWhateverTheTiming(t *testing.T) {
--- a/internal/core/quota/place.go
+++ b/internal/core/quota/place.go
@@ -67,7 +67,7 @@
 // nodes.
 type RateCounter struct {
 	margin        Margin
-	tenants       map[uint64]*placeBucket
+	tenants       map[uint64]*counterBucket
 	startPart     float64 // part of the margin that is granted as nodes first join
 	share         float64 // part of all nodes that belongs to this counter
 	maxShare      float64 // largest share so far
@@ -75,8 +75,8 @@
 	advancedAt    time.Time
 }
 
-// placeBucket is the token bucket of one tenant in a RateCounter.
-type placeBucket struct {
+// counterBucket is the token bucket of one tenant in a RateCounter.
+type counterBucket struct {
 	bucket
 	limit    RateLimit
 	filledAt float64 // RateCounter.activeSeconds when it was last filled
@@ -85,15 +85,15 @@
 
 // NewRateCounter returns a counter that does not know what was admitted before.
 func NewRateCounter(margin Margin, now time.Time) *RateCounter {
-	return &RateCounter{margin: margin, tenants: make(map[uint64]*placeBucket), startPart: startMargin, advancedAt: now}
+	return &RateCounter{margin: margin, tenants: make(map[uint64]*counterBucket), startPart: startMargin, advancedAt: now}
 }
 
 // NewIsolatedRateCounter returns the counter of a single node for the time in which it reaches
 // no other node. Its buckets start empty.
 func NewIsolatedRateCounter(margin Margin, now time.Time) *RateCounter {
-	place := NewRateCounter(margin, now)
-	place.startPart = 0
-	return place
+	counter := NewRateCounter(margin, now)
+	counter.startPart = 0
+	return counter
 }
 
 // SetLimits replaces the limits of all tenants. A tenant that is not in the map has
@@ -107,7 +107,7 @@
 	for tenant, limit := range limits {
 		known := p.tenants[tenant]
 		if known == nil {
-			known = &placeBucket{limit: limit, filledAt: p.activeSeconds}
+			known = &counterBucket{limit: limit, filledAt: p.activeSeconds}
 			known.level = min(limit.Burst, p.startPart*p.margin.requests(limit)) * p.maxShare
 			p.tenants[tenant] = known
 		}
@@ -137,7 +137,7 @@
 }
 
 // refill adds the refill of the time since a bucket was last filled.
-func (p *RateCounter) refill(known *placeBucket) {
+func (p *RateCounter) refill(known *counterBucket) {
 	known.fill((p.activeSeconds-known.filledAt)*p.rate(known.limit), p.capacity(known.limit))
 	known.filledAt = p.activeSeconds
 }
--- a/internal/core/quota/place_test.go
+++ b/internal/core/quota/place_test.go
@@ -41,36 +41,36 @@
 	return most
 }
 
-// TestPlaceAgainstAnExactBucket sends all requests through one counter. The counter must admit
+// TestRateCounterAgainstAnExactBucket sends all requests through one counter. The counter must admit
 // as many as a token bucket with the same initial level, and in any window no more than the
 // limit and the margin allow.
-func TestPlaceAgainstAnExactBucket(t *testing.T) {
+func TestRateCounterAgainstAnExactBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RateLimit{PerSecond: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(1, 200).Draw(t, "burst"))}
 		margin := Margin{Window: 5 * time.Second, Part: rapid.Float64Range(0, 0.2).Draw(t, "part"), Requests: float64(rapid.IntRange(0, 20).Draw(t, "slack"))}
-		place := NewRateCounter(margin, epoch)
-		place.Advance(epoch, 1)
-		place.SetLimits(map[uint64]RateLimit{tenantA: limit})
-		reference := &exactLimiter{limit: limit, level: place.tenants[tenantA].level, at: epoch}
+		counter := NewRateCounter(margin, epoch)
+		counter.Advance(epoch, 1)
+		counter.SetLimits(map[uint64]RateLimit{tenantA: limit})
+		reference := &exactLimiter{limit: limit, level: counter.tenants[tenantA].level, at: epoch}
 		var begun []time.Time
 		within := 0 // requests that the exact bucket admits
 		for step, now := 0, epoch; step < 12_000; step++ {
 			now = now.Add(time.Millisecond)
 			if step%10 == 0 {
-				place.Advance(now, 1)
+				counter.Advance(now, 1)
 			}
 			// The demand changes every 2.5 s, between one and three times the limit.
 			demand := limit.PerSecond * float64(1+(step/2500+int(margin.Requests))%3)
 			if math.Floor(float64(step)*demand/1000) == math.Floor(float64(step-1)*demand/1000) {
 				continue
 			}
-			place.Advance(now, 1)
-			verdict := place.Reserve(tenantA)
+			counter.Advance(now, 1)
+			verdict := counter.Reserve(tenantA)
 			if reference.admit(now) {
 				within++
 			}
 			if verdict.Admitted {
-				place.Begin(tenantA)
+				counter.Begin(tenantA)
 				begun = append(begun, now)
 			} else if verdict.RetryAfter <= 0 || verdict.RetryAfter > maxPlaceRetry {
 				t.Fatalf("refused with RetryAfter %s", verdict.RetryAfter)
@@ -86,9 +86,9 @@
 	})
 }
 
-// TestPlacesKeepTheLimitTogether divides the nodes among several counters, each with far
+// TestRateCountersKeepTheLimitTogether divides the nodes among several counters, each with far
 // more demand than the limit.
-func TestPlacesKeepTheLimitTogether(t *testing.T) {
+func TestRateCountersKeepTheLimitTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RateLimit{PerSecond: float64(rapid.IntRange(2, 100).Draw(t, "rate"))}
 		limit.Burst = limit.PerSecond
@@ -98,87 +98,87 @@
 		for _, share := range shares {
 			total += share
 		}
-		var places []*RateCounter
+		var counters []*RateCounter
 		for range shares {
-			place := NewIsolatedRateCounter(margin, epoch)
-			place.SetLimits(map[uint64]RateLimit{tenantA: limit})
-			places = append(places, place)
+			counter := NewIsolatedRateCounter(margin, epoch)
+			counter.SetLimits(map[uint64]RateLimit{tenantA: limit})
+			counters = append(counters, counter)
 		}
 		var begun []time.Time
 		for step, now := 0, epoch; step < 1500; step++ {
 			now = now.Add(10 * time.Millisecond)
-			for i, place := range places {
-				place.Advance(now, shares[i]/max(total, 1))
-				for place.Reserve(tenantA).Admitted {
-					place.Begin(tenantA)
+			for i, counter := range counters {
+				counter.Advance(now, shares[i]/max(total, 1))
+				for counter.Reserve(tenantA).Admitted {
+					counter.Begin(tenantA)
 					begun = append(begun, now)
 				}
 			}
 		}
-		bound := margin.allowed(limit) + margin.requests(limit)*(toleranceMargin+shareMargin) + float64(len(places))
+		bound := margin.allowed(limit) + margin.requests(limit)*(toleranceMargin+shareMargin) + float64(len(counters))
 		if most := maxInWindow(begun, margin.Window); float64(most) > bound {
 			t.Errorf("%d requests in a window, bound %.1f, shares %v", most, bound, shares)
 		}
 	})
 }
 
-func TestPlaceThatStoodStillLendsNothingForThatTime(t *testing.T) {
-	place := NewRateCounter(Margin{}, epoch)
-	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 10, Burst: 10}})
-	place.Advance(epoch, 1)
-	place.Advance(epoch.Add(time.Hour), 1)
-	if verdict := place.Reserve(tenantA); verdict.Left > 10*maxRefillInterval.Seconds() {
+func TestRateCounterThatStoodStillLendsNothingForThatTime(t *testing.T) {
+	counter := NewRateCounter(Margin{}, epoch)
+	counter.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 10, Burst: 10}})
+	counter.Advance(epoch, 1)
+	counter.Advance(epoch.Add(time.Hour), 1)
+	if verdict := counter.Reserve(tenantA); verdict.Left > 10*maxRefillInterval.Seconds() {
 		t.Errorf("got %+v", verdict)
 	}
 }
 
-func TestPlaceCountsOnceAndTakesBack(t *testing.T) {
-	place := NewRateCounter(Margin{}, epoch)
-	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 1, Burst: 2}})
+func TestRateCounterCountsOnceAndTakesBack(t *testing.T) {
+	counter := NewRateCounter(Margin{}, epoch)
+	counter.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 1, Burst: 2}})
 	for i := range 40 {
-		place.Advance(epoch.Add(time.Duration(i)*maxRefillInterval), 1)
+		counter.Advance(epoch.Add(time.Duration(i)*maxRefillInterval), 1)
 	}
-	left := func() float64 { return place.Reserve(tenantA).Left }
+	left := func() float64 { return counter.Reserve(tenantA).Left }
 	if got := left(); got != 2 { // reserved one
 		t.Fatalf("left %v", got)
 	}
-	place.Drop(tenantA)
+	counter.Drop(tenantA)
 	if got := left(); got != 2 {
 		t.Errorf("left %v after a drop", got)
 	}
-	place.Begin(tenantA)
+	counter.Begin(tenantA)
 	if got := left(); got != 1 {
 		t.Errorf("left %v after one began", got)
 	}
-	if verdict := place.Reserve(tenantA); verdict.Admitted || verdict.RetryAfter != time.Second {
+	if verdict := counter.Reserve(tenantA); verdict.Admitted || verdict.RetryAfter != time.Second {
 		t.Errorf("third request at a burst of two: %+v", verdict)
 	}
-	place.Drop(tenantA)
-	place.Undo(tenantA)
+	counter.Drop(tenantA)
+	counter.Undo(tenantA)
 	if got := left(); got != 2 {
 		t.Errorf("left %v after one was undone", got)
 	}
-	place.Drop(tenantA)
-	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 1, Burst: 1}})
+	counter.Drop(tenantA)
+	counter.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 1, Burst: 1}})
 	if got := left(); got != 1 {
 		t.Errorf("left %v after the limit was lowered", got)
 	}
-	place.SetLimits(nil)
-	if !place.Reserve(tenantA).Admitted {
+	counter.SetLimits(nil)
+	if !counter.Reserve(tenantA).Admitted {
 		t.Error("a tenant whose limit was removed is refused")
 	}
 }
 
 // TestLimitWithoutBurstLetsOneThroughAtATime checks a limit with a rate and no burst.
 func TestLimitWithoutBurstLetsOneThroughAtATime(t *testing.T) {
-	place := NewRateCounter(Margin{}, epoch)
-	place.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 5}})
+	counter := NewRateCounter(Margin{}, epoch)
+	counter.SetLimits(map[uint64]RateLimit{tenantA: {PerSecond: 5}})
 	admitted := 0
 	for step, now := 0, epoch; step < 1000; step++ {
 		now = now.Add(10 * time.Millisecond)
-		place.Advance(now, 1)
-		if place.Reserve(tenantA).Admitted {
-			place.Begin(tenantA)
+		counter.Advance(now, 1)
+		if counter.Reserve(tenantA).Admitted {
+			counter.Begin(tenantA)
 			admitted++
 		}
 	}
@@ -195,11 +195,11 @@
 	random := rand.New(rand.NewPCG(1, 7))
 	admitted := 0
 	for range nodes {
-		place := NewIsolatedRateCounter(Margin{}, epoch)
-		place.SetLimits(map[uint64]RateLimit{tenantA: limit})
+		counter := NewIsolatedRateCounter(Margin{}, epoch)
+		counter.SetLimits(map[uint64]RateLimit{tenantA: limit})
 		for step := range seconds * 100 {
-			place.Advance(epoch.Add(time.Duration(step)*10*time.Millisecond), 1.0/nodes)
-			if step%50 == 0 && place.AdmitRandomly(tenantA, random.Float64()) {
+			counter.Advance(epoch.Add(time.Duration(step)*10*time.Millisecond), 1.0/nodes)
+			if step%50 == 0 && counter.AdmitRandomly(tenantA, random.Float64()) {
 				admitted++
 			}
 		}
@@ -207,7 +207,7 @@
 	if want := limit.PerSecond * seconds; math.Abs(float64(admitted)-want) > want/3 {
 		t.Errorf("%d requests admitted, want about %v", admitted, want)
 	}
-	if place := NewIsolatedRateCounter(Margin{}, epoch); !place.AdmitRandomly(tenantA, 0.9) {
+	if counter := NewIsolatedRateCounter(Margin{}, epoch); !counter.AdmitRandomly(tenantA, 0.9) {
 		t.Error("a tenant without a limit is refused")
 	}
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -351,7 +351,7 @@
 
 func (a *attempt) reportHung() {
 	if a.engine != nil {
-		a.service.fleet.RecordHang(a.engine, "streams stand still")
+		a.service.fleet.RecordTimeout(a.engine, "streams stand still")
 	}
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -24,8 +24,8 @@
 	Prompt    string
 	MaxTokens int
 	Sampling  backend.Sampling
-	// Kept holds the tokens of an earlier attempt that was preempted.
-	Kept []string
+	// KeptTokens holds the tokens of an earlier attempt that was preempted.
+	KeptTokens []string
 	// Repeatable is false for a request that may be sent to an engine at most once.
 	Repeatable bool
 	// Deadline is when the caller stops waiting. Zero means no deadline.
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -221,7 +221,7 @@
 		ID: identity.RequestID(forwarded.ID), Tenant: identity.TenantID(forwarded.Tenant),
 		Row: policy.Row{ID: identity.RowID(forwarded.RowID), Weight: forwarded.Weight, Pool: forwarded.Pool}, Kind: policy.KindOnline,
 		Model: forwarded.Model, Adapter: forwarded.Adapter, Prompt: forwarded.Prompt, MaxTokens: forwarded.MaxTokens,
-		Kept: forwarded.Kept, Repeatable: forwarded.Repeatable, Deadline: forwarded.Deadline,
+		KeptTokens: forwarded.Kept, Repeatable: forwarded.Repeatable, Deadline: forwarded.Deadline,
 	}
 	run := s.newRun(request, func(token backend.Token) error { return stream.Send(forwardToken(token)) }, routing.Online)
 	run.forwarded = true
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -93,7 +93,7 @@
 							items.Add(1)
 							break
 						}
-						item.Kept = end.Tokens
+						item.KeptTokens = end.Tokens
 					}
 				}
 			}()
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -41,7 +41,7 @@
 	prefix       []uint64
 	triedEngines []identity.EngineID
 	attempts     int
-	// tokens is the whole output so far. It begins with the request's Kept tokens.
+	// tokens is the whole output so far. It begins with the request's KeptTokens.
 	tokens []string
 	// prefillTokens is the number of prompt tokens counted on prefillEngine until
 	// the attempt's first token.
@@ -62,7 +62,7 @@
 	return &run{
 		request: request, sink: sink, class: class,
 		prefix: backend.AppendPrefixHashes(nil, request.Model, request.Adapter, request.Prompt, maxPrefixBlocks),
-		tokens: append([]string(nil), request.Kept...),
+		tokens: append([]string(nil), request.KeptTokens...),
 	}
 }
 
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -33,7 +33,7 @@
 	// The following methods record what streams reveal about an engine's health.
 	RecordPrompt(engine *fleet.Engine, prefix []uint64)
 	RecordToken(engine *fleet.Engine)
-	RecordHang(engine *fleet.Engine, cause string)
+	RecordTimeout(engine *fleet.Engine, cause string)
 	Unreachable(engine *fleet.Engine, cause string)
 	RecordLeaving(engine *fleet.Engine)
 	// OnlineArrived records that another node has sent online work to the engine.
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -30,11 +30,11 @@
 	CacheTokens int // KV memory of the prefix cache, in tokens
 
 	// A step takes StepBase + (running sequences * StepPerSequence + prompt
-	// tokens prefilled in it * StepPerPrefill) / Capacity.
-	StepBase        time.Duration
-	StepPerSequence time.Duration
-	StepPerPrefill  time.Duration
-	PrefillChunk    int // maximum number of prompt tokens prefilled in one step
+	// tokens prefilled in it * StepPerPrefillToken) / Capacity.
+	StepBase            time.Duration
+	StepPerSequence     time.Duration
+	StepPerPrefillToken time.Duration
+	PrefillChunk        int // maximum number of prompt tokens prefilled in one step
 
 	ReportInterval    time.Duration // interval between load measurements
 	ReportLag         time.Duration // delay before a load measurement is visible
@@ -53,7 +53,7 @@
 		Models:     []backend.LoadedModel{{Model: "fleetlink-llm", Version: "1"}},
 		MaxRunning: 32, MaxWaiting: 64, KVTokens: 64_000, CacheTokens: 32_000,
 		StepBase: 13 * time.Millisecond, StepPerSequence: 280 * time.Microsecond,
-		StepPerPrefill: 15 * time.Microsecond, PrefillChunk: 512,
+		StepPerPrefillToken: 15 * time.Microsecond, PrefillChunk: 512,
 		ReportInterval: 100 * time.Millisecond, ReportLag: 300 * time.Millisecond,
 		CacheLag: 500 * time.Millisecond, CacheLossRate: 0.05,
 		FinishedRetention: time.Minute, LoadTime: 2 * time.Second, LedgerSize: 200_000,
@@ -94,7 +94,7 @@
 	ledger         ledger
 	usage          Usage
 
-	standstills []Standstill
+	standstills []SchedulingStall
 }
 
 // NewEngine returns an engine. Without a weight store (weights is nil), loads take
@@ -186,15 +186,15 @@
 }
 
 // lateStepThreshold is how late a step may end because of the host's scheduling
-// before it is recorded as a standstill.
+// before it is recorded as a scheduling stall.
 const lateStepThreshold = 20 * time.Millisecond
 
-// Standstill is a period in which an engine should have ended a step but was
+// SchedulingStall is a period in which an engine should have ended a step but was
 // delayed by the machine that runs the stand-in.
-type Standstill struct{ From, Until time.Time }
+type SchedulingStall struct{ From, Until time.Time }
 
-// Standstills returns the engine's first 10,000 standstills, oldest first.
-func (e *Engine) Standstills() []Standstill {
+// SchedulingStalls returns the engine's first 10,000 scheduling stalls, oldest first.
+func (e *Engine) SchedulingStalls() []SchedulingStall {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.standstills)
@@ -205,7 +205,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.standstills) < maxStandstills {
-		e.standstills = append(e.standstills, Standstill{From: from, Until: until})
+		e.standstills = append(e.standstills, SchedulingStall{From: from, Until: until})
 	}
 }
 
@@ -224,8 +224,8 @@
 // ID returns the engine's identifier.
 func (e *Engine) ID() string { return e.config.ID }
 
-// Leave makes the engine refuse new requests, or accept them again.
-func (e *Engine) Leave(leaving bool) {
+// SetLeaving makes the engine refuse new requests, or accept them again.
+func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !leaving {
--- a/internal/emulator/engine_http.go
+++ b/internal/emulator/engine_http.go
@@ -35,7 +35,7 @@
 	mux.HandleFunc("GET /admin/ledger", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Ledger()) })
 	mux.HandleFunc("GET /admin/usage", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Usage()) })
 	mux.HandleFunc("POST /admin/leaving", func(_ http.ResponseWriter, r *http.Request) {
-		e.Leave(r.URL.Query().Get("leaving") != "false")
+		e.SetLeaving(r.URL.Query().Get("leaving") != "false")
 	})
 	return mux
 }
--- a/internal/emulator/engine_step.go
+++ b/internal/emulator/engine_step.go
@@ -90,7 +90,7 @@
 		}
 	}
 	scaled := time.Duration(float64(len(e.running))*float64(e.config.StepPerSequence)/e.config.Capacity) +
-		time.Duration(float64(prefilled)*float64(e.config.StepPerPrefill)/e.config.Capacity)
+		time.Duration(float64(prefilled)*float64(e.config.StepPerPrefillToken)/e.config.Capacity)
 	e.step.length = e.config.StepBase + scaled
 	e.step.lastLength = e.step.length
 	return e.step.length
--- a/internal/emulator/engine_stream.go
+++ b/internal/emulator/engine_stream.go
@@ -23,10 +23,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := &f.settings
-	faults := streamFaults{afterLines: s.DropStreamAfter, writeDelay: time.Duration(s.LateMillis) * time.Millisecond}
+	faults := streamFaults{afterLines: s.DropStreamAfter, writeDelay: time.Duration(s.WriteDelayMillis) * time.Millisecond}
 	faults.drop = consumeOne(&s.DropStreams)
 	if !faults.drop {
-		faults.cross = consumeOne(&s.CrossStreams)
+		faults.cross = consumeOne(&s.MixStreams)
 	}
 	return faults
 }
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -191,7 +191,7 @@
 func TestStreamsThatBreakOrCrossNeverGiveWrongTokens(t *testing.T) {
 	for name, faults := range map[string]FaultSettings{
 		"dropped":          {DropStreams: 1, DropStreamAfter: 7},
-		"crossed":          {CrossStreams: 1, DropStreamAfter: 7},
+		"crossed":          {MixStreams: 1, DropStreamAfter: 7},
 		"answer lost":      {LoseAnswers: 1, Operations: []string{"generate"}},
 		"dropped at start": {DropStreams: 1},
 	} {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -43,11 +43,11 @@
 	// DropStreamAfter lines.
 	DropStreams     int `json:"drop_streams"`
 	DropStreamAfter int `json:"drop_stream_after"`
-	// CrossStreams is the number of next token streams that get a line of another
+	// MixStreams is the number of next token streams that get a line of another
 	// attempt after DropStreamAfter lines.
-	CrossStreams int `json:"cross_streams"`
-	// LateMillis delays each write of token lines.
-	LateMillis int `json:"late_ms"`
+	MixStreams int `json:"cross_streams"`
+	// WriteDelayMillis delays each write of token lines.
+	WriteDelayMillis int `json:"late_ms"`
 	// Stall stops an engine's steps: it answers calls but generates no tokens.
 	Stall bool `json:"stall"`
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -291,8 +291,8 @@
 	if !found {
 		return fmt.Errorf("%s: %w", id, ErrNoStandIn)
 	}
-	engine.Leave(true)
-	f.Machines.Leave(id, true)
+	engine.SetLeaving(true)
+	f.Machines.SetLeaving(id, true)
 	return nil
 }
 
--- a/internal/emulator/netsim/netsim_test.go
+++ b/internal/emulator/netsim/netsim_test.go
@@ -89,7 +89,7 @@
 			t.Fatalf("read across the cut: %v; want a timeout", err)
 		}
 		_ = server.SetReadDeadline(time.Time{})
-		time.AfterFunc(time.Minute, func() { network.Join(hostOne, hostTwo) })
+		time.AfterFunc(time.Minute, func() { network.Heal(hostOne, hostTwo) })
 		if took := mustRead(t, server, "late"); took != time.Minute {
 			t.Errorf("the bytes arrived after %s; want 1m, the end of the cut", took)
 		}
@@ -127,7 +127,7 @@
 		}
 	})
 	withConnection(t, func(t *testing.T, network *netsim.Network, client, _ net.Conn) {
-		network.Lose(hostTwo)
+		network.Isolate(hostTwo)
 		mustWrite(t, client, "into the dark")
 		_ = client.SetReadDeadline(time.Now().Add(time.Hour))
 		if _, err := client.Read(make([]byte, 1)); !isTimeout(err) {
--- a/internal/emulator/netsim/network.go
+++ b/internal/emulator/netsim/network.go
@@ -61,12 +61,12 @@
 	n.changed = make(chan struct{})
 }
 
-// Cut delays what the first host sends to the second until Join, in this
+// Cut delays what the first host sends to the second until Heal, in this
 // direction only. Meanwhile no connection is established between the two.
 func (n *Network) Cut(from, to netip.Addr) { n.update(func() { n.cuts[link{from, to}] = true }) }
 
-// Join ends a Cut.
-func (n *Network) Join(from, to netip.Addr) { n.update(func() { delete(n.cuts, link{from, to}) }) }
+// Heal ends a Cut.
+func (n *Network) Heal(from, to netip.Addr) { n.update(func() { delete(n.cuts, link{from, to}) }) }
 
 // Freeze blocks a host's own reads, writes, dials and accepts, as when its
 // process is paused, or unblocks them. Other hosts can still connect and send
@@ -85,9 +85,9 @@
 	n.closeHost(host)
 }
 
-// Lose makes a host unreachable, as when its machine fails: its peers receive
+// Isolate makes a host unreachable, as when its machine fails: its peers receive
 // neither data nor a reset.
-func (n *Network) Lose(host netip.Addr) {
+func (n *Network) Isolate(host netip.Addr) {
 	n.update(func() {
 		n.lost[host] = true
 		n.generations[host]++
@@ -322,8 +322,8 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
-// Open returns the number of open connections of a host, dialed and accepted ones.
-func (n *Network) Open(host netip.Addr) int {
+// OpenConnections returns the number of open connections of a host, dialed and accepted ones.
+func (n *Network) OpenConnections(host netip.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
--- a/internal/emulator/storage.go
+++ b/internal/emulator/storage.go
@@ -235,8 +235,8 @@
 	})
 }
 
-// Leave marks a machine as leaving.
-func (m *Machines) Leave(id string, leaving bool) {
+// SetLeaving marks a machine as leaving.
+func (m *Machines) SetLeaving(id string, leaving bool) {
 	m.change(func(machines []backend.Machine) []backend.Machine {
 		for i := range machines {
 			if machines[i].ID == id {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -92,12 +92,12 @@
 	return line, true
 }
 
-// Story returns the lines about an id in order of time, together with context: the
+// Timeline returns the lines about an id in order of time, together with context: the
 // state changes of the same nodes, from the duration before ahead of the first of
 // these lines until the last one, and the lines of any node until then about engines
 // that ended while they ran the same content. It returns nil if no line is about the
 // id.
-func Story(lines []Line, id string, before time.Duration) []Line {
+func Timeline(lines []Line, id string, before time.Duration) []Line {
 	var ownLines []Line
 	nodes, contents := make(map[string]bool), make(map[string]bool)
 	for _, line := range lines {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,7 +22,7 @@
 	if err != nil || len(lines) != 6 {
 		t.Fatalf("got %d lines and error %v, want 6 lines", len(lines), err)
 	}
-	text := Text(Story(lines, "r1", time.Second))
+	text := Text(Timeline(lines, "r1", time.Second))
 	want := []string{"store lost table=op", "routes taken version=4", "engine chosen engine=e1 request=r1", "request ended outcome=failed request=r1"}
 	at := 0
 	for _, part := range want {
@@ -35,13 +35,13 @@
 	if strings.Contains(text, "n2") {
 		t.Errorf("the story includes another node's line:\n%s", text)
 	}
-	if text := Text(Story(lines, "r1", 0)); strings.Contains(text, "store lost") {
+	if text := Text(Timeline(lines, "r1", 0)); strings.Contains(text, "store lost") {
 		t.Errorf("the story includes an older line:\n%s", text)
 	}
-	if story := Story(lines, "j1", 0); len(story) != 1 {
+	if story := Timeline(lines, "j1", 0); len(story) != 1 {
 		t.Errorf("got %+v for the job, want one line", story)
 	}
-	if story := Story(lines, "nobody", time.Second); story != nil {
+	if story := Timeline(lines, "nobody", time.Second); story != nil {
 		t.Errorf("got %+v for an unknown id, want nil", story)
 	}
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := Text(Story(lines, "r4", time.Second))
+	text := Text(Timeline(lines, "r4", time.Second))
 	for _, part := range []string{"engine=e1", "engine=e2 request=r2", "request=r4"} {
 		if !strings.Contains(text, part) {
 			t.Errorf("%q is missing in\n%s", part, text)
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := Text(Story(lines, "r1", time.Second))
+	text := Text(Timeline(lines, "r1", time.Second))
 	for _, part := range []string{"attempt=1 engine=e1@1000", "engine=e1@2000 former=e1@1000", "attempt=2 engine=e1@2000"} {
 		if !strings.Contains(text, part) {
 			t.Errorf("%q is missing in\n%s", part, text)
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -162,8 +162,8 @@
 	s.transition(engine, "", func(m *health.Machine) health.State { return m.RecordToken() })
 }
 
-// RecordHang records that a stream stalled for longer than its limit.
-func (s *Service) RecordHang(engine *Engine, cause string) {
+// RecordTimeout records that a stream stalled for longer than its limit.
+func (s *Service) RecordTimeout(engine *Engine, cause string) {
 	s.transition(engine, cause, func(m *health.Machine) health.State { return m.RecordTimeout(time.Now()) })
 }
 
--- a/internal/jobs/faults_test.go
+++ b/internal/jobs/faults_test.go
@@ -319,7 +319,7 @@
 		c.network.SetState(pausedHolder.id, membership.Dead)
 		advance(10 * time.Second)
 		newHolder := c.otherThan(pausedHolder)
-		if c.holderOf(shardOf(job, c.config)) == nil || len(newHolder.Shards()) != c.config.Shards {
+		if c.holderOf(shardOf(job, c.config)) == nil || len(newHolder.HeldShards()) != c.config.Shards {
 			t.Fatal("the shard has not moved")
 		}
 		before, err := newHolder.Get(t.Context(), tenant, job.ID)
@@ -423,12 +423,12 @@
 		commits(true)
 		newcomer := c.add()
 		advance(20 * time.Second)
-		if len(newcomer.Shards()) != 0 {
+		if len(newcomer.HeldShards()) != 0 {
 			t.Fatal("shards moved without a commit")
 		}
 		commits(false)
 		advance(5 * time.Second)
-		if first, second := len(c.nodes[0].Shards()), len(newcomer.Shards()); second == 0 || first+second != c.config.Shards {
+		if first, second := len(c.nodes[0].HeldShards()), len(newcomer.HeldShards()); second == 0 || first+second != c.config.Shards {
 			t.Errorf("the nodes hold %d and %d shards of %d", first, second, c.config.Shards)
 		}
 	})
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -132,7 +132,7 @@
 		if node.gate.get() == dead {
 			continue
 		}
-		for _, held := range node.Shards() {
+		for _, held := range node.HeldShards() {
 			if held == number {
 				return node
 			}
@@ -401,10 +401,10 @@
 	if s.gate.pass() != nil || ctx.Err() != nil {
 		return outcome.Outcome{Kind: outcome.Refused}
 	}
-	sent := &attempt{prompt: request.Prompt, tokens: request.MaxTokens, keptTokens: len(request.Kept), started: time.Now()}
+	sent := &attempt{prompt: request.Prompt, tokens: request.MaxTokens, keptTokens: len(request.KeptTokens), started: time.Now()}
 	s.engines.mu.Lock()
 	s.engines.attempts[intent.Attempt] = sent
 	s.engines.order = append(s.engines.order, sent)
 	s.engines.mu.Unlock()
-	return s.follow(ctx, intent, sent, len(request.Kept), sink)
+	return s.follow(ctx, intent, sent, len(request.KeptTokens), sink)
 }
--- a/internal/jobs/manager.go
+++ b/internal/jobs/manager.go
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// Shards returns the shards that this node holds.
-func (m *Manager) Shards() []int { return m.keeper.Held() }
+// HeldShards returns the shards that this node holds.
+func (m *Manager) HeldShards() []int { return m.keeper.Held() }
 
 // holder returns the node that should hold a shard.
 func (m *Manager) holder(number int) (identity.NodeID, bool) { return m.keeper.Holder(number) }
@@ -119,6 +119,6 @@
 func (c Config) shard() shard.Config {
 	return shard.Config{
 		Shards: c.Shards, TimeToLive: c.LeaseTimeToLive, RenewInterval: c.LeaseRenew,
-		CheckInterval: c.LeaseCheck, FlushTimeout: c.HandOverDuration,
+		CheckInterval: c.LeaseCheck, FlushTimeout: c.HandOverTimeout,
 	}
 }
--- a/internal/jobs/manager_test.go
+++ b/internal/jobs/manager_test.go
@@ -339,7 +339,7 @@
 		advance(10 * time.Second)
 		held := make(map[int]int)
 		for _, node := range c.nodes {
-			for _, number := range node.Shards() {
+			for _, number := range node.HeldShards() {
 				held[number]++
 			}
 		}
--- a/internal/jobs/measure_test.go
+++ b/internal/jobs/measure_test.go
@@ -148,7 +148,7 @@
 		advance(7 * time.Second)
 		held := 0
 		for _, node := range c.nodes {
-			held += len(node.Shards())
+			held += len(node.HeldShards())
 		}
 		calls := c.fleet.Table.Faults.Calls()
 		t.Logf("%d shards held after %d commits, %d gets and %d lists", held, calls["commit"], calls["get"], calls["list"])
--- a/internal/jobs/messages.go
+++ b/internal/jobs/messages.go
@@ -72,7 +72,7 @@
 // message is lost, a holder learns of the cancellation at its next commit or poll.
 func (m *Manager) broadcastCancelled(id identity.JobID) {
 	m.runner.Cancelled(id)
-	m.bus.Flood(jobCancelled{Job: id})
+	m.bus.Broadcast(jobCancelled{Job: id})
 }
 
 // expectedFinish requests the forecast from the job's holder. It returns the zero
--- a/internal/jobs/runner/acquire.go
+++ b/internal/jobs/runner/acquire.go
@@ -116,7 +116,7 @@
 		return false
 	}
 	if !r.start(func(context.Context) { r.execute(slot, next) }) {
-		j.state.Return(next.index)
+		j.state.Requeue(next.index)
 		j.requeued[next.index] = next
 		return false
 	}
@@ -172,6 +172,6 @@
 	}
 	return batch.Candidate{
 		Job: j.header.ID, Deadline: j.header.Deadline,
-		Work: group.expectedDuration(j.remaining()), Weight: weight,
+		RemainingWork: group.expectedDuration(j.remaining()), Weight: weight,
 	}
 }
--- a/internal/jobs/runner/execute.go
+++ b/internal/jobs/runner/execute.go
@@ -55,7 +55,7 @@
 	request := dispatch.Request{
 		ID: requestID(u.job.header.ID, u.index), Tenant: u.job.header.Tenant, Row: row, Kind: policy.KindBatch,
 		Model: u.job.header.Model, Prompt: u.item.Prompt, MaxTokens: u.item.MaxTokens,
-		Kept: slices.Clone(u.keptTokens), Repeatable: u.repeatable(),
+		KeptTokens: slices.Clone(u.keptTokens), Repeatable: u.repeatable(),
 	}
 	if !u.repeatable() {
 		request.BeforeSend = func(ctx context.Context, intent dispatch.Intent) error {
--- a/internal/jobs/runner/job.go
+++ b/internal/jobs/runner/job.go
@@ -84,7 +84,7 @@
 		return
 	}
 	delete(r.jobs, j.header.ID)
-	r.scheduler.Left(j.header.ID)
+	r.scheduler.Remove(j.header.ID)
 	j.state.Close()
 	j.cancel()
 	if ended {
@@ -148,7 +148,7 @@
 // start by pause. r.mu is held.
 func (r *Runner) requeueItem(u itemRun, pause time.Duration) {
 	j := u.job
-	if !j.state.Return(u.index) {
+	if !j.state.Requeue(u.index) {
 		return
 	}
 	j.requeued[u.index] = u
--- a/internal/jobs/runner/load.go
+++ b/internal/jobs/runner/load.go
@@ -98,7 +98,7 @@
 	reads.SetLimit(maxParallelReads)
 	for work, known := range stale {
 		reads.Go(func() error {
-			open, err := r.deps.Store.Patient().List(ctx, record.OpenPrefix(work.fence.Shard), "")
+			open, err := r.deps.Store.ForPeriodicWork().List(ctx, record.OpenPrefix(work.fence.Shard), "")
 			if err != nil {
 				r.locked(func() { work.listStale = true })
 				return err
@@ -111,7 +111,7 @@
 }
 
 func (r *Runner) readAllOpen(ctx context.Context, stale map[*shardWork]map[identity.JobID]*job) bool {
-	all, err := r.deps.Store.Patient().List(ctx, record.AllOpenPrefix, "")
+	all, err := r.deps.Store.ForPeriodicWork().List(ctx, record.AllOpenPrefix, "")
 	if err != nil {
 		r.locked(func() {
 			for work := range stale {
@@ -190,7 +190,7 @@
 		return nil // cancelled during the read, which may have returned older state
 	}
 	r.jobs[id] = j
-	r.scheduler.Joined(id)
+	r.scheduler.Add(id)
 	for _, intended := range j.state.Intents() {
 		r.start(func(context.Context) { r.resumeIntent(j, intended) })
 	}
--- a/internal/jobs/shard/claim.go
+++ b/internal/jobs/shard/claim.go
@@ -176,7 +176,7 @@
 	k.mu.Lock()
 	session, version, write := k.session, k.version, k.renewalWrite()
 	k.mu.Unlock()
-	result := k.store.Patient().Commit(ctx, backend.Transaction{
+	result := k.store.ForPeriodicWork().Commit(ctx, backend.Transaction{
 		ID:       "renew-" + ulid.Make().String(),
 		Compares: []backend.Compare{{Key: write.Key, Version: version}},
 		Writes:   []backend.Write{write},
--- a/internal/jobs/shard/keeper.go
+++ b/internal/jobs/shard/keeper.go
@@ -265,7 +265,7 @@
 			machine = &lease.Machine{Node: self, Session: k.session, TimeToLive: k.config.TimeToLive}
 			k.machines[number] = machine
 		}
-		machine.Want(wanted)
+		machine.SetWanted(wanted)
 		switch machine.State() {
 		case lease.Idle:
 			delete(k.machines, number)
--- a/internal/passthrough/batch/run.go
+++ b/internal/passthrough/batch/run.go
@@ -219,7 +219,7 @@
 	response := answer.Response
 	headers := s.Headers.Answer(response.StatusCode, response.Header)
 	if headers.LoadKnown {
-		r.decision.Slot.Observe(headers.Load.Running, headers.Load.Waiting)
+		r.decision.Slot.RecordReport(headers.Load.Running, headers.Load.Waiting)
 	}
 	answer.SetReadDeadline(time.Now().Add(eventTimeout))
 	switch {
--- a/internal/passthrough/batch/service.go
+++ b/internal/passthrough/batch/service.go
@@ -140,7 +140,7 @@
 
 // OnSkippedChange registers a function that is called when the feed of jobs has skipped a change. It
 // must be called before Run.
-func (s *Service) OnSkippedChange(hear func()) { s.follower.OnSkipped(hear) }
+func (s *Service) OnSkippedChange(hear func()) { s.follower.OnSkippedChange(hear) }
 
 // Health returns how well the table of jobs is followed.
 func (s *Service) Health() catalog.Health { return s.follower.Health() }
--- a/internal/passthrough/batch/write.go
+++ b/internal/passthrough/batch/write.go
@@ -189,7 +189,7 @@
 		return passjob.Record{}, 0, false, err
 	}
 	if s.StoreTime != nil && s.suspensionWatch.Count() == suspensions {
-		s.StoreTime.MadeAt(sent, snapshot.StoreAt)
+		s.StoreTime.EarliestAnswerTime(sent, snapshot.StoreAt)
 	}
 	for i := range snapshot.Rows {
 		snapshot.Rows[i].Table, snapshot.Rows[i].Part = tableJobs, s.config.shard(id)
--- a/internal/passthrough/catalog/evidence.go
+++ b/internal/passthrough/catalog/evidence.go
@@ -94,9 +94,9 @@
 	f.interruptCall()
 }
 
-// OnSkipped sets a function that is called when the feed has skipped something, so that other
+// OnSkippedChange sets a function that is called when the feed has skipped something, so that other
 // tables of the same store are listed again as well. It must be called before Run.
-func (f *Follower) OnSkipped(notify func()) { f.onSkipped = notify }
+func (f *Follower) OnSkippedChange(notify func()) { f.onSkipped = notify }
 
 // fetchChanges asks for changes after a version, from a relay if there is one. While something is
 // overdue the call is not held: an immediate answer shows whether the feed delivers it.
--- a/internal/passthrough/catalog/evidence_test.go
+++ b/internal/passthrough/catalog/evidence_test.go
@@ -141,7 +141,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table, sink := newStoredTable(), &copySink{versions: make(map[string]int64)}
 		follower := NewFollower(config, table, "table", []string{""}, sink, zap.NewNop())
-		follower.OnSkipped(func() { table.alarms.Add(1) })
+		follower.OnSkippedChange(func() { table.alarms.Add(1) })
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
--- a/internal/passthrough/catalog/follower.go
+++ b/internal/passthrough/catalog/follower.go
@@ -348,7 +348,7 @@
 	if f.confirmedAt(sent, suspensions).IsZero() {
 		return time.Time{}
 	}
-	made := f.storeTime.MadeAt(sent, storeAt)
+	made := f.storeTime.EarliestAnswerTime(sent, storeAt)
 	f.clock(storeAt, made)
 	return made
 }
--- a/internal/passthrough/catalog/storetime.go
+++ b/internal/passthrough/catalog/storetime.go
@@ -28,9 +28,9 @@
 	})
 }
 
-// MadeAt records an answer that carries the store's time, and returns a lower bound of the time at
-// which the answer was made. sent is when its call was sent.
-func (t *StoreTime) MadeAt(sent time.Time, storeAt time.Duration) time.Time {
+// EarliestAnswerTime records an answer that carries the store's time, and returns a lower bound of
+// the time at which the answer was made. sent is when its call was sent.
+func (t *StoreTime) EarliestAnswerTime(sent time.Time, storeAt time.Duration) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.clock.Observe(sent, storeAt)
--- a/internal/passthrough/edge/edge.go
+++ b/internal/passthrough/edge/edge.go
@@ -412,7 +412,7 @@
 	n.routes.SetSuspensionWatch(n.watch)
 	n.slots.SetSuspensionWatch(n.watch)
 	n.batch.SetSuspensionWatch(n.watch)
-	n.watch.OnResume(n.pool.Suspended)
+	n.watch.OnResume(n.pool.AdjustForSuspension)
 	if n.replicas != nil {
 		n.replicas.SetSuspensionWatch(n.watch)
 	}
--- a/internal/passthrough/engineconn/conn_test.go
+++ b/internal/passthrough/engineconn/conn_test.go
@@ -63,11 +63,11 @@
 		return exchange.Reused
 	}
 	use()
-	pool.Suspended(time.Second)
+	pool.AdjustForSuspension(time.Second)
 	if !use() {
 		t.Error("a connection within its idle time was not reused")
 	}
-	pool.Suspended(defaultKeepAlive)
+	pool.AdjustForSuspension(defaultKeepAlive)
 	if use() {
 		t.Error("a connection past its idle time was reused")
 	}
--- a/internal/passthrough/engineconn/pool.go
+++ b/internal/passthrough/engineconn/pool.go
@@ -162,9 +162,9 @@
 	return failed
 }
 
-// Suspended adds the length of a suspension of the machine to the idle time of all connections,
-// since the engines may have closed them meanwhile.
-func (p *Pool) Suspended(gap time.Duration) {
+// AdjustForSuspension adds the length of a suspension of the machine to the idle time of all
+// connections, since the engines may have closed them meanwhile.
+func (p *Pool) AdjustForSuspension(gap time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, list := range p.idle {
--- a/internal/passthrough/relay/attempt.go
+++ b/internal/passthrough/relay/attempt.go
@@ -161,7 +161,7 @@
 	response := answer.Response
 	metadata := e.headers.Answer(response.StatusCode, response.Header)
 	if metadata.LoadKnown {
-		decision.Slot.Observe(metadata.Load.Running, metadata.Load.Waiting)
+		decision.Slot.RecordReport(metadata.Load.Running, metadata.Load.Waiting)
 	}
 	if metadata.NotRun {
 		return e.discardRefusal(answer, decision.Choice)
--- a/internal/passthrough/relay/relay.go
+++ b/internal/passthrough/relay/relay.go
@@ -70,7 +70,7 @@
 // each attempt. It must be called before the first Serve.
 func (r *Relay) SetSuspensionWatch(watch *suspension.Watch) {
 	r.watch = watch
-	watch.OnResume(r.Suspended)
+	watch.OnResume(r.AdjustForSuspension)
 }
 
 // New returns a relay.
--- a/internal/passthrough/relay/running.go
+++ b/internal/passthrough/relay/running.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Suspended subtracts the time that the machine was suspended from the remaining time of every
-// call and ends those whose time is up. Their timers stood still during the suspension.
-func (r *Relay) Suspended(time.Duration) {
+// AdjustForSuspension subtracts the time that the machine was suspended from the remaining time of
+// every call and ends those whose time is up. Their timers stood still during the suspension.
+func (r *Relay) AdjustForSuspension(time.Duration) {
 	total := r.watch.Total()
 	r.active.each(func(call *exchange) { call.clock.applySuspension(total) })
 }
--- a/internal/passthrough/replicas/replicas.go
+++ b/internal/passthrough/replicas/replicas.go
@@ -285,7 +285,7 @@
 		return nil, err
 	}
 	if s.watch.Count() == suspensions {
-		s.StoreTime.MadeAt(sent, snapshot.StoreAt)
+		s.StoreTime.EarliestAnswerTime(sent, snapshot.StoreAt)
 	}
 	rows := make([]slotRow, 0, len(snapshot.Rows))
 	for _, row := range snapshot.Rows {
--- a/internal/passthrough/slots/slot.go
+++ b/internal/passthrough/slots/slot.go
@@ -53,14 +53,14 @@
 	s.service.updateRequester(s.lane, func(requester *laneRequester, now time.Time) { requester.Started(s.id, now) })
 }
 
-// Observe records the engine's own counts of running and waiting requests, taken from the
+// RecordReport records the engine's own counts of running and waiting requests, taken from the
 // response headers.
-func (s *Slot) Observe(running, waiting int) {
+func (s *Slot) RecordReport(running, waiting int) {
 	s.service.Engines.Use(func(set *enginechoice.Set, now time.Time) { set.RecordReport(s.engine, running, waiting, now) })
 	s.service.mu.Lock()
 	defer s.service.mu.Unlock()
 	if requester := s.service.requesters[s.lane]; requester != nil {
-		requester.Observe(grant.Load{Engine: grant.EngineHash(s.engine), Running: running, Waiting: waiting})
+		requester.RecordReport(grant.Load{Engine: grant.EngineHash(s.engine), Running: running, Waiting: waiting})
 	}
 }
 
--- a/internal/passthrough/slots/slots.go
+++ b/internal/passthrough/slots/slots.go
@@ -137,10 +137,10 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, known := range s.dispatchers {
-			known.Suspended(gap, now)
+			known.AdjustForSuspension(gap, now)
 		}
 		for _, known := range s.requesters {
-			known.Suspended()
+			known.AdjustForSuspension()
 		}
 		s.scheduleWake(now)
 	})
--- a/internal/peer/flood.go
+++ b/internal/peer/flood.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Flood implements Bus. This node's own handler is not called.
-func (n *Node) Flood(message any) {
+// Broadcast implements Bus. This node's own handler is not called.
+func (n *Node) Broadcast(message any) {
 	msgType, err := typeOf(message)
 	if err != nil {
 		n.encodeFailed("", err)
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -122,7 +122,7 @@
 			})
 		}
 		for range 5 {
-			fleet.nodes[3].Flood(testNote{Text: "hello"})
+			fleet.nodes[3].Broadcast(testNote{Text: "hello"})
 		}
 		time.Sleep(time.Second)
 		mu.Lock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -63,9 +63,9 @@
 	// HandleStream sets the handler for streams whose first message has the
 	// prototype's type.
 	HandleStream(prototype any, handler StreamHandler)
-	// Flood sends a message to every other live node, once per link, best effort.
+	// Broadcast sends a message to every other live node, once per link, best effort.
 	// Senders repair lost messages by anti-entropy where delivery matters.
-	Flood(message any)
+	Broadcast(message any)
 	// Send sends a message to one node, best effort.
 	Send(to identity.NodeID, message any) error
 	// Call sends a message and waits for the handler's reply.
--- a/internal/peer/peertest/network_test.go
+++ b/internal/peer/peertest/network_test.go
@@ -39,10 +39,10 @@
 		for i, node := range nodes {
 			node.Handle(note{}, func(identity.NodeID, any) any { got[i]++; return nil })
 		}
-		nodes[7].Flood(note{"a"})
+		nodes[7].Broadcast(note{"a"})
 		settle()
 		network.Partition([]identity.NodeID{}, []identity.NodeID{"n003"})
-		nodes[7].Flood(note{"b"})
+		nodes[7].Broadcast(note{"b"})
 		settle()
 		for i, count := range got {
 			want := 2
--- a/internal/peer/peertest/node.go
+++ b/internal/peer/peertest/node.go
@@ -162,9 +162,9 @@
 	return nil
 }
 
-// Flood implements peer.Bus. Each node forwards a flood once, to its neighbours
+// Broadcast implements peer.Bus. Each node forwards a flood once, to its neighbours
 // in the overlay.
-func (b *Node) Flood(message any) {
+func (b *Node) Broadcast(message any) {
 	n := b.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/rows/edit.go
+++ b/internal/rows/edit.go
@@ -151,7 +151,7 @@
 	}
 	change := entry.change()
 	s.apply(sourceOwn, change)
-	s.bus.Flood(changeMessage{Change: change, CommittedAt: entry.At})
+	s.bus.Broadcast(changeMessage{Change: change, CommittedAt: entry.At})
 	result := EditResult{Status: Accepted, Revision: entry.Revision}
 	if entry.After != nil {
 		result.Row = *entry.After
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -62,10 +62,10 @@
 	return &Client{Table: table, Retry: DefaultRetry}
 }
 
-// Patient returns a client of the same table for periodic work. It makes at most two
+// ForPeriodicWork returns a client of the same table for periodic work. It makes at most two
 // attempts per call, because the work is repeated anyway and an outage should not
 // cause many calls.
-func (c *Client) Patient() *Client {
+func (c *Client) ForPeriodicWork() *Client {
 	patient := *c
 	patient.Retry.Attempts = min(2, c.Retry.Attempts)
 	return &patient
