--- a/internal/bench/checker/checker.go
+++ b/internal/bench/checker/checker.go
@@ -94,12 +94,12 @@
 
 func standstillsByEngine(evidence ledger.Evidence) map[string][]ledger.Standstill {
 	byEngine := map[string][]ledger.Standstill{}
-	for _, stood := range evidence.Standstills {
-		byEngine[stood.Engine] = append(byEngine[stood.Engine], stood)
+	for _, standstill := range evidence.Standstills {
+		byEngine[standstill.Engine] = append(byEngine[standstill.Engine], standstill)
 	}
 	for _, disturbance := range evidence.Disturbances {
-		stood := ledger.Standstill{Engine: disturbance.Engine, From: disturbance.At, Until: disturbance.Until}
-		byEngine[stood.Engine] = append(byEngine[stood.Engine], stood)
+		standstill := ledger.Standstill{Engine: disturbance.Engine, From: disturbance.At, Until: disturbance.Until}
+		byEngine[standstill.Engine] = append(byEngine[standstill.Engine], standstill)
 	}
 	for _, all := range byEngine {
 		slices.SortFunc(all, func(a, b ledger.Standstill) int { return a.From.Compare(b.From) })
@@ -159,13 +159,13 @@
 // batch nor online work runs during them.
 func (c *check) waitDeadline(engine string, from time.Time) time.Time {
 	deadline := from.Add(preemptGrace)
-	for _, stood := range c.standstills[engine] {
-		start := stood.From
+	for _, standstill := range c.standstills[engine] {
+		start := standstill.From
 		if start.Before(from) {
 			start = from
 		}
-		if start.Before(deadline) && stood.Until.After(start) {
-			deadline = deadline.Add(stood.Until.Sub(start))
+		if start.Before(deadline) && standstill.Until.After(start) {
+			deadline = deadline.Add(standstill.Until.Sub(start))
 		}
 	}
 	return deadline
--- a/internal/bench/faults/bugs.go
+++ b/internal/bench/faults/bugs.go
@@ -17,7 +17,7 @@
 )
 
 // The planted bugs. Each is a wrapper around a stand-in that makes the nodes' calls appear as if
-// their code had the bug. The matrix must detect each of them to be of value.
+// their code had the bug. The matrix is of value only if it detects each of them.
 const (
 	// BugNoCompare drops the compares from writes of batch state and leases, so that a holder that
 	// has lost its lease can still write.
@@ -25,8 +25,8 @@
 	// BugEarlyAnswer acknowledges a job 2 s before its commit. The commit never happens if the node
 	// is dead by then.
 	BugEarlyAnswer = "acknowledge_before_commit"
-	// BugResend sends an item that may run once again under a new attempt, if its engine does not
-	// know the first attempt.
+	// BugResend sends the request of a batch attempt a second time, under a new attempt, when the
+	// attempt is resumed. An item that may run only once can then run twice.
 	BugResend = "resend_an_intent"
 )
 
@@ -148,7 +148,7 @@
 	return body
 }
 
-// resender resends batch attempts that an engine no longer knows.
+// resender sends the request of a batch attempt a second time when the attempt is resumed.
 type resender struct {
 	mutex sync.Mutex
 	sent  map[string][]byte // by attempt
@@ -180,7 +180,7 @@
 	}
 }
 
-// regenerate sends the request of an attempt that is to be resumed again, under a new attempt.
+// regenerate sends the request of a resumed attempt a second time, under a new attempt.
 func (b *resender) regenerate(next http.Handler, r *http.Request) {
 	attempt := strings.TrimSuffix(strings.TrimPrefix(r.URL.Path, wire.PathAttempts), wire.SuffixStream)
 	b.mutex.Lock()
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -249,7 +249,7 @@
 	engine := EngineConfig(from)
 	model := measure.EngineModel{
 		Slots: map[string]int{}, PrefixTokens: map[string]int{},
-		StepBase: engine.StepBase, StepPerSequence: engine.StepPerSequence, StepPerPrefill: engine.StepPerPrefillToken,
+		StepBase: engine.StepBase, StepPerSequence: engine.StepPerSequence, StepPerPrefillToken: engine.StepPerPrefillToken,
 	}
 	for _, engine := range stand.Engines {
 		model.Slots[engine.ID()] = engine.MaxRunning()
@@ -267,8 +267,8 @@
 		for _, entry := range engine.Ledger() {
 			addEntry(into, engine.ID(), entry, names[entry.PromptHash])
 		}
-		for _, stood := range engine.SchedulingStalls() {
-			into.Standstills = append(into.Standstills, ledger.Standstill{Engine: engine.ID(), From: stood.From, Until: stood.Until})
+		for _, stall := range engine.SchedulingStalls() {
+			into.Standstills = append(into.Standstills, ledger.Standstill{Engine: engine.ID(), From: stall.From, Until: stall.Until})
 		}
 	}
 	countBatchAtRefusals(into)
--- a/internal/bench/measure/ideal.go
+++ b/internal/bench/measure/ideal.go
@@ -9,11 +9,11 @@
 
 // EngineModel is the timing model of the engine stand-ins.
 type EngineModel struct {
-	Slots           map[string]int // sequences that run at once, by engine
-	StepBase        time.Duration
-	StepPerSequence time.Duration
-	StepPerPrefill  time.Duration
-	PrefixTokens    map[string]int // prompt tokens that a prefix cache can hold, by class
+	Slots               map[string]int // sequences that run at once, by engine
+	StepBase            time.Duration
+	StepPerSequence     time.Duration
+	StepPerPrefillToken time.Duration
+	PrefixTokens        map[string]int // prompt tokens that a prefix cache can hold, by class
 }
 
 // Ideal is the speed at which a scheduler with complete knowledge would have done the batch work of
@@ -75,7 +75,7 @@
 			uncached := max(0, len(item.Prompt)/bytesPerToken-engines.PrefixTokens[job.Class])
 			items = append(items, idealItem{
 				accepted: job.Accepted, tokens: float64(tokens),
-				prefill: time.Duration(uncached) * engines.StepPerPrefill,
+				prefill: time.Duration(uncached) * engines.StepPerPrefillToken,
 			})
 		}
 	}
--- a/internal/bench/runner/runner.go
+++ b/internal/bench/runner/runner.go
@@ -116,9 +116,9 @@
 	result.Batch, ideal = measure.BatchFigures(full.Evidence, full.Model)
 	result.Control = full.Control
 	result.Config = measure.ConfigFigures(full.Evidence)
-	for _, stood := range full.Evidence.Standstills {
+	for _, standstill := range full.Evidence.Standstills {
 		result.Noise.LateSteps++
-		result.Noise.LateSeconds += stood.Until.Sub(stood.From).Seconds()
+		result.Noise.LateSeconds += standstill.Until.Sub(standstill.From).Seconds()
 	}
 	series.Online[report.RunRingstream] = measure.Points(full.Evidence, full.Started)
 	series.Slots = measure.SlotUse(full.Evidence, full.Model, ideal, full.Started)
--- a/internal/bench/scenario/scenario.go
+++ b/internal/bench/scenario/scenario.go
@@ -92,8 +92,8 @@
 	Prefixes   Prefixes      `yaml:"prefixes"`
 	Repeatable bool          `yaml:"repeatable"`
 	Deadline   time.Duration `yaml:"deadline"`
-	// Cancelled is the share of jobs that their client cancels, CancelAfter their acknowledgement.
-	// Resent is the share of jobs that are submitted twice.
+	// Cancelled is the share of jobs that their client cancels. The cancel is sent CancelAfter after
+	// the acknowledgement. Resent is the share of jobs that are submitted twice.
 	Cancelled   float64       `yaml:"cancelled"`
 	CancelAfter time.Duration `yaml:"cancel_after"`
 	Resent      float64       `yaml:"resent"`
--- a/internal/bench/soak/process.go
+++ b/internal/bench/soak/process.go
@@ -37,7 +37,7 @@
 	readyAddress  string
 	peerAddress   string
 	callerLink    *proxy // from callers to the node
-	door          *platformtest.Endpoint
+	storeEndpoint *platformtest.Endpoint
 	storeLink     *proxy // from the node to its endpoint of the store
 	judge         *judge
 	settings      string
@@ -123,12 +123,12 @@
 			return nil, err
 		}
 	}
-	node.door = s.store.Open()
+	node.storeEndpoint = s.store.Open()
 	var err error
 	if node.callerLink, err = newProxy(node.callerAddress); err != nil {
 		return nil, err
 	}
-	if node.storeLink, err = newProxy(node.door.Address()); err != nil {
+	if node.storeLink, err = newProxy(node.storeEndpoint.Address()); err != nil {
 		return nil, err
 	}
 	if seed == "" {
@@ -143,7 +143,7 @@
 func (n *nodeProcess) close() {
 	n.callerLink.close()
 	n.storeLink.close()
-	n.door.Close()
+	n.storeEndpoint.Close()
 }
 
 // start starts the process again and appends to the same log file.
--- a/internal/bench/soak/series.go
+++ b/internal/bench/soak/series.go
@@ -20,7 +20,7 @@
 		{"deadly_request", 3, (*soak).sendDeadly},
 		{"deadly_item", 1, (*soak).submitDeadlyJob},
 		{"pauses_in_series", 2, (*soak).pauseNodeRepeatedly},
-		{"hang_ups_in_series", 2, (*soak).hangUpRepeatedly},
+		{"hang_ups_in_series", 2, (*soak).reloadSettingsRepeatedly},
 		{"stops_in_series", 2, (*soak).stopOverlapping},
 		{"configurations_in_series", 2, (*soak).configureRapidly},
 	}
@@ -77,10 +77,10 @@
 	}
 }
 
-// hangUpRepeatedly sends SIGHUP, which reloads the settings, several times. It first waits until
-// the process answers, because a process cannot handle signals before it runs, and on a busy
+// reloadSettingsRepeatedly sends SIGHUP, which reloads the settings, several times. It first waits
+// until the process answers, because a process cannot handle signals before it runs, and on a busy
 // machine this takes more than half a second.
-func (s *soak) hangUpRepeatedly(ctx context.Context, random *rand.Rand) {
+func (s *soak) reloadSettingsRepeatedly(ctx context.Context, random *rand.Rand) {
 	node := s.anyNode(random)
 	node.control.Lock()
 	defer node.control.Unlock()
--- a/internal/bench/soak/strike.go
+++ b/internal/bench/soak/strike.go
@@ -194,49 +194,49 @@
 	end()
 }
 
-var doorFaults = []platformtest.Fault{
+var storeEndpointFaults = []platformtest.Fault{
 	platformtest.Busy, platformtest.Unavailable, platformtest.Silent, platformtest.Reset, platformtest.LostAnswer,
 }
 
 func (s *soak) disturbStoreForNode(ctx context.Context, random *rand.Rand) {
 	node := s.anyNode(random)
 	node.beginFault()
-	node.door.Set(doorFaults[random.IntN(len(doorFaults))], random.IntN(2) == 0)
+	node.storeEndpoint.Set(storeEndpointFaults[random.IntN(len(storeEndpointFaults))], random.IntN(2) == 0)
 	wait.For(ctx, randomDuration(random, 300*time.Millisecond, 5*time.Second))
-	node.door.Set(platformtest.NoFault, false)
+	node.storeEndpoint.Set(platformtest.NoFault, false)
 	node.endFault()
 }
 
 func (s *soak) disturbStoreForAll(ctx context.Context, random *rand.Rand) {
-	kind, writes := doorFaults[random.IntN(len(doorFaults))], random.IntN(2) == 0
-	s.disturbAllDoors(ctx, randomDuration(random, 300*time.Millisecond, 4*time.Second), func(door *platformtest.Endpoint) { door.Set(kind, writes) },
-		func(door *platformtest.Endpoint) { door.Set(platformtest.NoFault, false) })
+	kind, writes := storeEndpointFaults[random.IntN(len(storeEndpointFaults))], random.IntN(2) == 0
+	s.disturbAllStoreEndpoints(ctx, randomDuration(random, 300*time.Millisecond, 4*time.Second), func(endpoint *platformtest.Endpoint) { endpoint.Set(kind, writes) },
+		func(endpoint *platformtest.Endpoint) { endpoint.Set(platformtest.NoFault, false) })
 }
 
 func (s *soak) slowStore(ctx context.Context, random *rand.Rand) {
 	delay := randomDuration(random, 50*time.Millisecond, 400*time.Millisecond)
-	s.disturbAllDoors(ctx, randomDuration(random, time.Second, 5*time.Second), func(door *platformtest.Endpoint) { door.Slow(delay) },
-		func(door *platformtest.Endpoint) { door.Slow(0) })
+	s.disturbAllStoreEndpoints(ctx, randomDuration(random, time.Second, 5*time.Second), func(endpoint *platformtest.Endpoint) { endpoint.Slow(delay) },
+		func(endpoint *platformtest.Endpoint) { endpoint.Slow(0) })
 }
 
 // delayTransactions leaves transactions unanswered and applies them seconds later.
 func (s *soak) delayTransactions(ctx context.Context, random *rand.Rand) {
 	s.beginStoreFault()
-	s.disturbAllDoors(ctx, randomDuration(random, 100*time.Millisecond, 600*time.Millisecond), func(door *platformtest.Endpoint) { door.Set(platformtest.LateEffect, true) },
-		func(door *platformtest.Endpoint) { door.Set(platformtest.NoFault, false) })
+	s.disturbAllStoreEndpoints(ctx, randomDuration(random, 100*time.Millisecond, 600*time.Millisecond), func(endpoint *platformtest.Endpoint) { endpoint.Set(platformtest.LateEffect, true) },
+		func(endpoint *platformtest.Endpoint) { endpoint.Set(platformtest.NoFault, false) })
 	wait.For(ctx, randomDuration(random, 100*time.Millisecond, 4*time.Second))
 	s.store.ApplyHeldTransactions()
 	s.endStoreFault()
 }
 
-func (s *soak) disturbAllDoors(ctx context.Context, duration time.Duration, begin, end func(*platformtest.Endpoint)) {
+func (s *soak) disturbAllStoreEndpoints(ctx context.Context, duration time.Duration, begin, end func(*platformtest.Endpoint)) {
 	s.beginStoreFault()
 	for _, node := range s.nodes {
-		begin(node.door)
+		begin(node.storeEndpoint)
 	}
 	wait.For(ctx, duration)
 	for _, node := range s.nodes {
-		end(node.door)
+		end(node.storeEndpoint)
 	}
 	s.endStoreFault()
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -94,7 +94,7 @@
 	ledger         ledger
 	usage          Usage
 
-	standstills []SchedulingStall
+	schedulingStalls []SchedulingStall
 }
 
 // NewEngine returns an engine. Without a weight store (weights is nil), loads take
@@ -177,7 +177,7 @@
 func (e *Engine) nextStep(lastDue time.Time) time.Time {
 	length := e.beginStep()
 	if now := time.Now(); !lastDue.IsZero() && now.Sub(lastDue) > lateStepThreshold {
-		e.recordStandstill(lastDue, now)
+		e.recordSchedulingStall(lastDue, now)
 	}
 	if length == 0 {
 		return time.Time{}
@@ -197,15 +197,15 @@
 func (e *Engine) SchedulingStalls() []SchedulingStall {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.standstills)
+	return slices.Clone(e.schedulingStalls)
 }
 
-func (e *Engine) recordStandstill(from, until time.Time) {
-	const maxStandstills = 10_000
+func (e *Engine) recordSchedulingStall(from, until time.Time) {
+	const maxSchedulingStalls = 10_000
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.standstills) < maxStandstills {
-		e.standstills = append(e.standstills, SchedulingStall{From: from, Until: until})
+	if len(e.schedulingStalls) < maxSchedulingStalls {
+		e.schedulingStalls = append(e.schedulingStalls, SchedulingStall{From: from, Until: until})
 	}
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -42,11 +42,12 @@
 	return l.Fields["request"] == id || l.Fields["job"] == id
 }
 
-// Numbers of the events about engines that ended while they ran a content.
+// Numbers of the events about engines that ended while they ran a request. The
+// field content of these events identifies what the request contained.
 const firstCrashEvent, lastCrashEvent = 8140, 8146
 
 // reportsCrashUnder reports whether a line is about engines that ended while they
-// ran one of the contents.
+// ran a request with one of the contents.
 func (l Line) reportsCrashUnder(contents map[string]bool) bool {
 	content, _ := l.Fields["content"].(string)
 	return l.Number >= firstCrashEvent && l.Number <= lastCrashEvent && contents[content]
@@ -92,11 +93,12 @@
 	return line, true
 }
 
-// Timeline returns the lines about an id in order of time, together with context: the
-// state changes of the same nodes, from the duration before ahead of the first of
-// these lines until the last one, and the lines of any node until then about engines
-// that ended while they ran the same content. It returns nil if no line is about the
-// id.
+// Timeline returns the lines about an id in order of time, together with their
+// context. The context is the state changes of the same nodes and the lines of any
+// node about engines that ended while they ran a request with the same content. State
+// changes are included from the duration given by the parameter before ahead of the
+// first line about the id. The context ends with the last line about the id. Timeline
+// returns nil if no line is about the id.
 func Timeline(lines []Line, id string, before time.Duration) []Line {
 	var ownLines []Line
 	nodes, contents := make(map[string]bool), make(map[string]bool)
@@ -114,25 +116,25 @@
 	}
 	slices.SortStableFunc(ownLines, compareTime)
 	from, to := ownLines[0].At.Add(-before), ownLines[len(ownLines)-1].At
-	story := ownLines
+	timeline := ownLines
 	for _, line := range lines {
 		stateChange := line.changesNodeState() && nodes[line.Node] && !line.At.Before(from)
 		crashReport := line.reportsCrashUnder(contents) && !line.isAbout(id)
 		if (stateChange || crashReport) && !line.At.After(to) {
-			story = append(story, line)
+			timeline = append(timeline, line)
 		}
 	}
-	slices.SortStableFunc(story, compareTime)
-	return story
+	slices.SortStableFunc(timeline, compareTime)
+	return timeline
 }
 
 func compareTime(a, b Line) int { return a.At.Compare(b.At) }
 
-// Text formats a story with one line per event, with times relative to the first.
-func Text(story []Line) string {
+// Text formats a timeline with one line per event, with times relative to the first.
+func Text(timeline []Line) string {
 	var text strings.Builder
-	for _, line := range story {
-		fmt.Fprintf(&text, "%+9.3fs  %-24s %s", line.At.Sub(story[0].At).Seconds(), line.Node, line.Message)
+	for _, line := range timeline {
+		fmt.Fprintf(&text, "%+9.3fs  %-24s %s", line.At.Sub(timeline[0].At).Seconds(), line.Node, line.Message)
 		names := make([]string, 0, len(line.Fields))
 		for name := range line.Fields {
 			names = append(names, name)
--- a/internal/jobs/runner/execute.go
+++ b/internal/jobs/runner/execute.go
@@ -32,34 +32,34 @@
 const invalidRequestCode = string(apierror.CodeInvalidRequest)
 
 // execute runs one item on reserved capacity.
-func (r *Runner) execute(slot dispatch.Slot, u itemRun) {
-	defer r.runEnded(u)
-	row, found := r.row(&u.job.header)
+func (r *Runner) execute(slot dispatch.Slot, run itemRun) {
+	defer r.runEnded(run)
+	row, found := r.row(&run.job.header)
 	if !found {
 		slot.Release()
-		r.locked(func() { r.requeueItem(u, refusedRetryDelay) })
+		r.locked(func() { r.requeueItem(run, refusedRetryDelay) })
 		return
 	}
-	release, decision := r.admit(row, u)
+	release, decision := r.admit(row, run)
 	if !decision.Allowed {
 		slot.Release()
-		r.locked(func() { r.requeueItem(u, max(refusedRetryDelay, decision.RetryAfter)) })
+		r.locked(func() { r.requeueItem(run, max(refusedRetryDelay, decision.RetryAfter)) })
 		return
 	}
-	ctx := u.job.context
-	if !u.repeatable() {
-		ctx = u.job.nonRepeatable
+	ctx := run.job.context
+	if !run.repeatable() {
+		ctx = run.job.nonRepeatable
 	}
-	output := &output{tokens: slices.Clone(u.keptTokens)}
+	output := &output{tokens: slices.Clone(run.keptTokens)}
 	var sent dispatch.Intent
 	request := dispatch.Request{
-		ID: requestID(u.job.header.ID, u.index), Tenant: u.job.header.Tenant, Row: row, Kind: policy.KindBatch,
-		Model: u.job.header.Model, Prompt: u.item.Prompt, MaxTokens: u.item.MaxTokens,
-		KeptTokens: slices.Clone(u.keptTokens), Repeatable: u.repeatable(),
+		ID: requestID(run.job.header.ID, run.index), Tenant: run.job.header.Tenant, Row: row, Kind: policy.KindBatch,
+		Model: run.job.header.Model, Prompt: run.item.Prompt, MaxTokens: run.item.MaxTokens,
+		KeptTokens: slices.Clone(run.keptTokens), Repeatable: run.repeatable(),
 	}
-	if !u.repeatable() {
+	if !run.repeatable() {
 		request.BeforeSend = func(ctx context.Context, intent dispatch.Intent) error {
-			err := r.recordIntent(ctx, u, intent)
+			err := r.recordIntent(ctx, run, intent)
 			if err == nil {
 				sent = intent
 			}
@@ -69,18 +69,18 @@
 	ended := slot.Run(ctx, request, output.take)
 	release(ended.OutputTokens)
 	r.metrics.attempts.WithLabelValues(ended.Kind.String()).Inc()
-	if u.repeatable() {
-		r.settleRepeatable(u, ended, output)
+	if run.repeatable() {
+		r.settleRepeatable(run, ended, output)
 		return
 	}
-	r.settleNonRepeatable(u, ended, output, sent)
+	r.settleNonRepeatable(run, ended, output, sent)
 }
 
-func (r *Runner) admit(row policy.Row, u itemRun) (func(used int), limits.Decision) {
+func (r *Runner) admit(row policy.Row, run itemRun) (func(used int), limits.Decision) {
 	if r.deps.Limits == nil {
 		return func(int) {}, limits.Decision{Allowed: true}
 	}
-	return r.deps.Limits.Admit(row, u.job.header.Tenant, u.item.MaxTokens+len(u.item.Prompt)/bytesPerToken)
+	return r.deps.Limits.Admit(row, run.job.header.Tenant, run.item.MaxTokens+len(run.item.Prompt)/bytesPerToken)
 }
 
 // bytesPerToken approximates the size of a token in a prompt.
@@ -93,64 +93,64 @@
 }
 
 // runEnded updates the counts of running items after an item's run.
-func (r *Runner) runEnded(u itemRun) {
+func (r *Runner) runEnded(run itemRun) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runningItems--
-	if u.repeatable() {
-		u.job.repeatableRunning--
+	if run.repeatable() {
+		run.job.repeatableRunning--
 	}
 	r.wakeLocked()
 }
 
 // settleRepeatable finishes or requeues a repeatable item after an attempt.
-func (r *Runner) settleRepeatable(u itemRun, ended outcome.Outcome, output *output) {
+func (r *Runner) settleRepeatable(run itemRun, ended outcome.Outcome, output *output) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch ended.Kind {
 	case outcome.Completed:
-		r.finishItem(u, batch.Completed, record.Result{Text: output.text()})
+		r.finishItem(run, batch.Completed, record.Result{Text: output.text()})
 	case outcome.Failed:
-		r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)})
+		r.finishItem(run, batch.Failed, record.Result{Reason: reason(ended)})
 	case outcome.Refused:
 		if ended.Code == invalidRequestCode {
-			r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)})
+			r.finishItem(run, batch.Failed, record.Result{Reason: reason(ended)})
 			return
 		}
-		u.keptTokens = output.tokens
-		r.requeueItem(u, max(refusedRetryDelay, ended.RetryAfter))
+		run.keptTokens = output.tokens
+		r.requeueItem(run, max(refusedRetryDelay, ended.RetryAfter))
 	case outcome.Preempted:
-		u.keptTokens = output.tokens
-		r.requeueItem(u, 0)
+		run.keptTokens = output.tokens
+		r.requeueItem(run, 0)
 	case outcome.Cancelled:
-		u.keptTokens = output.tokens
-		r.requeueItem(u, refusedRetryDelay)
+		run.keptTokens = output.tokens
+		r.requeueItem(run, refusedRetryDelay)
 	default:
-		u.unansweredAttempts++
-		u.keptTokens = output.tokens
-		if u.unansweredAttempts >= r.config.RepeatAttempts {
-			r.finishItem(u, batch.Failed, record.Result{Reason: "no attempt was answered: " + reason(ended)})
+		run.unansweredAttempts++
+		run.keptTokens = output.tokens
+		if run.unansweredAttempts >= r.config.RepeatAttempts {
+			r.finishItem(run, batch.Failed, record.Result{Reason: "no attempt was answered: " + reason(ended)})
 			return
 		}
-		r.requeueItem(u, unansweredRetryDelay)
+		r.requeueItem(run, unansweredRetryDelay)
 	}
 }
 
 // settleNonRepeatable finishes or requeues a non-repeatable item after its
 // attempt. An item that was never sent is requeued. An item that may have run is
 // finished here, or resumed to learn its outcome.
-func (r *Runner) settleNonRepeatable(u itemRun, ended outcome.Outcome, output *output, sent dispatch.Intent) {
+func (r *Runner) settleNonRepeatable(run itemRun, ended outcome.Outcome, output *output, sent dispatch.Intent) {
 	switch {
 	case ended.Kind == outcome.Completed:
-		r.locked(func() { r.finishItem(u, batch.Completed, record.Result{Text: output.text()}) })
+		r.locked(func() { r.finishItem(run, batch.Completed, record.Result{Text: output.text()}) })
 	case ended.Kind == outcome.Failed:
-		r.locked(func() { r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)}) })
+		r.locked(func() { r.finishItem(run, batch.Failed, record.Result{Reason: reason(ended)}) })
 	case ended.Kind == outcome.Refused && ended.Code == invalidRequestCode:
-		r.locked(func() { r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)}) })
+		r.locked(func() { r.finishItem(run, batch.Failed, record.Result{Reason: reason(ended)}) })
 	case sent.Attempt == "" || ended.Kind == outcome.Refused:
-		r.locked(func() { r.requeueItem(u, max(refusedRetryDelay, ended.RetryAfter)) })
+		r.locked(func() { r.requeueItem(run, max(refusedRetryDelay, ended.RetryAfter)) })
 	default:
-		r.resume(u, sent, reason(ended))
+		r.resume(run, sent, reason(ended))
 	}
 }
 
@@ -168,55 +168,55 @@
 			return
 		}
 	}
-	u := itemRun{job: j, index: intended.Index, item: items[offset]}
-	r.resume(u, intended.Intent, "the node that ran it was lost")
+	run := itemRun{job: j, index: intended.Index, item: items[offset]}
+	r.resume(run, intended.Intent, "the node that ran it was lost")
 }
 
 // resume resumes an attempt that may have been sent, and never sends it. When the
 // engine confirms that the attempt never ran, the item is requeued for a new
 // intent. When the outcome is still not known after ResumeAttempts, the item
 // ends as unknown.
-func (r *Runner) resume(u itemRun, sent dispatch.Intent, unknownReason string) {
+func (r *Runner) resume(run itemRun, sent dispatch.Intent, unknownReason string) {
 	for attempt := range r.config.ResumeAttempts {
 		if attempt > 0 {
-			wait.For(u.job.context, resumeRetryDelay<<min(attempt-1, maxResumeShift))
+			wait.For(run.job.context, resumeRetryDelay<<min(attempt-1, maxResumeShift))
 		}
-		if u.job.context.Err() != nil {
+		if run.job.context.Err() != nil {
 			return
 		}
 		output := &output{}
-		ended := r.deps.Batch.Resume(u.job.nonRepeatable, sent, 0, output.take)
+		ended := r.deps.Batch.Resume(run.job.nonRepeatable, sent, 0, output.take)
 		switch ended.Kind {
 		case outcome.Completed:
-			r.locked(func() { r.finishItem(u, batch.Completed, record.Result{Text: output.text()}) })
+			r.locked(func() { r.finishItem(run, batch.Completed, record.Result{Text: output.text()}) })
 			return
 		case outcome.Failed:
-			r.locked(func() { r.finishItem(u, batch.Failed, record.Result{Reason: reason(ended)}) })
+			r.locked(func() { r.finishItem(run, batch.Failed, record.Result{Reason: reason(ended)}) })
 			return
 		case outcome.Refused:
-			r.locked(func() { r.requeueItem(u, refusedRetryDelay) })
+			r.locked(func() { r.requeueItem(run, refusedRetryDelay) })
 			return
 		default:
 			unknownReason = unknownReason + "; " + reason(ended)
 		}
 	}
-	if u.job.context.Err() != nil {
+	if run.job.context.Err() != nil {
 		return
 	}
-	events.JobItemUnknown.Log(r.logger, zap.String("job", string(u.job.header.ID)), zap.Int("item", u.index),
+	events.JobItemUnknown.Log(r.logger, zap.String("job", string(run.job.header.ID)), zap.Int("item", run.index),
 		zap.String("attempt", string(sent.Attempt)), zap.String("reason", unknownReason))
-	r.locked(func() { r.finishItem(u, batch.Unknown, record.Result{Reason: unknownReason}) })
+	r.locked(func() { r.finishItem(run, batch.Unknown, record.Result{Reason: unknownReason}) })
 }
 
 // maxResumeShift bounds the exponential backoff between resume attempts.
 const maxResumeShift = 3
 
 // finishItem sets an item's final outcome. r.mu is held.
-func (r *Runner) finishItem(u itemRun, code batch.Code, result record.Result) {
+func (r *Runner) finishItem(run itemRun, code batch.Code, result record.Result) {
 	result.Outcome = code.Outcome().String()
-	r.queueOutcome(u, code, result)
-	if row, found := r.row(&u.job.header); found {
-		if rate := r.groups[capacityGroup{pool: row.Pool, model: u.job.header.Model}]; rate != nil {
+	r.queueOutcome(run, code, result)
+	if row, found := r.row(&run.job.header); found {
+		if rate := r.groups[capacityGroup{pool: row.Pool, model: run.job.header.Model}]; rate != nil {
 			rate.endedItems++
 		}
 	}
--- a/internal/jobs/runner/intent.go
+++ b/internal/jobs/runner/intent.go
@@ -26,14 +26,14 @@
 // recordIntent returns nil once the intent is durable. On an error nothing may be
 // sent. The intent may still become durable, in which case the item only counts
 // as possibly sent after a crash.
-func (r *Runner) recordIntent(ctx context.Context, u itemRun, intent dispatch.Intent) error {
+func (r *Runner) recordIntent(ctx context.Context, run itemRun, intent dispatch.Intent) error {
 	wait := &intentWait{
-		job:    u.job,
-		intent: batch.ItemIntent{Index: u.index, Intent: intent},
+		job:    run.job,
+		intent: batch.ItemIntent{Index: run.index, Intent: intent},
 		done:   make(chan error, 1),
 	}
 	r.mu.Lock()
-	if u.job.state.Closed() {
+	if run.job.state.Closed() {
 		r.mu.Unlock()
 		return errJobEnded
 	}
--- a/internal/jobs/runner/job.go
+++ b/internal/jobs/runner/job.go
@@ -70,11 +70,11 @@
 // resultOverheadBytes approximates the memory of a result besides its texts.
 const resultOverheadBytes = 96
 
-func (u *itemRun) repeatable() bool {
-	if u.item.Repeatable != nil {
-		return *u.item.Repeatable
+func (run *itemRun) repeatable() bool {
+	if run.item.Repeatable != nil {
+		return *run.item.Repeatable
 	}
-	return u.job.header.Repeatable
+	return run.job.header.Repeatable
 }
 
 // removeJob removes a job. Its running items are cancelled and later outcomes are
@@ -146,12 +146,12 @@
 
 // requeueItem makes an item wait to run again and delays the job's next item
 // start by pause. r.mu is held.
-func (r *Runner) requeueItem(u itemRun, pause time.Duration) {
-	j := u.job
-	if !j.state.Requeue(u.index) {
+func (r *Runner) requeueItem(run itemRun, pause time.Duration) {
+	j := run.job
+	if !j.state.Requeue(run.index) {
 		return
 	}
-	j.requeued[u.index] = u
+	j.requeued[run.index] = run
 	if until := time.Now().Add(pause); until.After(j.notBefore) {
 		j.notBefore = until
 	}
@@ -159,13 +159,13 @@
 }
 
 // queueOutcome queues an item's outcome for upload. r.mu is held.
-func (r *Runner) queueOutcome(u itemRun, code batch.Code, result record.Result) {
-	j := u.job
-	if !j.state.Finish(u.index) {
+func (r *Runner) queueOutcome(run itemRun, code batch.Code, result record.Result) {
+	j := run.job
+	if !j.state.Finish(run.index) {
 		return
 	}
-	result.Index, result.ID = u.index, u.item.ID
-	item := finishedItem{outcome: batch.ItemOutcome{Index: u.index, Code: code}, result: result}
+	result.Index, result.ID = run.index, run.item.ID
+	item := finishedItem{outcome: batch.ItemOutcome{Index: run.index, Code: code}, result: result}
 	j.finished = append(j.finished, item)
 	r.heldResultBytes += item.bytes()
 	if len(j.finished) >= r.config.CommitItems {
--- a/internal/jobs/shard/claim.go
+++ b/internal/jobs/shard/claim.go
@@ -190,7 +190,7 @@
 			// another transaction or from a renewal whose answer was lost.
 			return k.sessionRenewed(ctx, session, []uint64{result.Conflicts[0].Version})
 		}
-		k.sessionLapsed(session)
+		k.sessionEnded(session)
 		return false
 	default:
 		k.mu.Lock()
@@ -225,9 +225,9 @@
 	return true
 }
 
-// sessionLapsed drops all shards and starts a new session, because another node
+// sessionEnded drops all shards and starts a new session, because another node
 // has ended the session.
-func (k *Keeper) sessionLapsed(session string) {
+func (k *Keeper) sessionEnded(session string) {
 	k.mu.Lock()
 	if k.session != session {
 		k.mu.Unlock()
--- a/internal/peer/sharing/sharing.go
+++ b/internal/peer/sharing/sharing.go
@@ -169,7 +169,7 @@
 	for _, part := range []func(){
 		func() { s.listen(ctx, datagrams) },
 		func() { s.serveRequests(ctx, listener) },
-		func() { s.askPeersWhileBlind(ctx) },
+		func() { s.askPeersWhileStoreUnreachable(ctx) },
 	} {
 		group.Go(part)
 	}
@@ -216,8 +216,8 @@
 	_ = connection.write.Encode(response) // the requesting node retries
 }
 
-// askPeersWhileBlind asks a random peer for documents every AskEvery while the store cannot be reached.
-func (s *Share) askPeersWhileBlind(ctx context.Context) {
+// askPeersWhileStoreUnreachable asks a random peer for documents every AskEvery while the store cannot be reached.
+func (s *Share) askPeersWhileStoreUnreachable(ctx context.Context) {
 	for wait.For(ctx, s.config.AskEvery) {
 		peers := s.askablePeers()
 		if !s.local.StoreUnreachable() || len(peers) == 0 {
--- a/internal/rows/messages.go
+++ b/internal/rows/messages.go
@@ -69,7 +69,7 @@
 	maxRowsPerReply = 256
 )
 
-// changeSource tells where a change came from. It is a metric label.
+// changeSource states where a change came from. It is a metric label.
 type changeSource string
 
 const (
