--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestEngineLostMidStreamGoesOnElsewhereFromKeptTokens(t *testing.T) {
+func TestStreamOfALostEngineIsResumedElsewhereFromKeptTokens(t *testing.T) {
 	runTestNode(t, 2, func(t *testing.T, s *testNode) {
 		var got []string
 		sink := collect(t, &got)
--- a/internal/jobs/faults_test.go
+++ b/internal/jobs/faults_test.go
@@ -49,7 +49,7 @@
 		c.checkResults(node, ended, "k")
 		c.checkSentOnce("k", 200)
 		if ended.Completed != 200 {
-			t.Errorf("%+v", ended)
+			t.Errorf("ended job: %+v", ended)
 		}
 	})
 }
@@ -80,7 +80,7 @@
 		ended := c.await(node, job.ID, 5*time.Minute)
 		c.checkSentOnce("k", 100)
 		if ended.Unknown == 0 || ended.Completed+ended.Unknown != 100 {
-			t.Errorf("%+v", ended)
+			t.Errorf("ended job: %+v", ended)
 		}
 		for _, result := range c.checkResults(node, ended, "k") {
 			if result.Outcome == outcome.Unknown.String() && result.Reason == "" {
@@ -110,7 +110,7 @@
 		c.checkResults(node, ended, "k")
 		c.checkSentOnce("k", 200)
 		if ended.Completed != 200 {
-			t.Errorf("%+v", ended)
+			t.Errorf("ended job: %+v", ended)
 		}
 	})
 }
@@ -233,7 +233,7 @@
 		ended := c.await(alive, job.ID, 10*time.Minute)
 		for _, result := range c.checkResults(alive, ended, key) {
 			if result.Outcome != outcome.Completed.String() && (key == "k0" || key == "k2") {
-				t.Errorf("%s: %+v", key, result)
+				t.Errorf("job %s: item not completed: %+v", key, result)
 			}
 		}
 		if key == "k1" || key == "k3" {
--- a/internal/jobs/manager_test.go
+++ b/internal/jobs/manager_test.go
@@ -23,7 +23,7 @@
 		defer c.close()
 		job := c.submit(c.nodes[0], "k", 250, true)
 		if job.State != StateAccepted || job.Total != 250 {
-			t.Fatalf("%+v", job)
+			t.Fatalf("accepted job: %+v", job)
 		}
 		advance(3 * time.Second)
 		early, err := c.nodes[1].Results(t.Context(), tenant, job.ID, 0, 250)
@@ -32,11 +32,11 @@
 		}
 		ended := c.await(c.nodes[2], job.ID, time.Minute)
 		if ended.Completed != 250 || ended.State != StateCompleted {
-			t.Errorf("%+v", ended)
+			t.Errorf("ended job: %+v", ended)
 		}
 		for _, result := range c.checkResults(c.nodes[2], ended, "k") {
 			if result.Outcome != outcome.Completed.String() || c.engines.sent(result.Text) > 1 {
-				t.Fatalf("%+v", result)
+				t.Fatalf("item not completed in one attempt: %+v", result)
 			}
 		}
 		if len(c.engines.order) != 250 {
@@ -44,7 +44,7 @@
 		}
 		part, err := c.nodes[0].Results(t.Context(), tenant, job.ID, 35, 45)
 		if err != nil || len(part) != 10 || part[0].Index != 35 {
-			t.Errorf("%v, %v", part, err)
+			t.Errorf("results 35 to 45: %v, error %v", part, err)
 		}
 	})
 }
@@ -78,14 +78,14 @@
 			wrong.Items = strings.NewReader(good + test.line + "\n")
 			_, _, err := c.nodes[0].Submit(t.Context(), wrong)
 			if err == nil || !strings.Contains(err.Error(), test.message) {
-				t.Errorf("%s: %v", test.line, err)
+				t.Errorf("line %s: got error %v", test.line, err)
 			}
 		}
 		if _, _, err := c.nodes[0].Submit(t.Context(), submission("k", 7, true)); codeOf(err) != apierror.CodeTooLarge {
 			t.Error(err)
 		}
 		if listed, err := c.nodes[0].List(t.Context(), tenant, "", 10); err != nil || len(listed) != 0 {
-			t.Errorf("%v, %v", listed, err)
+			t.Errorf("listed jobs: %v, error %v", listed, err)
 		}
 		objects, err := c.clients.Objects.List(t.Context(), record.InputPrefix, "", 10)
 		if err != nil || len(objects) != 0 {
@@ -135,7 +135,7 @@
 		other := submission("k", 3, true)
 		other.Tenant = "another"
 		if job, existed, err := c.nodes[0].Submit(t.Context(), other); err != nil || existed || job.ID == id {
-			t.Errorf("%+v, %v, %v", job, existed, err)
+			t.Errorf("another tenant's submission: job %+v, existed %v, error %v", job, existed, err)
 		}
 		if _, err := c.nodes[0].Get(t.Context(), "another", id); codeOf(err) != apierror.CodeNotFound {
 			t.Errorf("another tenant's job: %v", err)
@@ -143,7 +143,7 @@
 		c.checkResults(c.nodes[1], c.await(c.nodes[1], id, time.Minute), "k")
 		listed, err := c.nodes[2].List(t.Context(), tenant, "", 10)
 		if err != nil || len(listed) != 1 || listed[0].ID != id {
-			t.Errorf("%v, %v", listed, err)
+			t.Errorf("listed jobs: %v, error %v", listed, err)
 		}
 	})
 }
@@ -156,11 +156,11 @@
 		c.fleet.Table.Faults.Change(func(f *emulator.FaultSettings) { f.LoseAnswers, f.Operations = 1, []string{"commit"} })
 		job, existed, err := c.nodes[0].Submit(t.Context(), submission("k", 5, true))
 		if err != nil || existed {
-			t.Fatalf("%v, %v", existed, err)
+			t.Fatalf("first submission: existed %v, error %v", existed, err)
 		}
 		again, existed, err := c.nodes[0].Submit(t.Context(), submission("k", 5, true))
 		if err != nil || !existed || again.ID != job.ID {
-			t.Errorf("%+v, %v, %v", again, existed, err)
+			t.Errorf("second submission: job %+v, existed %v, error %v", again, existed, err)
 		}
 		c.checkResults(c.nodes[0], c.await(c.nodes[0], job.ID, time.Minute), "k")
 	})
@@ -178,7 +178,7 @@
 		}
 		cancelled, err := c.nodes[1].Cancel(t.Context(), tenant, job.ID)
 		if err != nil || cancelled.State != StateCancelled || cancelled.Completed+cancelled.Cancelled != 400 || cancelled.Completed == 0 {
-			t.Fatalf("%+v, %v", cancelled, err)
+			t.Fatalf("cancelled job: %+v, error %v", cancelled, err)
 		}
 		advance(2 * time.Second)
 		if active := c.engines.active(); active != 0 {
@@ -187,14 +187,14 @@
 		advance(time.Minute)
 		later, err := c.nodes[0].Get(t.Context(), tenant, job.ID)
 		if err != nil || later.Completed != cancelled.Completed {
-			t.Errorf("%+v, %v", later, err)
+			t.Errorf("job a minute after the cancellation: %+v, error %v", later, err)
 		}
 		results := c.checkResults(c.nodes[0], later, "k")
 		if results[399].Outcome != outcome.Cancelled.String() {
-			t.Errorf("%+v", results[399])
+			t.Errorf("last item's result: %+v", results[399])
 		}
 		if again, err := c.nodes[0].Cancel(t.Context(), tenant, job.ID); err != nil || again.State != StateCancelled {
-			t.Errorf("%+v, %v", again, err)
+			t.Errorf("repeated cancellation: job %+v, error %v", again, err)
 		}
 	})
 }
@@ -257,7 +257,7 @@
 			t.Fatal("the killed node answered the cancellation")
 		}
 		if again, err := others[1].Cancel(t.Context(), tenant, job.ID); err != nil || again.State != StateCancelled {
-			t.Fatalf("%+v, %v", again, err)
+			t.Fatalf("repeated cancellation: job %+v, error %v", again, err)
 		}
 		advance(500 * time.Millisecond)
 		if active := c.engines.active(); active != 0 {
@@ -308,7 +308,7 @@
 		}
 		after, err := newHolder.Get(t.Context(), tenant, job.ID)
 		if err != nil || after.Completed < before.Completed {
-			t.Errorf("%+v, %v", after, err)
+			t.Errorf("job at the new holder: %+v, error %v", after, err)
 		}
 		c.network.SetState(stopping.id, membership.Dead)
 		c.checkResults(newHolder, c.await(newHolder, job.ID, time.Minute), "k")
@@ -334,7 +334,7 @@
 		ended := c.await(c.nodes[0], job.ID, 2*time.Minute)
 		c.checkResults(c.nodes[0], ended, "k")
 		if ended.Completed != 600 {
-			t.Errorf("%+v", ended)
+			t.Errorf("ended job: %+v", ended)
 		}
 		advance(10 * time.Second)
 		held := make(map[int]int)
--- a/internal/jobs/measure_test.go
+++ b/internal/jobs/measure_test.go
@@ -130,11 +130,11 @@
 	})
 }
 
-// The shards of one claim must be passed to the runner in one call. Three nodes start one after the
-// other, and each knows only those before it. When the shards were passed one by one, the first woke
-// the reader of open jobs, which made a separate list for each of up to 15 shards passed by then. A
-// start usually took 37 lists, up to 103, and 20 of 240 starts under the race detector exceeded the
-// bound. Passed together, all 240 starts took 21 lists each.
+// Guards against shards of one claim that are passed to the runner one by one. Three nodes start one
+// after the other, and each knows only those before it. When the shards were passed one by one, the
+// first woke the reader of open jobs, which made a separate list for each of up to 15 shards passed by
+// then. A start usually took 37 lists, up to 103, and 20 of 240 starts under the race detector
+// exceeded the bound. With the shards passed in one call, all 240 starts took 21 lists each.
 func TestAColdStartTakesFewStoreCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/jobs/operator_test.go
+++ b/internal/jobs/operator_test.go
@@ -27,14 +27,14 @@
 		for range len(want) {
 			page, err := operators.List(t.Context(), "", after, 1)
 			if err != nil || len(page) != 1 || want[page[0].ID] != page[0].Tenant {
-				t.Fatalf("%+v, %v", page, err)
+				t.Fatalf("page of jobs: %+v, error %v", page, err)
 			}
 			after = page[0].ID
 			if cancelled, err := operators.Cancel(t.Context(), "", after); err != nil || cancelled.State != StateCancelled {
-				t.Errorf("%+v, %v", cancelled, err)
+				t.Errorf("cancelled job: %+v, error %v", cancelled, err)
 			}
 			if job, err := operators.Get(t.Context(), "", after); err != nil || job.Tenant != want[after] {
-				t.Errorf("%+v, %v", job, err)
+				t.Errorf("job: %+v, error %v", job, err)
 			}
 			if _, err := operators.Results(t.Context(), "", after, 0, 1); err != nil {
 				t.Error(err)
--- a/internal/jobs/progress_test.go
+++ b/internal/jobs/progress_test.go
@@ -96,7 +96,7 @@
 					c.checkResults(c.nodes[0], ended, key)
 					c.checkSentOnce(key, 40)
 					if ended.Completed != 40 {
-						t.Errorf("%s: %+v", key, ended)
+						t.Errorf("ended job %s: %+v", key, ended)
 					}
 				}
 				if commits.Load() <= lost {
--- a/internal/passthrough/batch/decode_test.go
+++ b/internal/passthrough/batch/decode_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestSignsOfLifeThatCannotBeReliedOn(t *testing.T) {
+func TestInvalidHeartbeatRowsAreRefused(t *testing.T) {
 	for _, value := range append([]string{
 		`{"name":"n","started":0}`, `{"name":"","started":5}`, `{"name":"n","started":5,"slowness":1e300}`,
 		`{"name":"n","started":5,"capacity":-1}`, `{"name":"n","started":"5"}`,
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestCrashRowsThatCannotBeReliedOn(t *testing.T) {
+func TestInvalidCrashRowsAreRefused(t *testing.T) {
 	for _, value := range []string{
 		"", "null", "[]", `{"written_at":-1}`, `{"written_at":1,"crashes":[{"engine":0}]}`, `{"crashes":[{"engine":1,"age":-5}]}`,
 		`{"crashes":[{"engine":1,"age":9223372036854775807}]}`, `{"crashes":{}}`,
@@ -83,10 +83,10 @@
 	}
 }
 
-// TestKeptTextsThatCannotBeReadAreLeftOut guards against two faults: a row with a negative index
+// TestInvalidRowsOfKeptPiecesAreSkipped guards against two faults: a row with a negative index
 // crashed the process that took over the job, and a row with a last event but no pieces made the
 // item resume without those pieces.
-func TestKeptTextsThatCannotBeReadAreLeftOut(t *testing.T) {
+func TestInvalidRowsOfKeptPiecesAreSkipped(t *testing.T) {
 	kept := make(map[int]progress)
 	whole := `{"last_event":"2","pieces":["a","b"],"first":0}`
 	rows := map[string]string{"job1/000000/000000": whole, "job1/-00001/000000": whole, "job1/000002/000000": whole, "job1/x": whole, "job1": whole}
--- a/internal/passthrough/batch/quota_test.go
+++ b/internal/passthrough/batch/quota_test.go
@@ -12,10 +12,10 @@
 	"ringstream.example/ringstream/internal/passthrough"
 )
 
-// TestQuotaRowsOfFormerBuildsTellNoNumber covers the quota rows of earlier builds, which hold the
+// TestQuotaRowsOfFormerBuildsHaveNoNumber covers the quota rows of earlier builds, which hold the
 // last job's id alone. They have a version but no number, so a submission waits for the view to
 // catch up.
-func TestQuotaRowsOfFormerBuildsTellNoNumber(t *testing.T) {
+func TestQuotaRowsOfFormerBuildsHaveNoNumber(t *testing.T) {
 	queue := tenantQueue{route: "batch"}
 	own := queue.row("job1", 4200)
 	own.Version = 7
--- a/internal/passthrough/catalog/copy_test.go
+++ b/internal/passthrough/catalog/copy_test.go
@@ -49,7 +49,7 @@
 // A copy is fed as a follower feeds it, with changes and with whole listings after the history was
 // lost. Several readers read it at random times, some of them rarely. Each must end with exactly
 // the rows of the table.
-func TestCopyTellsEachReaderTheWholeTable(t *testing.T) {
+func TestEachReaderOfACopyGetsTheWholeTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copied := NewCopy()
 		copied.Hide(func(row passthrough.Row) bool { return strings.HasPrefix(row.Key, "hidden") })
@@ -117,7 +117,7 @@
 
 // The number of remembered removals is bounded. A reader that asks for changes from before them
 // gets the whole table.
-func TestCopyForgetsOldRemovals(t *testing.T) {
+func TestCopyDiscardsOldRemovals(t *testing.T) {
 	copied := NewCopy()
 	copied.applyListing(nil, 1)
 	version := int64(1)
@@ -140,7 +140,7 @@
 // of which it was complete. While the copy was known to lack something, they learned of no change
 // until their calls timed out. Here each reader waits before there is a change, and must be woken
 // by it.
-func TestCopyWaitsForNews(t *testing.T) {
+func TestCopyWakesWaitingReadersOnAChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		copied := NewCopy()
 		copied.applyListing([]passthrough.Row{{Key: "a", Version: 3}}, 5)
--- a/internal/passthrough/catalog/follower_test.go
+++ b/internal/passthrough/catalog/follower_test.go
@@ -60,7 +60,7 @@
 
 // Hurry must not wait for the pace. Job submissions that conflicted on the quota row took one pace
 // longer for each conflict.
-func TestHurryAsksAtOnce(t *testing.T) {
+func TestHurryCallsTheStoreAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := DefaultFollowConfig()
 		config.PollInterval = time.Minute
--- a/internal/passthrough/edge/sharer_test.go
+++ b/internal/passthrough/edge/sharer_test.go
@@ -58,11 +58,11 @@
 	return &sharer{node: node}, clock
 }
 
-// TestNodeThatWakesTellsItsAgeWithTheSuspension guards against an answer to a peer whose age leaves
+// TestReportedAgeOfRoutesIncludesASuspension guards against an answer to a peer whose age leaves
 // out a suspension. A node that was asked within 0.1 s after it woke had not checked its clocks yet.
 // It reported the age of its routes without the suspension, so that nodes without access to the
 // store accepted routes of any age as fresh.
-func TestNodeThatWakesTellsItsAgeWithTheSuspension(t *testing.T) {
+func TestReportedAgeOfRoutesIncludesASuspension(t *testing.T) {
 	responder, clock := newSharer(t)
 	clock.Suspend(time.Minute)
 	if got := responder.Answer(sharing.Question{}); got.Age < time.Minute || got.RoutesVersion != 1 {
--- a/internal/passthrough/guard/guard_test.go
+++ b/internal/passthrough/guard/guard_test.go
@@ -46,12 +46,12 @@
 	}
 }
 
-// TestCrashIsToldAtOnceWhileMoreCome guards against a crash that is sent late because more
-// crashes arrive. The gathering delay used to restart with each crash heard from another node,
-// every few milliseconds while engines ended, and one goroutine both sent and stored crashes, so
-// that it sent nothing during a write to the store. On a busy machine a request ended eight
+// TestCrashIsSentAtOnceWhileMoreArrive guards against a crash that is sent late because more
+// crashes arrive. The gathering delay restarted with each crash report from another node, every few
+// milliseconds while engines ended, and one goroutine both sent and stored crashes, so that it sent
+// nothing during a write to the store. On a busy machine a request ended eight
 // engines, the last two 30 ms after two nodes had blocked it.
-func TestCrashIsToldAtOnceWhileMoreCome(t *testing.T) {
+func TestCrashIsSentAtOnceWhileMoreArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &network{started: time.Now(), firstSent: make(map[quarantine.Crash]time.Duration), sendCounts: make(map[quarantine.Crash]int)}
 		s := New(quarantine.DefaultConfig(), Dependencies{Logger: zap.NewNop(), Peers: func() []string { return []string{"peer"} }})
--- a/internal/passthrough/replicas/replicas_test.go
+++ b/internal/passthrough/replicas/replicas_test.go
@@ -40,10 +40,10 @@
 	})
 }
 
-// TestFollowerIsAsOfWhatTheHolderKnew checks that a follower's copy never counts as newer than
+// TestFollowersCopyIsNotNewerThanItsHolders checks that a follower's copy never counts as newer than
 // the holder's copy, and that it stays younger than 2 s while nothing changes, because an older
 // copy must not be used for decisions.
-func TestFollowerIsAsOfWhatTheHolderKnew(t *testing.T) {
+func TestFollowersCopyIsNotNewerThanItsHolders(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		_, read := z.start(ctx, "large", 0.8)
@@ -121,12 +121,12 @@
 	}
 }
 
-// TestNobodyLeavesASourceThatKnowsAsMuch guards against followers that leave their source when
+// TestFollowersKeepTheirSourceWhileTheStoreHasNothingNewer guards against followers that leave their source when
 // the store sends changes to no node. After one second without changes all copies were too old to
 // be followed, and 980 nodes left their sources at the same moment although the store told them
 // no more; 166 found the history gone and listed the jobs. Followers now keep their source and
 // ask the store in addition.
-func TestNobodyLeavesASourceThatKnowsAsMuch(t *testing.T) {
+func TestFollowersKeepTheirSourceWhileTheStoreHasNothingNewer(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		z := newZone()
 		services, _ := startMany(ctx, z)
--- a/internal/passthrough/slots/leaving_test.go
+++ b/internal/passthrough/slots/leaving_test.go
@@ -34,11 +34,11 @@
 	})
 }
 
-// TestNodeThatLeavesTurnsToTheOnlyOther guards against a leaving node that makes itself the
+// TestLeavingNodeUsesTheOnlyOtherNodeAsDispatcher guards against a leaving node that makes itself the
 // dispatcher while one other node is at work. The candidate list without the leaving node had one
 // entry, like that of a node that knows only itself, so the node asked a seed that had stopped.
 // Both nodes then counted requests of all tenants for 0.9 s.
-func TestNodeThatLeavesTurnsToTheOnlyOther(t *testing.T) {
+func TestLeavingNodeUsesTheOnlyOtherNodeAsDispatcher(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		f := newFleet(ctx, 3, 2)
 		f.setIsolated("n0", true) // the seed
--- a/internal/passthrough/slots/members_test.go
+++ b/internal/passthrough/slots/members_test.go
@@ -107,9 +107,9 @@
 	})
 }
 
-// TestNodeAloneThatKnowsNoMemberHasNoPartOfALimit checks a node that reaches no dispatcher and
+// TestIsolatedNodeWithoutKnownMembersHasNoShareOfALimit checks a node that reaches no dispatcher and
 // has not listed the nodes yet, although its token buckets would admit the request.
-func TestNodeAloneThatKnowsNoMemberHasNoPartOfALimit(t *testing.T) {
+func TestIsolatedNodeWithoutKnownMembersHasNoShareOfALimit(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		f := newFleet(ctx, 1, 1)
 		f.membersUnlisted.Store(true)
--- a/internal/passthrough/slots/slots_test.go
+++ b/internal/passthrough/slots/slots_test.go
@@ -197,9 +197,9 @@
 	})
 }
 
-// TestBatchRunOfAnotherNodeMakesRoom checks that a batch run of one node is preempted when all
+// TestOnlineRequestPreemptsBatchRunOfAnotherNode checks that a batch run of one node is preempted when all
 // slots are in use and another node's online request arrives.
-func TestBatchRunOfAnotherNodeMakesRoom(t *testing.T) {
+func TestOnlineRequestPreemptsBatchRunOfAnotherNode(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		f := newFleet(ctx, 3, 1)
 		started := make(chan Decision, 2)
@@ -224,9 +224,9 @@
 	})
 }
 
-// TestClientThatLeavesWaitsNoLonger cancels a request while the engine is full. Its ask must not
-// stay at the dispatcher.
-func TestClientThatLeavesWaitsNoLonger(t *testing.T) {
+// TestCanceledRequestIsRemovedAtTheDispatcher cancels a request while the engine is full. The request
+// must not stay at the dispatcher.
+func TestCanceledRequestIsRemovedAtTheDispatcher(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		f := newFleet(ctx, 2, 1)
 		held := []Decision{<-f.nodes["n1"].acquire(ctx), <-f.nodes["n1"].acquire(ctx)}
@@ -247,8 +247,8 @@
 	})
 }
 
-// TestRequestIsPlacedWhenItsPatienceEnds keeps the only engine full until the request's PlacementDeadline.
-func TestRequestIsPlacedWhenItsPatienceEnds(t *testing.T) {
+// TestRequestIsPlacedAtItsPlacementDeadline keeps the only engine full until the request's PlacementDeadline.
+func TestRequestIsPlacedAtItsPlacementDeadline(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context) {
 		f := newFleet(ctx, 2, 1)
 		<-f.nodes["n1"].acquire(ctx)
@@ -329,13 +329,12 @@
 	})
 }
 
-// TestNodeAloneKeepsToItsPartOfALimit lets one of ten nodes decide by itself. The node admits
-// requests at random, 0.051 of those that arrive. With one tenant and 200 requests, 0.9% of all
-// runs admitted fewer than 4 requests (47 of 5,000), so the bound failed by chance. The 20,000
-// requests of 100 tenants yield 1,020 in the mean with a standard deviation of 31. The bounds are
-// seven standard deviations from that mean, and closer to it than the former bounds for one
-// tenant.
-func TestNodeAloneKeepsToItsPartOfALimit(t *testing.T) {
+// TestIsolatedNodeKeepsToItsShareOfALimit lets one of ten nodes decide by itself. The node admits
+// requests at random, 0.051 of those that arrive. Of 20,000 requests of 100 tenants it admits 1,020
+// in the mean with a standard deviation of 31, and the bounds are seven standard deviations from
+// that mean. One tenant with 200 requests is too few: in 0.9% of all runs (47 of 5,000) fewer than
+// 4 requests are admitted, so that a bound of 4 fails by chance.
+func TestIsolatedNodeKeepsToItsShareOfALimit(t *testing.T) {
 	runInBubble(t, func(t *testing.T, _ context.Context) {
 		const tenants, nodes, requests, pause = 100, 10, 200, 50 * time.Millisecond
 		service := New(LimitsConfig{Window: 5 * time.Second}, Dependencies{})
--- a/internal/peer/sharing/large_test.go
+++ b/internal/peer/sharing/large_test.go
@@ -64,7 +64,7 @@
 }
 
 // A node that got no rows gets them when it asks again, and small answers always have their rows.
-func TestRowsComeWhenAskedAgain(t *testing.T) {
+func TestRowsAreSentWhenAskedAgain(t *testing.T) {
 	many, few := startWithRows(t, largeAnswerRows), startWithRows(t, largeAnswerRows-1)
 	for asked := range 3 {
 		if got := receiveDocuments(t, sendQuestion(t, few)); len(got.Rows) != largeAnswerRows-1 {
--- a/internal/peer/sharing/parts_test.go
+++ b/internal/peer/sharing/parts_test.go
@@ -115,7 +115,7 @@
 
 // A table arrives complete and in order in any number of parts, also at a node that does not accept
 // parts, like those of older builds.
-func TestTableInPartsComesWhole(t *testing.T) {
+func TestTableInPartsArrivesComplete(t *testing.T) {
 	for _, rows := range []int{0, 1, 700, 5000} {
 		t.Run(fmt.Sprint(rows), func(t *testing.T) {
 			table, address := startWithTable(t, rows)
--- a/internal/peer/sharing/sharing_test.go
+++ b/internal/peer/sharing/sharing_test.go
@@ -21,17 +21,17 @@
 
 // fakeNode implements Local, Slots, Crashes and Watchers.
 type fakeNode struct {
-	mu        sync.Mutex
-	peers     []string
-	blind     bool
-	documents Documents
+	mu               sync.Mutex
+	peers            []string
+	storeUnreachable bool
+	documents        Documents
 	// storeAnswer is the store's answer to calls made for other nodes.
-	storeAnswer StoreAnswer
-	gravest     []quarantine.Crash
-	learned     chan learnedAnswer
-	heard       chan message
-	alive       chan liveness.Message
-	suspensions atomic.Uint64
+	storeAnswer    StoreAnswer
+	startupReports []quarantine.Crash
+	learned        chan learnedAnswer
+	received       chan message
+	alive          chan liveness.Message
+	suspensions    atomic.Uint64
 	// onAnswer, if not nil, is called before a question is answered.
 	onAnswer func()
 }
@@ -43,32 +43,32 @@
 }
 
 func newFakeNode() *fakeNode {
-	return &fakeNode{learned: make(chan learnedAnswer, 10), heard: make(chan message, 10), alive: make(chan liveness.Message, 10)}
+	return &fakeNode{learned: make(chan learnedAnswer, 10), received: make(chan message, 10), alive: make(chan liveness.Message, 10)}
 }
 
 func (l *fakeNode) Peers() []string        { return l.peers }
 func (l *fakeNode) Seeds() []string        { return nil }
 func (l *fakeNode) Suspensions() uint64    { return l.suspensions.Load() }
-func (l *fakeNode) StoreUnreachable() bool { return l.blind }
+func (l *fakeNode) StoreUnreachable() bool { return l.storeUnreachable }
 func (l *fakeNode) Question() Question     { return Question{RoutesVersion: 3, RowsSince: 7} }
 
 func (l *fakeNode) HandleState(_ string, lane grant.Lane, state grant.State) error {
-	l.heard <- message{Lane: lane, State: &state}
+	l.received <- message{Lane: lane, State: &state}
 	return nil
 }
 
 func (l *fakeNode) HandleReply(_ string, lane grant.Lane, reply grant.Reply) error {
-	l.heard <- message{Lane: lane, Reply: &reply}
+	l.received <- message{Lane: lane, Reply: &reply}
 	return nil
 }
 
 func (l *fakeNode) AddPeerCrashes(_ string, crashes []quarantine.Crash) {
-	l.heard <- message{Crashes: crashes}
+	l.received <- message{Crashes: crashes}
 }
 
 func (l *fakeNode) HandleLiveness(_ string, msg liveness.Message) { l.alive <- msg }
 
-func (l *fakeNode) StartupReports() []quarantine.Crash { return l.gravest }
+func (l *fakeNode) StartupReports() []quarantine.Crash { return l.startupReports }
 
 func (l *fakeNode) CallStore(context.Context, StoreCall) StoreAnswer {
 	l.mu.Lock()
@@ -122,12 +122,12 @@
 	return share
 }
 
-func TestNodesAskWhatTheyLack(t *testing.T) {
+func TestNodeGetsMissingDocumentsFromAPeer(t *testing.T) {
 	first, second := newFakeNode(), newFakeNode()
 	firstAddress, secondAddress := freeAddress(t), freeAddress(t)
 	first.peers, second.peers = []string{secondAddress}, []string{firstAddress}
 	first.documents = Documents{RoutesVersion: 9, Routes: []byte("routes"), Rows: []passthrough.Row{{Key: "e1", Version: 8}}}
-	second.blind = true
+	second.storeUnreachable = true
 	start(t, first, firstAddress)
 	start(t, second, secondAddress)
 	if got := (<-second.learned).documents; got.RoutesVersion != 9 || string(got.Routes) != "routes" || len(got.Rows) != 1 {
@@ -143,7 +143,7 @@
 func TestAnswerIsAsOldAsItsQuestion(t *testing.T) {
 	answerer, asker := newFakeNode(), newFakeNode()
 	address := freeAddress(t)
-	asker.peers, asker.blind = []string{address}, true
+	asker.peers, asker.storeUnreachable = []string{address}, true
 	answering := make(chan time.Time, 10)
 	answerer.onAnswer = func() { answering <- time.Now() }
 	start(t, answerer, address)
@@ -159,7 +159,7 @@
 	for _, ofAnswerer := range []bool{true, false} {
 		answerer, asker := newFakeNode(), newFakeNode()
 		address := freeAddress(t)
-		asker.peers, asker.blind = []string{address}, true
+		asker.peers, asker.storeUnreachable = []string{address}, true
 		answerer.documents.Stale = ofAnswerer
 		answerer.onAnswer = func() {
 			if !ofAnswerer {
@@ -174,9 +174,9 @@
 	}
 }
 
-// TestDatagramsTravelWhole sends a state, a reply and crash reports. A datagram may
+// TestDatagramsArriveUnchanged sends a state, a reply and crash reports. A datagram may
 // be lost, so each is sent until it arrives.
-func TestDatagramsTravelWhole(t *testing.T) {
+func TestDatagramsArriveUnchanged(t *testing.T) {
 	from, to := newFakeNode(), newFakeNode()
 	address := freeAddress(t)
 	start(t, to, address)
@@ -196,7 +196,7 @@
 				sender.SendCrashes(address, sent.Crashes)
 			}
 			select {
-			case got = <-to.heard:
+			case got = <-to.received:
 				if (got.State == nil) != (sent.State == nil) || (got.Reply == nil) != (sent.Reply == nil) {
 					got = message{} // a duplicate of the previous message
 				}
@@ -209,8 +209,9 @@
 	}
 }
 
-// TestWatchersHearWhoIsAlive sends a voucher, which may be lost, until it arrives.
-func TestWatchersHearWhoIsAlive(t *testing.T) {
+// TestLivenessMessageArrivesUnchanged sends a voucher, a message that may be lost, until it
+// arrives.
+func TestLivenessMessageArrivesUnchanged(t *testing.T) {
 	to := newFakeNode()
 	address := freeAddress(t)
 	start(t, to, address)
@@ -229,18 +230,18 @@
 	}
 }
 
-// TestStartingNodeIsToldOfCrashes checks that a node that requests crash reports gets those that another node knows.
-func TestStartingNodeIsToldOfCrashes(t *testing.T) {
+// TestStartingNodeReceivesKnownCrashes checks that a node that requests crash reports gets those that another node knows.
+func TestStartingNodeReceivesKnownCrashes(t *testing.T) {
 	asked, asker := newFakeNode(), newFakeNode()
-	asked.gravest = []quarantine.Crash{{Engine: 7}}
+	asked.startupReports = []quarantine.Crash{{Engine: 7}}
 	address := freeAddress(t)
 	start(t, asked, address)
 	share := start(t, asker, freeAddress(t))
 	for {
 		share.AskCrashes(address) // a datagram may be lost
 		select {
-		case got := <-asker.heard:
-			if difference := cmp.Diff(message{Crashes: asked.gravest}, got); difference != "" {
+		case got := <-asker.received:
+			if difference := cmp.Diff(message{Crashes: asked.startupReports}, got); difference != "" {
 				t.Error(difference)
 			}
 			return
@@ -249,9 +250,9 @@
 	}
 }
 
-// TestStoreCallsByWayOfAPeer checks that each kind of answer of the store comes back
+// TestStoreAnswersThroughAPeerAreUnchanged checks that each kind of answer of the store comes back
 // unchanged through a peer.
-func TestStoreCallsByWayOfAPeer(t *testing.T) {
+func TestStoreAnswersThroughAPeerAreUnchanged(t *testing.T) {
 	served := newFakeNode()
 	address := freeAddress(t)
 	start(t, served, address)
@@ -285,8 +286,8 @@
 	}
 }
 
-// TestFaultsKeepWhatIsKnown checks that each error of the store keeps its identity on the way to another node.
-func TestFaultsKeepWhatIsKnown(t *testing.T) {
+// TestStoreErrorsKeepTheirIdentityThroughAPeer checks that each error of the store keeps its identity on the way to another node.
+func TestStoreErrorsKeepTheirIdentityThroughAPeer(t *testing.T) {
 	for _, known := range []error{passthrough.ErrNothingDone, passthrough.ErrOutcomeUnknown, passthrough.ErrHistoryGone, passthrough.ErrNotFound, passthrough.ErrFull} {
 		if got := (StoreAnswer{Fault: FaultOf(fmt.Errorf("a call: %w", known))}).Err(); !errors.Is(got, known) {
 			t.Errorf("error %v arrived as %v", known, got)
@@ -320,7 +321,7 @@
 	if share.dropped != 2 {
 		t.Errorf("%d dropped messages are not logged yet, want 2", share.dropped)
 	}
-	if err := share.handleMessage("127.0.0.1:2", exampleMessage()); err != nil || len(node.heard) != 1 {
-		t.Errorf("node received %d messages, want 1; error %v", len(node.heard), err)
+	if err := share.handleMessage("127.0.0.1:2", exampleMessage()); err != nil || len(node.received) != 1 {
+		t.Errorf("node received %d messages, want 1; error %v", len(node.received), err)
 	}
 }
