--- a/internal/passthrough/batch/config.go
+++ b/internal/passthrough/batch/config.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// Fractions of DeadAfter: the number of heartbeat messages that a node sends in that time, and the
-// divisor for the time that other watchers have to vouch for a node that is silent to one.
+// heartbeatsPerTimeout is the number of heartbeat messages that a node sends within DeadAfter.
+// DeadAfter divided by confirmDivisor is how long one watcher that no longer receives a node's
+// messages waits for other watchers to report the node as alive.
 const (
 	heartbeatsPerTimeout = 4
 	confirmDivisor       = 6
--- a/internal/passthrough/batch/forecast.go
+++ b/internal/passthrough/batch/forecast.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// forecastWeight is the weight of the newest observation in the moving averages. The minimums are
-// the observations needed before anything is forecast.
+// forecastWeight is the weight of the newest observation in the moving averages.
+// minForecastItems is the number of completed items that must be observed before a forecast.
+// minForecastEvents is the minimum number of events of a run that is observed.
 const (
 	forecastWeight    = 0.15
 	minForecastItems  = 4
 	minForecastEvents = 10  // shorter runs say little about the pace
-	minRemainingShare = 0.1 // of an average item, the least that is taken to remain
+	minRemainingShare = 0.1 // lower bound of the remaining events, as a share of an average item
 )
 
 // forecast estimates from this node's own runs how long an item takes.
@@ -59,8 +60,8 @@
 	return time.Duration(left * f.secondsPerEvent * float64(time.Second))
 }
 
-// remainingWithMargin is remaining with a safety margin, for items that have yet to start. Work on
-// items that turn out late is lost for items that could have met their deadline.
+// remainingWithMargin is remaining with a safety margin, for items that have yet to start. Slots
+// used for items that turn out late are missing for items that could have met their deadline.
 func (f *forecast) remainingWithMargin(kept int) time.Duration {
 	remaining := f.remaining(kept)
 	if remaining == 0 {
--- a/internal/passthrough/batch/preempt.go
+++ b/internal/passthrough/batch/preempt.go
@@ -58,11 +58,11 @@
 func (j *ownedJob) deadline() time.Duration { return j.record.AcceptedAt + j.record.Due }
 
 // maxLateFactor is the multiple of a job's time to its deadline after which late items are no
-// longer put back. Under lasting load they would never run otherwise.
+// longer postponed. Under lasting load they would never run otherwise.
 const maxLateFactor = 2
 
 // missesDeadline reports whether an item with the given remaining run time will miss its deadline,
-// and may be put back for others.
+// and may be postponed in favor of others.
 func (j *ownedJob) missesDeadline(storeNow, remaining time.Duration) bool {
 	if j.record.Due <= 0 || storeNow > j.record.AcceptedAt+maxLateFactor*j.record.Due {
 		return false
--- a/internal/passthrough/batch/service.go
+++ b/internal/passthrough/batch/service.go
@@ -140,7 +140,7 @@
 
 // OnSkippedChange registers a function that is called when the feed of jobs has skipped a change. It
 // must be called before Run.
-func (s *Service) OnSkippedChange(hear func()) { s.follower.OnSkippedChange(hear) }
+func (s *Service) OnSkippedChange(notify func()) { s.follower.OnSkippedChange(notify) }
 
 // Health returns how well the table of jobs is followed.
 func (s *Service) Health() catalog.Health { return s.follower.Health() }
@@ -169,10 +169,10 @@
 const readyPollInterval = 20 * time.Millisecond
 
 // setStoreClock records the store's clock as of a local time.
-func (s *Service) setStoreClock(at time.Duration, as time.Time) {
+func (s *Service) setStoreClock(value time.Duration, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeClockValue, s.storeClockAt = at, as
+	s.storeClockValue, s.storeClockAt = value, at
 }
 
 // storeClock returns an estimate of the store's clock, and false if the clock is not known yet.
--- a/internal/passthrough/batch/view.go
+++ b/internal/passthrough/batch/view.go
@@ -179,11 +179,11 @@
 func (v *view) removeNode(id string, version int64) {
 	delete(v.nodes, id)
 	v.generation++
-	for oldest := range v.removedNodes {
+	for dropped := range v.removedNodes {
 		if len(v.removedNodes) < maxRemovedNodes {
 			break
 		}
-		delete(v.removedNodes, oldest) // jobs that the forgotten node still owns are claimed a little later
+		delete(v.removedNodes, dropped) // jobs that this node still owns are claimed a little later
 	}
 	v.removedNodes[id] = version
 }
--- a/internal/passthrough/catalog/engines.go
+++ b/internal/passthrough/catalog/engines.go
@@ -201,10 +201,10 @@
 	delete(e.listed, id)
 	now := time.Now()
 	health := e.health()
-	sick := !health.LastFailure.IsZero() && now.Sub(health.LastFailure) < storeFailureWindow
+	storeFailed := !health.LastFailure.IsZero() && now.Sub(health.LastFailure) < storeFailureWindow
 	engine, _ := e.set.Newest(id)
-	e.set.Remove(engine, sick, now)
-	events.EngineGone.Log(e.logger, zap.Stringer("engine", engine), zap.Bool("store_was_sick", sick), zap.Int64("store_version", version))
+	e.set.Remove(engine, storeFailed, now)
+	events.EngineGone.Log(e.logger, zap.Stringer("engine", engine), zap.Bool("store_was_sick", storeFailed), zap.Int64("store_version", version))
 }
 
 // Run expires engines that were not listed again, until ctx ends.
--- a/internal/passthrough/catalog/evidence.go
+++ b/internal/passthrough/catalog/evidence.go
@@ -69,8 +69,8 @@
 		return
 	}
 	pause := f.config.MaxFeedLag
-	if oldest := time.Since(f.progress.oldestExpectation()); oldest < pause {
-		pause -= oldest
+	if oldestAge := time.Since(f.progress.oldestExpectation()); oldestAge < pause {
+		pause -= oldestAge
 	} else {
 		f.interruptCall()
 	}
@@ -140,8 +140,8 @@
 // relay that stopped answering, is confirmed by a call without hold, since others may wait for it.
 // If the store confirms nothing either, such calls are no more frequent than held ones.
 func (f *Follower) fetchFromStore(ctx context.Context, version int64, hold time.Duration) (feedAnswer, error) {
-	old := time.Since(f.copy.AsOf()) > f.config.Wait
-	if old && time.Since(f.storeCalledAt) > f.config.Wait {
+	stale := time.Since(f.copy.AsOf()) > f.config.Wait
+	if stale && time.Since(f.storeCalledAt) > f.config.Wait {
 		hold = 0
 	}
 	f.storeCalledAt = time.Now()
--- a/internal/passthrough/catalog/told.go
+++ b/internal/passthrough/catalog/told.go
@@ -144,11 +144,11 @@
 	}
 }
 
-// overdueRow returns a row that an answer to a call sent at a time should have contained. patience
+// overdueRow returns a row that an answer to a call sent at a time should have contained. maxLag
 // is how long the feed may lag behind the store's other answers.
-func (t *feedProgress) overdueRow(sent time.Time, patience time.Duration) (id rowID, missing observedVersion, found bool) {
+func (t *feedProgress) overdueRow(sent time.Time, maxLag time.Duration) (id rowID, missing observedVersion, found bool) {
 	for id, pending := range t.expected {
-		if sent.Sub(pending.oldest.since) >= patience {
+		if sent.Sub(pending.oldest.since) >= maxLag {
 			return id, pending.oldest, true
 		}
 	}
--- a/internal/passthrough/guard/guard.go
+++ b/internal/passthrough/guard/guard.go
@@ -24,7 +24,7 @@
 // Transport sends crashes to other nodes. Messages may be lost.
 type Transport interface {
 	SendCrashes(to string, crashes []quarantine.Crash)
-	// AskCrashes asks a node for its gravest crashes.
+	// AskCrashes asks a node for its startup reports.
 	AskCrashes(to string)
 }
 
@@ -134,7 +134,7 @@
 	return true
 }
 
-// recordEngineEnd records that an engine ended under a run. An engine that was leaving ended as
+// recordEngineEnd records that an engine ended during a run. An engine that was leaving ended as
 // planned, and no crash is recorded.
 func (s *Service) recordEngineEnd(run Run) {
 	if s.engineState(run.Engine.Engine) == enginechoice.Leaving {
@@ -192,7 +192,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.MostFrequentCrashes(maxGravestCrashes, gravestMaxAge, now)
+	return s.ledger.MostFrequentCrashes(maxFrequentCrashes, frequentMaxAge, now)
 }
 
 // AddStoredCrashes records crashes that were read from the store.
--- a/internal/passthrough/guard/metrics.go
+++ b/internal/passthrough/guard/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts engines that ended under requests and requests that were refused for that
+// Metrics counts engines that ended during requests, and requests that were refused for that
 // reason.
 type Metrics struct {
 	crashes prometheus.Counter
--- a/internal/passthrough/guard/restarts.go
+++ b/internal/passthrough/guard/restarts.go
@@ -7,7 +7,7 @@
 )
 
 // restartDetectionWindow is how long after a run broke the entry of the engine's next incarnation
-// counts as evidence that the engine ended under the run. If the engine is not yet back, the
+// counts as evidence that the engine ended during the run. If the engine is not yet back, the
 // connection that is opened at once shows that it ended. If it is back, its entry arrives with
 // the next read of the store, some hundred milliseconds later. A longer window would blame
 // contents for runs that a network fault cut off.
@@ -61,7 +61,7 @@
 	s.brokenRuns = append(s.brokenRuns[:0], s.brokenRuns[expired:]...)
 }
 
-// Restarted handles the restart of an engine: the former incarnation ended under the runs that
+// Restarted handles the restart of an engine: the former incarnation ended during the runs that
 // broke there.
 func (s *Service) Restarted(former enginechoice.Incarnation) {
 	for _, run := range s.takeBrokenRuns(former) {
--- a/internal/passthrough/guard/spread.go
+++ b/internal/passthrough/guard/spread.go
@@ -16,7 +16,7 @@
 
 // Intervals and bounds of sending. If one datagram in four to a node is lost, the three
 // sendAttempts deliver a crash with a probability of 63/64. What is still missing arrives with
-// the gravest crashes.
+// the crashes of the contents with the most crashes.
 const (
 	// gatherDelay is how long crashes are gathered before they are sent. All requests of an
 	// engine break within some milliseconds.
@@ -26,13 +26,14 @@
 	sendAttempts   = 3
 	// maxCrashesPerMessage bounds the crashes of one message, about 40 bytes each.
 	maxCrashesPerMessage = 200
-	// gravestInterval is the interval at which the gravest crashes are sent to one node chosen at
-	// random. This takes at most 2 KB/s, and nothing while no content has ended two engines.
-	gravestInterval   = time.Second
-	maxGravestCrashes = 50
-	// gravestMaxAge is the maximum age of the newest crash of a content that is sent this way. A
+	// frequentSendInterval is the interval at which the crashes of the contents with the most
+	// crashes are sent to one node chosen at random. This takes at most 2 KB/s, and nothing while no
+	// content has crashed two engines.
+	frequentSendInterval = time.Second
+	maxFrequentCrashes   = 50
+	// frequentMaxAge is the maximum age of the newest crash of a content that is sent this way. A
 	// node that has started since then reads the content from the store.
-	gravestMaxAge  = 2 * time.Minute
+	frequentMaxAge = 2 * time.Minute
 	expireInterval = 10 * time.Second
 )
 
@@ -82,7 +83,7 @@
 // does the periodic work.
 func (s *Service) runSender(ctx context.Context) {
 	started := time.Now()
-	gravestAt, expireAt, requestAt := started.Add(gravestInterval), started.Add(expireInterval), started
+	frequentAt, expireAt, requestAt := started.Add(frequentSendInterval), started.Add(expireInterval), started
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -101,15 +102,15 @@
 			requestAt = now.Add(requestInterval)
 		}
 		s.sendDue(now)
-		if now.After(gravestAt) {
-			s.sendGravest(now)
-			gravestAt = now.Add(gravestInterval)
+		if now.After(frequentAt) {
+			s.sendMostFrequent(now)
+			frequentAt = now.Add(frequentSendInterval)
 		}
 		if now.After(expireAt) {
 			s.expire(now)
 			expireAt = now.Add(expireInterval)
 		}
-		next := s.nextSendTime(gravestAt)
+		next := s.nextSendTime(frequentAt)
 		if now.Sub(started) < requestPeriod && requestAt.Before(next) {
 			next = requestAt
 		}
@@ -170,14 +171,14 @@
 	}
 }
 
-// sendGravest sends the gravest crashes to one node chosen at random, so that all nodes learn of
-// them eventually.
-func (s *Service) sendGravest(now time.Time) {
+// sendMostFrequent sends the crashes of the contents with the most crashes to one node chosen at
+// random, so that all nodes learn of them eventually.
+func (s *Service) sendMostFrequent(now time.Time) {
 	if s.transport == nil || !s.hasRecords.Load() {
 		return
 	}
 	s.mu.Lock()
-	crashes := s.ledger.MostFrequentCrashes(maxGravestCrashes, gravestMaxAge, now)
+	crashes := s.ledger.MostFrequentCrashes(maxFrequentCrashes, frequentMaxAge, now)
 	s.mu.Unlock()
 	peers := s.Peers()
 	if len(crashes) > 0 && len(peers) > 0 {
--- a/internal/passthrough/replicas/follow.go
+++ b/internal/passthrough/replicas/follow.go
@@ -35,14 +35,14 @@
 		r.leaveSource(from, err)
 		return catalog.CopyAnswer{}, false
 	}
-	told := catalog.CopyAnswer{Whole: answer.Whole, Rows: answer.Rows, Version: answer.Version, StoreAt: answer.StoreAt, Renewing: answer.Renewing}
-	for i := range told.Rows {
-		told.Rows[i].Table = table
+	copyAnswer := catalog.CopyAnswer{Whole: answer.Whole, Rows: answer.Rows, Version: answer.Version, StoreAt: answer.StoreAt, Renewing: answer.Renewing}
+	for i := range copyAnswer.Rows {
+		copyAnswer.Rows[i].Table = table
 	}
 	if r.watch.Count() == suspensions {
-		told.AsOf = r.answerAsOf(from, table, answer, sent)
+		copyAnswer.AsOf = r.answerAsOf(from, table, answer, sent)
 	}
-	return told, true
+	return copyAnswer, true
 }
 
 // answerAsOf returns the earliest moment, on this node's clock, as of which an answer was
@@ -106,17 +106,17 @@
 	}
 	t.waitForChanges(ctx, copied, call)
 	t.watch.Check()
-	told, listed := copied.Since(call.Since)
+	copyAnswer, listed := copied.Since(call.Since)
 	now := time.Now()
 	switch {
-	case !listed || told.AsOf.IsZero():
+	case !listed || copyAnswer.AsOf.IsZero():
 		return sharing.FollowAnswer{Refusal: sharing.NotListed}
-	case now.Sub(told.AsOf) > t.maxCopyAge(told.Renewing):
+	case now.Sub(copyAnswer.AsOf) > t.maxCopyAge(copyAnswer.Renewing):
 		return sharing.FollowAnswer{Refusal: sharing.TooStale}
 	}
 	return sharing.FollowAnswer{
-		Whole: told.Whole, Rows: told.Rows, Version: told.Version,
-		At: now.Sub(t.started), AsOf: told.AsOf.Sub(t.started), StoreAt: told.StoreAt, Renewing: told.Renewing,
+		Whole: copyAnswer.Whole, Rows: copyAnswer.Rows, Version: copyAnswer.Version,
+		At: now.Sub(t.started), AsOf: copyAnswer.AsOf.Sub(t.started), StoreAt: copyAnswer.StoreAt, Renewing: copyAnswer.Renewing,
 	}
 }
 
--- a/internal/passthrough/slots/acquire.go
+++ b/internal/passthrough/slots/acquire.go
@@ -221,8 +221,8 @@
 }
 
 // laneForLocked returns the lane of a pool to which an ask is sent. Requests that share prompt
-// parts use the same lane, and so do requests with the same content under which engines have
-// ended. The caller holds mu.
+// parts use the same lane, and so do requests with the same content if engines have ended while
+// they ran it. The caller holds mu.
 func (s *Service) laneForLocked(pool string, ask grant.Ask) grant.Lane {
 	lane := grant.Lane{Pool: pool, Parts: s.engines.laneCount(pool)}
 	key := grant.LifeHash(s.Incarnation) + ask.ID
--- a/internal/passthrough/slots/batch.go
+++ b/internal/passthrough/slots/batch.go
@@ -25,28 +25,28 @@
 }
 
 // SetBatchRequests replaces the set of this node's batch items that wait for a slot.
-func (s *Service) SetBatchRequests(asks []BatchRequest) {
+func (s *Service) SetBatchRequests(requests []BatchRequest) {
 	now := time.Now()
-	wanted := make(map[uint64]bool, len(asks))
-	for _, ask := range asks {
-		wanted[ask.ID] = true
+	wanted := make(map[uint64]bool, len(requests))
+	for _, request := range requests {
+		wanted[request.ID] = true
 	}
 	s.mu.Lock()
-	for id := range s.batchAsks {
+	for id := range s.batchRequests {
 		if !wanted[id] {
 			s.cancelBatchAsk(id, now)
 		}
 	}
 	var changed []BatchRequest
-	for _, ask := range asks {
-		before, known := s.batchAsks[ask.ID]
-		if !known || before.Late != ask.Late {
-			changed = append(changed, ask)
+	for _, request := range requests {
+		before, known := s.batchRequests[request.ID]
+		if !known || before.Late != request.Late {
+			changed = append(changed, request)
 		}
 	}
 	s.mu.Unlock()
-	for _, ask := range changed {
-		s.submitBatchAsk(ask)
+	for _, request := range changed {
+		s.submitBatchAsk(request)
 	}
 }
 
@@ -55,31 +55,31 @@
 	if requester := s.requesters[s.batchLanes[id]]; requester != nil {
 		requester.Cancel(id, now)
 	}
-	delete(s.batchAsks, id)
+	delete(s.batchRequests, id)
 	delete(s.batchLanes, id)
 }
 
-func (s *Service) submitBatchAsk(ask BatchRequest) {
-	sent := s.askFromQuery(ask.ID, ask.Query)
-	sent.RoomPercent = ask.RoomPercent
-	sent.Late, sent.TenantRank, sent.Rank, sent.Suspect = ask.Late, ask.TenantRank, ask.Rank, ask.Suspect
+func (s *Service) submitBatchAsk(request BatchRequest) {
+	ask := s.askFromQuery(request.ID, request.Query)
+	ask.RoomPercent = request.RoomPercent
+	ask.Late, ask.TenantRank, ask.Rank, ask.Suspect = request.Late, request.TenantRank, request.Rank, request.Suspect
 	s.mu.Lock()
-	lane, known := s.batchLanes[ask.ID]
+	lane, known := s.batchLanes[request.ID]
 	if !known {
-		lane = s.laneForLocked(ask.Query.Pool, sent)
+		lane = s.laneForLocked(request.Query.Pool, ask)
 	}
-	s.batchAsks[ask.ID], s.batchLanes[ask.ID] = ask, lane
+	s.batchRequests[request.ID], s.batchLanes[request.ID] = request, lane
 	s.mu.Unlock()
-	s.submitAsk(lane, sent, ask.Due)
+	s.submitAsk(lane, ask, request.Due)
 }
 
 // startBatchItem starts the batch item that a grant is for. It returns false if the item no
 // longer waits or the engine cannot be used.
 func (s *Service) startBatchItem(received receivedGrant) bool {
 	s.mu.Lock()
-	ask, known := s.batchAsks[received.grant.ID]
+	ask, known := s.batchRequests[received.grant.ID]
 	if known {
-		delete(s.batchAsks, ask.ID)
+		delete(s.batchRequests, ask.ID)
 		delete(s.batchLanes, ask.ID)
 	}
 	s.mu.Unlock()
--- a/internal/passthrough/slots/slots.go
+++ b/internal/passthrough/slots/slots.go
@@ -100,7 +100,7 @@
 	requesters       map[grant.Lane]*laneRequester
 	dispatchers      map[grant.Lane]*laneDispatcher
 	waiters          map[uint64]*waiter // by ask id
-	batchAsks        map[uint64]BatchRequest
+	batchRequests    map[uint64]BatchRequest
 	batchLanes       map[uint64]grant.Lane
 	engines          engineView
 	refreshedAt      time.Time
@@ -117,7 +117,7 @@
 		config: config, localQuota: quota.NewIsolatedRateCounter(config.margin(), time.Now()),
 		Dependencies: dependencies, lifeHash: grant.LifeHash(dependencies.Incarnation), wake: make(chan struct{}, 1),
 		requesters: make(map[grant.Lane]*laneRequester), dispatchers: make(map[grant.Lane]*laneDispatcher),
-		waiters: make(map[uint64]*waiter), batchAsks: make(map[uint64]BatchRequest), batchLanes: make(map[uint64]grant.Lane),
+		waiters: make(map[uint64]*waiter), batchRequests: make(map[uint64]BatchRequest), batchLanes: make(map[uint64]grant.Lane),
 		engines: newEngineView(),
 	}
 }
