--- a/internal/passthrough/batch/intake.go
+++ b/internal/passthrough/batch/intake.go
@@ -167,7 +167,7 @@
 	return queue.countFromRows(snapshot.Rows)
 }
 
-var errCountUnknown = errors.New("the number of tokens that wait in the queue is not known in time")
+var errCountUnknown = errors.New("what waits on the route is not known in time")
 
 // storeBody stores a body as an object if it is too long for a transaction, or too long to be
 // resent. It is resent when a compare fails, and a failed compare shows that other jobs are being
--- a/internal/passthrough/relay/attempt.go
+++ b/internal/passthrough/relay/attempt.go
@@ -40,7 +40,7 @@
 	_, _ = to.Write(r.body) // the client may have left
 }
 
-var errUnsigned = errors.New("response carries no engine signature")
+var errUnsigned = errors.New("the answer lacks the engine's signature")
 
 // attempt sends the request to one engine and forwards the response to the client.
 func (e *exchange) attempt(deadlineCtx context.Context, decision slots.Decision) Outcome {
--- a/internal/passthrough/relay/eventstream.go
+++ b/internal/passthrough/relay/eventstream.go
@@ -7,7 +7,7 @@
 )
 
 // errEventTooLong is returned when an incomplete event exceeds maxEventBytes.
-var errEventTooLong = errors.New("event exceeds the size limit")
+var errEventTooLong = errors.New("an event is longer than the limit")
 
 // maxEventBytes limits the length of an event.
 const maxEventBytes = 4 << 20
